--- a/packages/journal/include/journal/journal.h
+++ b/packages/journal/include/journal/journal.h
@@ -35,7 +35,7 @@
 typedef struct JournalSettings {
     const char *path;
     const char *node_name;
-    bool disk_keeps; /* what the disk has synced outlasts a loss of power: a block that is missing was damaged */
+    bool disk_durable; /* what the disk has synced outlasts a loss of power: a block that is missing was damaged */
 } JournalSettings;
 
 /* Reads bytes as a journal. found may be null; good_count: how many bytes are whole blocks. JOURNAL_CORRUPT:
@@ -50,7 +50,7 @@
                     Journal **journal, Failure *failure);
 /* Waits. Replaces a journal that is not whole by one with a new disk id, in one step. The old one is kept
  * beside it as PATH.bad for whoever looks into the fault, when it has at most JOURNAL_BAD_BYTES. */
-Status journal_begin(Loop *loop, void *mem, const JournalSettings *settings, Journal **journal, Failure *failure);
+Status journal_recreate(Loop *loop, void *mem, const JournalSettings *settings, Journal **journal, Failure *failure);
 /* The id of this disk: a random number, drawn when the file was made. */
 uint64_t journal_disk(const Journal *journal);
 /* Waits until the records are synced, with all that was queued before them; without records it waits for the latter
--- a/packages/journal/src/inside.h
+++ b/packages/journal/src/inside.h
@@ -25,7 +25,7 @@
     File *file;
     uint64_t disk; /* id */
     const char *node_name;
-    bool disk_keeps;
+    bool disk_durable;
     int64_t generation; /* of the file that is in place: one more with each rewrite, so that a hint is known to be of
                            this one; 0: written by a release that counts none, and has no hint */
     int64_t generation_last; /* of the last rewrite that was queued */
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -79,7 +79,7 @@
     journal->failed = status != STATUS_OK;
     if (status != STATUS_OK)
         journal->hint_ms = INT64_MAX; /* how much of the file is whole is not known */
-    else if (journal->disk_keeps && journal->hint_ms == INT64_MAX)
+    else if (journal->disk_durable && journal->hint_ms == INT64_MAX)
         journal->hint_ms = loop_now_ms(journal->loop) + JOURNAL_HINT_MS;
     return status;
 }
@@ -125,7 +125,7 @@
 
 void journal_run(Journal *journal)
 {
-    if (journal->disk_keeps)
+    if (journal->disk_durable)
         journal->hint_ms = loop_now_ms(journal->loop) + JOURNAL_HINT_MS;
     loop_spawn(journal->loop, "journal", writer_main, journal);
 }
--- a/packages/journal/src/open.c
+++ b/packages/journal/src/open.c
@@ -44,7 +44,7 @@
     Journal *journal = talloc_zero(mem, Journal);
     journal->loop = loop;
     journal->node_name = talloc_strdup(journal, settings->node_name);
-    journal->disk_keeps = settings->disk_keeps;
+    journal->disk_durable = settings->disk_durable;
     journal->sync_since_ms = journal->hint_ms = INT64_MAX;
     *out = journal;
     return file_open(loop, journal, settings->path, &journal->file, failure);
@@ -86,7 +86,7 @@
     if (status == STATUS_OK && good_count == 0 &&
         content.count > 0) /* the first block is written in one step: it can't be torn */
         status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds no journal", path);
-    const size_t synced = status == STATUS_OK && journal->disk_keeps ? hint_read(journal) : 0;
+    const size_t synced = status == STATUS_OK && journal->disk_durable ? hint_read(journal) : 0;
     if (status == STATUS_OK && good_count < synced)
         status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s is whole up to byte %zu, and was synced up to %zu",
                              path, good_count, synced);
@@ -147,7 +147,7 @@
     talloc_free(mem);
 }
 
-Status journal_begin(Loop *loop, void *mem, const JournalSettings *settings, Journal **out, Failure *failure)
+Status journal_recreate(Loop *loop, void *mem, const JournalSettings *settings, Journal **out, Failure *failure)
 {
     Journal *journal;
     Status status = file_take(loop, mem, settings, &journal, failure);
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -114,7 +114,7 @@
 {
     Seen *seen = arg;
     const JournalSettings settings = settings_of(seen);
-    seen->status = journal_begin(seen->loop, seen->loop, &settings, &seen->journal, &seen->failure);
+    seen->status = journal_recreate(seen->loop, seen->loop, &settings, &seen->journal, &seen->failure);
 }
 
 static void begin_start(void *arg, Loop *loop)
--- a/packages/journal/test/journal_fixture.h
+++ b/packages/journal/test/journal_fixture.h
@@ -64,7 +64,7 @@
 
 static inline JournalSettings settings_of(const Seen *seen)
 {
-    return (JournalSettings){.path = PATH, .node_name = seen->node, .disk_keeps = !seen->disk_loses};
+    return (JournalSettings){.path = PATH, .node_name = seen->node, .disk_durable = !seen->disk_loses};
 }
 
 static inline void open_main(void *arg)
--- a/packages/journal/test/journal_hint.c
+++ b/packages/journal/test/journal_hint.c
@@ -108,7 +108,7 @@
 static void rewriting_main(void *arg)
 {
     Rewriting *rewriting = arg;
-    const JournalSettings settings = {.path = PATH, .node_name = "core1", .disk_keeps = true};
+    const JournalSettings settings = {.path = PATH, .node_name = "core1", .disk_durable = true};
     const Record record = entry_one();
     Seen seen = {0};
     rewriting->opened =
--- a/packages/journal/test/journal_large.c
+++ b/packages/journal/test/journal_large.c
@@ -61,7 +61,7 @@
 {
     Life *life = arg;
     Failure failure = {0};
-    const JournalSettings settings = {.path = PATH, .node_name = "core1", .disk_keeps = true};
+    const JournalSettings settings = {.path = PATH, .node_name = "core1", .disk_durable = true};
     life->opened = journal_open(life->loop, life->loop, &settings, on_record, life, &life->journal, &failure);
     if (life->opened != STATUS_OK)
         return;
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -81,7 +81,7 @@
 /* What the holder relies on, in ms, of a grant. */
 int64_t lock_lease_ms(int64_t grant_ms);
 /* The voter at the slot granted the request for grant_ms that was sent at sent_ms; grants may come in any order. */
-void lock_lease_answered(LockLease *lease, int voter, int64_t sent_ms, int64_t grant_ms);
+void lock_lease_granted(LockLease *lease, int voter, int64_t sent_ms, int64_t grant_ms);
 /* Until when a majority's grants last (lock_lease_ms from sending); INT64_MIN: no majority has granted. */
 int64_t lock_lease_until(const LockLease *lease);
 
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -72,7 +72,7 @@
     return grant_ms * LOCK_LEASE_MS / LOCK_GRANT_MS;
 }
 
-void lock_lease_answered(LockLease *lease, int voter, int64_t sent_ms, int64_t grant_ms)
+void lock_lease_granted(LockLease *lease, int voter, int64_t sent_ms, int64_t grant_ms)
 {
     INVARIANT(VOTER_PLACES, voter >= 0 && voter < VOTER_MOST);
     const int64_t until_ms = sent_ms + lock_lease_ms(grant_ms);
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -44,7 +44,7 @@
             lock_promise(&voters[i], TERM, HOLDER);
             assert_int_equal(lock_renew(&voters[i], TERM, HOLDER, clock_at(sent_ms, voter_percent), grant_ms),
                              STATUS_OK);
-            lock_lease_answered(&lease, i, clock_at(sent_ms, holder_percent), grant_ms);
+            lock_lease_granted(&lease, i, clock_at(sent_ms, holder_percent), grant_ms);
         }
         int64_t true_ms = sent_ms;
         for (; clock_at(true_ms, holder_percent) < lock_lease_until(&lease); true_ms++)
@@ -83,13 +83,13 @@
     (void)state;
     LockLease lease = {.voters = VOTERS};
     lock_lease_clear(&lease);
-    lock_lease_answered(&lease, 0, NOW_MS, LOCK_GRANT_MS);
+    lock_lease_granted(&lease, 0, NOW_MS, LOCK_GRANT_MS);
     assert_int_equal(lock_lease_until(&lease), INT64_MIN);
-    lock_lease_answered(&lease, 2, NOW_MS + 10, LOCK_GRANT_MS);
+    lock_lease_granted(&lease, 2, NOW_MS + 10, LOCK_GRANT_MS);
     assert_int_equal(lock_lease_until(&lease), NOW_MS + LOCK_LEASE_MS);
-    lock_lease_answered(&lease, 1, NOW_MS + 20, LOCK_GRANT_MS);
+    lock_lease_granted(&lease, 1, NOW_MS + 20, LOCK_GRANT_MS);
     assert_int_equal(lock_lease_until(&lease), NOW_MS + 10 + LOCK_LEASE_MS);
-    lock_lease_answered(&lease, 1, NOW_MS - 10, LOCK_GRANT_MS);
+    lock_lease_granted(&lease, 1, NOW_MS - 10, LOCK_GRANT_MS);
     assert_int_equal(lock_lease_until(&lease), NOW_MS + 10 + LOCK_LEASE_MS);
     lock_lease_clear(&lease);
     assert_int_equal(lock_lease_until(&lease), INT64_MIN);
@@ -111,7 +111,7 @@
     assert_int_equal(voter.lease_until_ms, NOW_MS + 2 * LOCK_GRANT_MS + 1);
     LockLease lease = {.voters = 1};
     lock_lease_clear(&lease);
-    lock_lease_answered(&lease, 0, NOW_MS, LOCK_GRANT_LEAST_MS);
+    lock_lease_granted(&lease, 0, NOW_MS, LOCK_GRANT_LEAST_MS);
     assert_int_equal(lock_lease_until(&lease), NOW_MS + lock_lease_ms(LOCK_GRANT_LEAST_MS));
     assert_true(lock_lease_ms(LOCK_GRANT_LEAST_MS) < LOCK_GRANT_LEAST_MS);
 }
--- a/packages/replication/include/replication/log.h
+++ b/packages/replication/include/replication/log.h
@@ -3,37 +3,38 @@
 
 #include "journal/record.h"
 
-/* The log in memory: a snapshot, and the entries after it. Used by the voters and learners of the replicated log, and
- * read by the checkers of its safety properties (window.h). Nothing here waits. Invariants: entry i (from 0) has index
- * base_index + 1 + i; terms never fall along the log. */
+/* The in-memory log: a snapshot and the entries after it. Used by the voters and learners of the replicated log, and
+ * read by the checkers of its safety properties (window.h). No function here blocks.
+ * Invariants: entries[i] has index base_index + 1 + i; terms never decrease along the log. */
 typedef struct Log {
-    Record snapshot; /* kind 0 while there is none; else its index is base_index */
-    uint64_t base_term, base_index;
-    Record *entries;        /* in order */
-    void **owners;          /* the talloc parent of each entry's payload */
-    size_t count, capacity; /* entries; how many there is memory for */
-    size_t bytes;           /* payloads of the entries */
+    Record snapshot;                /* its index is base_index; kind 0: there is no snapshot */
+    uint64_t base_term, base_index; /* of the last entry that the snapshot covers */
+    Record *entries;                /* in index order */
+    void **owners;                  /* the talloc context that owns each entry's payload */
+    size_t count, capacity;         /* number of entries; number of entries allocated */
+    size_t bytes;                   /* total size of the entries' payloads */
 } Log;
 
-/* An empty log on mem. */
+/* Returns an empty log allocated on mem. */
 Log *log_new(void *mem);
-/* The index of the last entry, or of the snapshot. */
+/* The index of the last entry, or that of the snapshot if there are no entries. */
 uint64_t log_last_index(const Log *log);
-/* The term of the last entry, or of the snapshot. */
+/* The term of the last entry, or that of the snapshot if there are no entries. */
 uint64_t log_last_term(const Log *log);
-/* The entry at the index, owned by the log; null when it is not among the entries. */
+/* The entry at the index, owned by the log; NULL if the log has no such entry. */
 const Record *log_at(const Log *log, uint64_t index);
-/* The term of the entry at the index, also of the snapshot's last; false when it is not known. */
+/* Sets *term to the term of the entry at the index, which may be the last one that the snapshot covers. Returns false
+ * if the term is not known. */
 bool log_term_at(const Log *log, uint64_t index, uint64_t *term);
-/* Adds a copy of the next entry; its index must be the one after the last. */
+/* Appends a copy of the entry; its index must be log_last_index + 1. */
 void log_add(Log *log, const Record *entry);
-/* Takes the next entry that is read from a journal. One that is read again changes nothing; one of
- * another term at an index that is there replaces that entry and all after it. JOURNAL_CORRUPT: entries
- * before it are missing, or its term is lower than theirs. */
-Status log_take(Log *log, const Record *entry);
+/* Adds an entry that was read from a journal. An entry that the log already has changes nothing; an entry of another
+ * term at an existing index replaces that entry and all later ones. JOURNAL_CORRUPT: entries before it are missing, or
+ * its term is lower than theirs. */
+Status log_recover(Log *log, const Record *entry);
 /* Drops all entries after the index. */
 void log_trim(Log *log, uint64_t index);
-/* Puts a copy of the snapshot in the place of all entries up to its index. */
+/* Replaces all entries up to the snapshot's index by a copy of the snapshot. */
 void log_rebase(Log *log, const Record *snapshot);
 
 #endif
--- a/packages/replication/include/replication/membership.h
+++ b/packages/replication/include/replication/membership.h
@@ -6,54 +6,56 @@
 
 #include "lock/lock.h"
 
-/* Which change of the list of voters comes next: a pure function of what the leader knows. Used by the leader
- * (reconfigure.c) and by status. Nothing here waits or allocates.
+/* The choice of the next change of the list of voters: a pure function of what the leader knows. Used by the leader
+ * (reconfigure.c) and by the status page. No function here blocks or allocates.
  *
- * Each change adds or removes one voter, so that any majority of one list shares a voter with any majority
- * of the next (Raft: single-server changes); the next one is chosen only once the last is committed.
- * The losses that the voters bear are how many of those alive may still be lost before a majority is
- * missing. The disks that they bear are how many of those not known to be lost may be lost for good while all others
- * return. Invariant: no change makes the voters bear fewer losses, or fewer disks:
- *  - a learner that is ready may be added to any number of voters;
- *  - a voter whose disk is lost may be removed from any number;
- *  - a voter that is alive, or silent and may return, is removed from an even number only: for an even n, n and n - 1
- *    voters bear equally many. So its successor is added before it is removed. */
-
-/* What is known of one voter or learner. The zone is owned by the caller. */
+ * Each change adds or removes one voter, so that any majority of one list shares a voter with any majority of the next
+ * (Raft: single-server membership changes). The next change is chosen only after the previous one is committed.
+ *
+ * Two tolerances are kept. Loss tolerance is how many of the live voters may still be lost before there is no majority.
+ * Disk loss tolerance is how many of the disks not known to be lost may be lost permanently while all other voters
+ * return. Invariant: no change lowers either of them:
+ *  - a ready learner may be added to any number of voters;
+ *  - a voter whose disk is lost may be removed from any number of voters;
+ *  - a voter that is live, or silent but able to return, is removed from an even number of voters only: for an even n,
+ *    n and n - 1 voters tolerate equally many losses. Its successor is therefore added before it is removed. */
+
+/* What the leader knows about one voter or learner. The zone is owned by the caller. */
 typedef struct MemberState {
     uint64_t disk;
     const char *zone;
-    bool self;    /* the leader: never removed by itself */
-    bool live;    /* a voter: in the view (replication.h), and it answers */
-    bool lost;    /* a voter: silent for too long, or its disk is lost */
-    bool dead;    /* a lost voter: its disk is lost for certain; it does not return */
-    bool leaving; /* its process is shutting down */
-    bool ready;   /* a learner: it has the log and answers */
-    bool steady;  /* a learner: it has been ready for long */
+    bool self;      /* the leader, which never removes itself */
+    bool live;      /* for a voter: it is in the view (replication.h) and answers */
+    bool lost;      /* for a voter: it was silent for too long, or its disk is lost */
+    bool disk_lost; /* for a lost voter: its disk is known to be lost, so it cannot return */
+    bool leaving;   /* its process is shutting down */
+    bool ready;     /* for a learner: it has nearly all of the log and answers */
+    bool steady;    /* for a learner: it has been ready for long */
 } MemberState;
 
+/* The kind of a change; MEMBERSHIP_KEEP: no change. */
 typedef enum MembershipStep { MEMBERSHIP_KEEP, MEMBERSHIP_ADD, MEMBERSHIP_REMOVE } MembershipStep;
 
-/* index: of the learner to add, or of the voter to remove, in the arrays of Membership. */
+/* A change. index: of the learner to add or the voter to remove, in the arrays of Membership. */
 typedef struct MembershipChange {
     MembershipStep step;
     size_t index;
 } MembershipChange;
 
-/* All that the choice depends on. */
+/* All inputs of the choice. The arrays are owned by the caller. */
 typedef struct Membership {
     const MemberState *voters;
     size_t voter_count;
     const MemberState *learners;
     size_t learner_count;
-    size_t wanted; /* voters, as the settings ask */
+    size_t wanted; /* the number of voters that the settings ask for */
 } Membership;
 
-/* The next change; MEMBERSHIP_KEEP: none is due, or none can be committed. */
+/* The next change; MEMBERSHIP_KEEP if none is due or none can be committed. */
 MembershipChange membership_next(const Membership *now);
-/* How many more of these voters may be lost; negative: so many are missing for a majority. */
-int membership_losses_borne(const MemberState *voters, size_t count);
-/* How many more of these voters' disks may be lost for good when all other voters return. */
-int membership_disks_borne(const MemberState *voters, size_t count);
+/* The loss tolerance of these voters; if negative, how many live voters are missing for a majority. */
+int membership_losses_tolerated(const MemberState *voters, size_t count);
+/* The disk loss tolerance of these voters; if negative, how many disks are missing for a majority. */
+int membership_disk_losses_tolerated(const MemberState *voters, size_t count);
 
 #endif
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -9,26 +9,25 @@
 
 /* The replicated log: voters agree on one order of changes and deliver them to a state machine.
  *
- * Used by the controller nodes (packages/controller), each of which has one; learners follow without a
- * vote. As in Raft, entries are numbered by (term, index) and committed in order, and each term has one
- * leader, which orders them. Unlike in Raft:
- *  - a leader has a lease (the paper's lock, see lock/lock.h), and acts only while it runs;
- *  - a change is committed once every voter in the *view* has synced it. The view is a majority of the voters or
- *    more, like the in-sync replicas of primary-backup replication. A voter that does not sync in time is taken out
- *    of the view by the leader, keeps its vote, and comes back later;
- *  - a candidate with a shorter log may win: it copies the best log of its majority before it orders anything.
+ * Each controller node (packages/controller) has one; learners follow the log without a vote. As in Raft, entries are
+ * numbered by (term, index) and committed in order, and each term has one leader, which appends them. Unlike in Raft:
+ *  - a leader has a lease (the paper's lock, see lock/lock.h) and acts only while the lease is valid;
+ *  - a change is committed once every voter in the *view* has synced it. The view is at least a majority of the voters,
+ *    like the in-sync replicas of primary-backup replication. The leader removes a voter that does not sync in time
+ *    from the view; that voter keeps its vote and rejoins the view later;
+ *  - a candidate with a shorter log may win: it copies the best log of its majority before it appends anything.
  *
- * Invariants: at most one node leads at a time; what is committed is in the log of every later
- * leader; all nodes deliver the same changes in the same order.
+ * Invariants: at most one node leads at a time; a committed entry is in the log of every later leader; all nodes
+ * deliver the same changes in the same order.
  *
- * Names: "holder" is the leader, as the holder of the lease; "restarted" a node that has restarted and has been in no
- * view since; "voters" alone are disks: a voter is identified by the id of its disk. Status calls a term
- * "epoch" and voters "seats". Times are ms of the loop's clock unless said otherwise. "Waits" means that the
- * calling task is suspended; what does not say so returns at once. */
+ * Terminology: "holder" is the leader, as the holder of the lease; "restarted" describes a node that has restarted and
+ * has been in no view since; a voter is identified by the id of its disk, so an array of "voters" holds disk ids. The
+ * status page calls a term "epoch" and the voters "seats". Times are ms of the loop's clock unless stated otherwise.
+ * "Blocks" means that the calling task is suspended; all other functions return immediately. */
 typedef struct Replication Replication;
 
-/* Numbers of the log's own changes; those of the embedder (the controller) begin at
- * REPLICATION_CHANGE_FIRST. Part of the format on disk. */
+/* Numbers of the changes that the replicated log appends itself; those of the embedder (the controller) begin at
+ * REPLICATION_CHANGE_FIRST. Part of the on-disk format. */
 #define REPLICATION_CHANGE_TERM 1     /* payload: TermRecord */
 #define REPLICATION_CHANGE_VOTERS 2   /* payload: VoterList */
 #define REPLICATION_CHANGE_REPAIRED 3 /* no payload */
@@ -37,175 +36,178 @@
 /* The result of delivering a change, from the state machine. */
 typedef struct ChangeResult {
     Status status;
-    uint64_t number; /* its meaning is the state machine's */
-    uint64_t index;  /* of the change in the log; set by the replicated log */
+    uint64_t number; /* defined by the state machine */
+    uint64_t index;  /* log index of the change; set by the replicated log */
 } ChangeResult;
 
-/* The state machine that the changes build up, owned by the embedder. None of the functions waits.
- * deliver must depend on the change and the state alone, so that all nodes come to the same state. */
+/* The state machine to which changes are delivered, owned by the embedder. None of the functions may block. deliver
+ * must depend on the change and the state only, so that all nodes reach the same state. */
 typedef struct ReplicationState {
     void *arg;
-    /* Takes the next committed change, which is owned by the log. */
+    /* Applies the next committed change, which is owned by the log. */
     void (*deliver)(void *arg, const Record *change, ChangeResult *result);
-    /* The whole state, packed; on mem. */
+    /* Returns the whole state, packed and allocated on mem. */
     Bytes (*save)(void *arg, void *mem);
-    /* Puts a saved state in the place of the present one; empty bytes: the first state of all. */
+    /* Replaces the present state by a saved one; empty bytes stand for the initial state. */
     Status (*load)(void *arg, Bytes saved);
 } ReplicationState;
 
-/* FOLLOWING: led by another, or by nobody. ELECTING (Raft: candidate): an election of this node is under way, until the
- * first entry of its term is committed. */
+/* FOLLOWING: another node leads, or none does. ELECTING (Raft: candidate): an election of this node is under way, until
+ * the first entry of the new term is committed. LEADING: this node leads. */
 typedef enum ReplicationPhase { REPLICATION_FOLLOWING, REPLICATION_ELECTING, REPLICATION_LEADING } ReplicationPhase;
 
-/* Called within the commit of the first entry of a term that this node leads, before its phase is LEADING; must not
- * wait. new_holder: its lease did not run on from an earlier term. repair: the view contains restarted voters whose
- * disks may lose what they synced, so committed changes may have been lost and have to be sent again. */
+/* Called when the first entry of a term that this node leads is committed, before its phase becomes LEADING. Must not
+ * block. new_holder: its lease was not carried over from an earlier term. repair: the view contains restarted voters
+ * whose disks may have lost synced data, so committed changes may have been lost and have to be sent again. */
 typedef void (*ReplicationOpened)(void *arg, uint64_t term, bool new_holder, bool repair);
 
-/* How this process may come to found a cluster. */
+/* Whether and how this process may found a cluster. */
 typedef enum ReplicationFounds {
-    REPLICATION_FOUNDS_NEVER,    /* it only joins: an empty disk here is one that was lost or is new */
-    REPLICATION_FOUNDS_BY_VOTES, /* the first start of all: by the votes of the seeds */
-    REPLICATION_FOUNDS_BY_THREE, /* when exactly three empty disks see each other and nobody knows a cluster */
+    REPLICATION_FOUNDS_NEVER,    /* it only joins one: an empty disk is a replacement or a new one */
+    REPLICATION_FOUNDS_BY_VOTES, /* at the very first start: by the votes of the seeds */
+    REPLICATION_FOUNDS_BY_THREE, /* when exactly three empty disks see each other and no member knows of a cluster */
 } ReplicationFounds;
 
-/* What the embedder gives; everything it points to outlives the Replication. */
+/* Settings given by the embedder. Everything they point to must outlive the Replication. */
 typedef struct ReplicationSettings {
     Loop *loop;
     Rpc *rpc;
     Members *members; /* set by replication_start */
     Recorder *recorder;
     ReplicationState state;
-    ReplicationOpened opened; /* may be null */
+    ReplicationOpened opened; /* may be NULL */
     void *opened_arg;
-    int losses; /* disks that may be lost at once; 2 * losses + 1 voters are wanted; 0: 1 */
+    int losses; /* number of disks that may be lost at once; 2 * losses + 1 voters are wanted; 0: 1 */
     ReplicationFounds founds;
-    bool longest_grant;    /* asks for the longest grant of the lock always, not for what has been seen to be needed */
-    bool disks_keep;       /* what a disk has synced outlasts a loss of power */
-    int64_t voter_back_ms; /* ms; a lost voter is replaced within this; 0: VOTER_REPLACE_MS */
-    size_t snapshot_entries; /* a snapshot is made after so many entries; 0: LOG_SNAPSHOT_ENTRIES */
+    bool longest_grant;      /* always request the longest grant of the lock, not one adapted to measured delays */
+    bool disks_keep;         /* synced data survives a loss of power */
+    int64_t voter_back_ms;   /* time within which a lost voter is replaced, in ms; 0: VOTER_REPLACE_MS */
+    size_t snapshot_entries; /* number of entries after which a snapshot is made; 0: LOG_SNAPSHOT_ENTRIES */
 } ReplicationSettings;
 
 /* --- start ------------------------------------------------------------------------- */
 
-/* Makes the replicated log of a node on mem, with a copy of the settings and no disk yet. */
+/* Creates the replicated log of a node, allocated on mem, with a copy of the settings and without a disk yet. */
 Replication *replication_new(void *mem, const ReplicationSettings *settings);
-/* Waits. Opens the journal at the path, or makes it, and reads it: from here on replication_disk is known. A
- * journal that is not whole is replaced by a new, empty one. JOURNAL_FOREIGN: it is another node's;
- * JOURNAL_FORMAT: a later release's; DISK_FAILED. failure: the reason as text. */
+/* Blocks. Opens or creates the journal at the path and reads it; afterwards replication_disk is known. A corrupt
+ * journal is replaced by a new, empty one. JOURNAL_FOREIGN: the journal belongs to another node; JOURNAL_FORMAT: it was
+ * written by a later release; DISK_FAILED. failure (out): the reason as text. */
 Status replication_open_disk(Replication *replication, const char *path, const char *node_name, Failure *failure);
-/* Begins to answer as a voter or learner, and to stand for election. */
+/* Starts answering requests as a voter or learner, and standing for election. */
 void replication_start(Replication *replication, Members *members);
 
 /* --- changes ----------------------------------------------------------------------- */
 
-/* Waits until the change is delivered here. OK: result is set. NOT_LEADER, BUSY: certainly not taken.
- * OUTCOME_UNKNOWN: it may yet be delivered. */
+/* Submits a change. Blocks until it is delivered on this node. OK: *result is set. NOT_LEADER, BUSY: the change was not
+ * appended. OUTCOME_UNKNOWN: it may still be delivered. */
 Status replication_submit(Replication *replication, uint64_t change, Bytes payload, ChangeResult *result);
-/* Orders a change and does not wait for its delivery. It is delivered in its place, or this node leads
- * no more. Waits only while this leader opens a further term. NOT_LEADER, BUSY: not taken. */
+/* Submits a change without awaiting its delivery. The change is delivered in log order, unless this node loses the
+ * leadership. Blocks only while this leader opens another term. NOT_LEADER, BUSY: the change was not appended. */
 Status replication_offer(Replication *replication, uint64_t change, Bytes payload);
-/* Waits until all that was ordered so far is delivered here (a barrier). NOT_LEADER: not known in time. */
+/* Blocks until all entries appended so far are delivered on this node (a barrier). NOT_LEADER: they were not delivered
+ * in time, or the leadership was lost. */
 Status replication_barrier(Replication *replication);
-/* Waits. Records that what may have been lost has been sent again (see ReplicationOpened). Statuses of
- * replication_submit. */
+/* Blocks. Records that the changes that may have been lost have been sent again (see ReplicationOpened). Returns the
+ * statuses of replication_submit. */
 Status replication_repaired(Replication *replication);
 
-/* --- who leads --------------------------------------------------------------------- */
+/* --- leadership --------------------------------------------------------------------- */
 
-/* Whether this node leads as of now, by its own clock, and may acknowledge changes. */
+/* Whether this node leads now, by its own clock, and may acknowledge changes. */
 bool replication_leading(const Replication *replication);
-/* Whether its lease runs, also while it opens a further term: workers' leases may be renewed, nothing
- * may be decided. */
+/* Whether this node's lease is valid, also while it opens another term: workers' leases may then be renewed, but
+ * nothing may be decided. */
 bool replication_leased(const Replication *replication);
-/* Whether a leader is known here, or may have been known before a restart (the paper's survival rule 2). */
+/* Whether this node knows a leader, or may have known one before a restart (the paper's survival rule 2). */
 bool replication_knows_holder(const Replication *replication);
-/* Waits, until until_ms at most. OK: a majority of the voters has granted the lease to this node in answer
- * to requests that were sent after the call, so that no other node led at the time of the call, however wrong the
- * clocks are (Raft: ReadIndex). NOT_LEADER: another may lead; EXPIRED: not known in time. */
+/* Blocks, until until_ms at the latest. OK: a majority of the voters has granted the lease to this node in answer to
+ * requests that were sent after the call, so no other node led at the time of the call, however wrong the clocks are
+ * (Raft: ReadIndex). NOT_LEADER: another node may lead; EXPIRED: too few answers in time. */
 Status replication_confirm_leader(Replication *replication, int64_t until_ms);
-/* The term that this node leads, or led last; 0: none. */
+/* The term that this node leads or led last; 0: none. */
 uint64_t replication_led_term(const Replication *replication);
-/* When this node won the lease from another, or from nobody. */
+/* When this node last won the lease without having held it before. */
 int64_t replication_won_ms(const Replication *replication);
-/* Gives up the lead, if it has it; does not stand for election for rest_ms (0: at once again). */
+/* Gives up the leadership, if this node has it. The node does not stand for election for rest_ms (0: no pause). */
 void replication_step_down(Replication *replication, int64_t rest_ms);
-/* Waits, until until_ms at most. Graceful shutdown, after members_set_leaving: a leader waits until a learner has been
- * added as a voter, and gives up the lead; the next leader then removes this voter. Where there is no learner this
- * node stays a voter, and logs that. */
+/* Graceful shutdown, to be called after members_set_leaving. Blocks, until until_ms at the latest. A leader first waits
+ * until a learner has been added as a voter and then gives up the leadership; the next leader removes this voter. If
+ * there is no learner, this node remains a voter and logs that. */
 void replication_leave(Replication *replication, int64_t until_ms);
 
 /* --- clocks ------------------------------------------------------------------------- */
 
-/* The log's clock, in ms since the cluster was founded: never goes back, and stands still while no node runs. */
+/* The log's clock, in ms since the cluster was founded. It never goes back, and stands still while no node runs. */
 int64_t replication_clock_ms(const Replication *replication);
-/* The median of the voters' wall clocks, advanced by this node's own clock; ms since 1970. */
+/* The median of the voters' wall clocks, advanced by this node's own clock, in ms since 1970. */
 int64_t replication_wall_ms(const Replication *replication);
 
 /* --- cluster and voters ---------------------------------------------------------------- */
 
-bool replication_founded(const Replication *replication);     /* the disk belongs to a cluster */
-uint64_t replication_cluster(const Replication *replication); /* its id; 0: none */
-bool replication_is_voter(const Replication *replication);    /* this node is a voter, by its own log */
-uint64_t replication_disk(const Replication *replication);    /* the id of the own disk */
-/* The disks of the voters, in the order of their places (state.h); returns their count. */
+bool replication_founded(const Replication *replication);     /* whether the disk belongs to a cluster */
+uint64_t replication_cluster(const Replication *replication); /* the id of that cluster; 0: none */
+bool replication_is_voter(const Replication *replication); /* whether this node is a voter according to its own log */
+uint64_t replication_disk(const Replication *replication); /* the id of this node's disk */
+/* Writes the disks of the voters in the order of their places (state.h). Returns their number. */
 size_t replication_voters(const Replication *replication, uint64_t voters[VOTER_MOST]);
-/* Waits for the disk. Makes this disk part of a cluster that is being founded. STRANGER: it belongs to
- * another. */
+/* Blocks on disk I/O. Makes this disk part of a cluster that is being founded. STRANGER: the disk belongs to another
+ * cluster. */
 Status replication_found(Replication *replication, uint64_t cluster, const VoterList *voters);
-/* Spawns the task that founds a cluster, in the way the settings say; none where this node may not found one. */
+/* Spawns the task that founds a cluster as the settings specify; none if this node may not found one. */
 void replication_found_start(Replication *replication);
 
 /* --- status --------------------------------------------------------------------------- */
 
-/* One voter. For other voters than this node only the leader knows more than the disk. */
+/* One voter. Of other voters than itself, a node that does not lead knows only the disk. */
 typedef struct ReplicationVoterStatus {
     uint64_t disk;
     bool in_view;
-    bool answers; /* within the last LOCK_GRANT_MS */
+    bool answers; /* it answered within the last LOCK_GRANT_MS */
     bool restarted;
-    bool refuses;    /* its disk refuses writes; known to the leader alone */
-    int64_t sync_ms; /* how long its last sync took */
-    uint64_t match_index;
-    uint64_t reach; /* how many members it reaches (members_reach) */
+    bool refuses;         /* its disk refuses writes; known to the leader only */
+    int64_t sync_ms;      /* duration of its last sync, in ms */
+    uint64_t match_index; /* its log is synced up to this index */
+    uint64_t reach;       /* number of members that it reaches (members_reach) */
 } ReplicationVoterStatus;
 
-/* A learner; known to the leader alone. */
+/* One learner; known to the leader only. */
 typedef struct ReplicationLearnerStatus {
     uint64_t disk;
     bool answers;
-    bool ready;   /* it can be given a vote at once */
+    bool ready;   /* it can be made a voter immediately */
     bool refuses; /* its disk refuses writes */
     uint64_t match_index;
 } ReplicationLearnerStatus;
 
+/* The status of the replicated log on this node, for status pages and log lines. */
 typedef struct ReplicationStatus {
     ReplicationPhase phase;
-    uint64_t term;   /* as of replication_place */
-    uint64_t holder; /* the disk that this voter has promised the term to */
+    uint64_t term;   /* as in replication_place */
+    uint64_t holder; /* the disk to which this voter has promised the term */
     bool restarted;
-    uint64_t last_index, commit_index, delivered_index, base_index; /* base_index: of the snapshot */
-    int64_t lease_left_ms;                                          /* of this node's lease as leader */
-    uint64_t view_changes;
-    size_t voter_count; /* rows of voters: one for each voter */
+    uint64_t last_index, commit_index, delivered_index, base_index; /* base_index: that of the snapshot */
+    int64_t lease_left_ms; /* remaining time of this node's lease as leader, in ms */
+    uint64_t view_changes; /* since the start of the process */
+    size_t voter_count;    /* number of rows in voters */
     ReplicationVoterStatus voters[VOTER_MOST];
-    size_t learner_count;
+    size_t learner_count; /* number of rows in learners */
     ReplicationLearnerStatus learners[LEARNER_MOST];
-    int losses_borne; /* how many more voters may be lost; negative: how many are missing for a majority */
+    int losses_borne; /* number of further voters that may be lost; negative: number missing for a majority */
     int losses_asked; /* ReplicationSettings.losses */
     JournalCounts journal;
-    uint64_t other_histories; /* refused requests to drop committed entries */
+    uint64_t other_histories; /* number of refused requests to drop committed entries */
 } ReplicationStatus;
 
-/* Whether a change that makes the state larger by so many bytes fits; asked by the leader before it submits one. OK;
- * STATE_FULL: from STATE_FULL_BYTES on, since a state larger than SNAPSHOT_MAX_BYTES is never made a snapshot, so that
- * the journal would grow without end. May measure the state, at most each STATE_SHRINK_MS. */
+/* Whether a change that enlarges the state by so many bytes may be submitted; the leader checks this first. OK, or
+ * STATE_FULL if the state would exceed STATE_FULL_BYTES. No snapshot is made of a state larger than SNAPSHOT_MAX_BYTES,
+ * so the journal would grow without bound. May measure the state, at most once in STATE_SHRINK_MS. */
 Status replication_admit(Replication *replication, size_t bytes);
+/* Fills in *status. */
 void replication_status(const Replication *replication, ReplicationStatus *status);
-/* The place that log lines carry (base/recorder.h): the term that this node is in, and up to which index it knows the
- * log to be committed. May be called at any time, also before the disk is open. */
+/* The log position that log lines carry (base/recorder.h): the term that this node is in and its commit index. May be
+ * called at any time, also before the disk is open. */
 void replication_place(const Replication *replication, uint64_t *term, uint64_t *commit_index);
-/* Raised after each delivery and each change of phase; owned by the Replication. */
+/* The signal that is raised after each delivery and each change of phase; owned by the Replication. */
 Signal *replication_changed_signal(Replication *replication);
 
 #endif
--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -1,5 +1,5 @@
-/* Append at a voter or learner (Raft: AppendEntries at a follower): the leader's entries go into the
- * own log, in memory and on the disk. */
+/* Append at a voter or learner (Raft: AppendEntries at a follower): adds the leader's entries to the log, in memory and
+ * on disk. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -13,7 +13,7 @@
 #include "voter.h"
 #include "voter_list.h"
 
-Status history_refuse(Replication *replication, uint64_t index)
+Status history_conflict_refuse(Replication *replication, uint64_t index)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     replication->other_histories++;
@@ -26,7 +26,7 @@
     return STATUS_OTHER_HISTORY;
 }
 
-/* Drops entries after index; a state machine that has taken some of them is loaded anew. */
+/* Drops the entries after index. If some of them were delivered, the state machine is reloaded from the snapshot. */
 static void trim(Replication *replication, uint64_t index)
 {
     INVARIANT(LOG_ORDER, index >= replication->log->base_index);
@@ -40,7 +40,7 @@
     log_event(replication->settings.recorder, LOG_LOG_TRIMMED, loop_now_ms(replication->loop),
               &(LogFields){.text = text});
     replication->delivered_index = replication->log->base_index;
-    /* this process saved or loaded that snapshot, so it can be loaded again; a state that is not whole answers nothing
+    /* this process saved or loaded that snapshot, so loading it again must succeed; an incomplete state cannot be used
      */
     const Status loaded = replication->log->snapshot.kind == RECORD_SNAPSHOT
                               ? replication_load(replication, &replication->log->snapshot)
@@ -49,23 +49,23 @@
     replication_deliver(replication);
 }
 
-/* What an append has done to the log so far. */
+/* The effect of an append on the log so far. */
 typedef struct AppendEffect {
-    uint64_t trimmed_to; /* entries after this index were dropped; UINT64_MAX: none were */
+    uint64_t trimmed_to; /* the entries after this index were dropped; UINT64_MAX: none were */
     bool reread;         /* the list of voters or the view may have changed */
 } AppendEffect;
 
-/* Adds one entry of the leader to the log in memory, unless it is there. */
-static Status entry_take(Replication *replication, const Record *entry, AppendEffect *effect)
+/* Adds one entry of the leader to the log in memory, unless the log has it already. */
+static Status entry_accept(Replication *replication, const Record *entry, AppendEffect *effect)
 {
     Log *log = replication->log;
     uint64_t term;
-    if (entry->index <= log->base_index) /* a snapshot of another history has a lower term */
+    if (entry->index <= log->base_index) /* a snapshot of a divergent history has a lower term */
         return entry->term > log->base_term ? STATUS_LOG_GAP : STATUS_OK;
     if (log_term_at(log, entry->index, &term) && term == entry->term)
         return STATUS_OK;
     if (entry->index <= replication->commit_index && replication->settings.disks_keep)
-        return history_refuse(replication, entry->index);
+        return history_conflict_refuse(replication, entry->index);
     if (entry->index <= log_last_index(log)) {
         trim(replication, entry->index - 1);
         if (entry->index - 1 < effect->trimmed_to)
@@ -79,26 +79,26 @@
 }
 
 /* Adds the leader's entries to the log in memory. */
-static Status entries_take(Replication *replication, const AppendAsk *ask, AppendEffect *effect)
+static Status entries_accept(Replication *replication, const AppendAsk *ask, AppendEffect *effect)
 {
     const Log *log = replication->log;
     uint64_t term;
-    /* what the own snapshot covers is committed, and so the same at the leader */
+    /* entries covered by the local snapshot are committed, so they are the same at the leader */
     if (ask->prev_index > log->base_index && (!log_term_at(log, ask->prev_index, &term) || term != ask->prev_term))
         return STATUS_LOG_GAP;
     Status status = STATUS_OK;
     for (size_t i = 0; i < ask->entries_count && status == STATUS_OK; i++) {
         const Record *entry = &ask->entries[i];
         const bool follows = entry->index == ask->prev_index + 1 + i && entry->kind == RECORD_ENTRY;
-        status = follows ? entry_take(replication, entry, effect) : STATUS_BAD_FRAME;
+        status = follows ? entry_accept(replication, entry, effect) : STATUS_BAD_FRAME;
     }
     if (effect->reread)
         replication_reread(replication);
     return status;
 }
 
-/* Waits for the disk. Writes these records, and the entries that the journal has not been given yet. With nothing to
- * write it still waits until what the journal was given before is synced. */
+/* Blocks on disk I/O. Writes these records and the entries that have not been passed to the journal yet. If there is
+ * nothing to write, it still blocks until all earlier writes are synced. */
 static Status entries_write(Replication *replication, const Record *first, size_t count)
 {
     void *mem = talloc_new(replication);
@@ -116,17 +116,17 @@
 
 Status voter_append(Replication *replication, const AppendAsk *ask)
 {
-    Record first[2] = {{0}}; /* a promise, a trim */
+    Record first[2] = {{0}}; /* at most a promise and a trim */
     size_t count = 0;
     if (replication->cluster == 0)
-        return STATUS_LOG_GAP; /* an empty disk begins with a snapshot */
+        return STATUS_LOG_GAP; /* an empty disk must first receive a snapshot */
     if (replication_disk_failed(replication))
         return STATUS_DISK_FAILED;
     Status status = leader_accept(replication, ask->term, ask->holder, first, &count);
     if (status != STATUS_OK)
         return status;
     AppendEffect effect = {.trimmed_to = UINT64_MAX};
-    status = entries_take(replication, ask, &effect);
+    status = entries_accept(replication, ask, &effect);
     if (effect.trimmed_to < replication->queued_index) {
         first[count++] = (Record){.kind = RECORD_TRIM, .index = effect.trimmed_to, .name = ""};
         replication->queued_index = effect.trimmed_to;
@@ -138,10 +138,10 @@
         return status;
     if (lock_renew(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop), ask->grant_ms) !=
         STATUS_OK)
-        return STATUS_OLD_TERM; /* another term was promised while the disk was waited for */
+        return STATUS_OLD_TERM; /* another term was promised during the disk write */
     const uint64_t verified = ask->prev_index + ask->entries_count;
     if (verified > replication->verified_index)
         replication->verified_index = verified;
-    commit_follow(replication, ask->commit_index);
+    follower_commit_advance(replication, ask->commit_index);
     return STATUS_OK;
 }
--- a/packages/replication/src/clock.c
+++ b/packages/replication/src/clock.c
@@ -1,5 +1,5 @@
-/* Two clocks. The log's clock never goes back and passes only while the clock of a leader or a
- * follower passes; the wall clock is the median of the voters' wall clocks. */
+/* The log's clock and the wall clock. The log's clock is monotonic and advances only while a leader or follower runs;
+ * the wall clock is the median of the voters' wall clocks. */
 #include "clock.h"
 #include "state.h"
 
@@ -31,9 +31,10 @@
                                    : loop_wall_ms(replication->loop);
 }
 
-/* Sets the median of the voters' wall clocks as an offset to the own clock; of an even number the lower middle one, so
- * that nothing comes before it is due. While some voters are silent the last median is kept. */
-void wall_take(Replication *replication)
+/* Stores the median of the voters' wall clocks as an offset to this loop's clock. Of an even number of clocks, the
+ * lower of the two middle ones is used, so that timers never fire early. While some voters are silent, the previous
+ * median is kept. */
+void wall_clock_update(Replication *replication)
 {
     int64_t offsets[VOTER_MOST];
     int count = 0;
--- a/packages/replication/src/clock.h
+++ b/packages/replication/src/clock.h
@@ -3,14 +3,15 @@
 
 #include "replication/replication.h"
 
-/* The log's clock and the wall clock of the voters. Nothing here waits. */
+/* The log's clock, and the median of the voters' wall clocks. No function here blocks. */
 
-/* An entry or snapshot of the log was made at clock_ms of the log's clock. */
+/* Tells the log's clock that an entry or snapshot of the log is stamped with clock_ms: the clock must not be below it.
+ */
 void replication_clock_notify(Replication *replication, int64_t clock_ms);
-/* The leader's clock shows clock_ms now: the own one is set to it, also backwards (but not below the log's times), or
- * what is due would be due early once this node leads. */
+/* Sets the log's clock to clock_ms, the present reading at the leader. The clock may go backwards, though not below the
+ * time stamps in the log: a clock that ran ahead would make timers fire too early once this node leads. */
 void replication_clock_set(Replication *replication, int64_t clock_ms);
-/* The leader takes the median of the wall clocks that the voters have sent. */
-void wall_take(Replication *replication);
+/* At the leader: recomputes the median of the wall clocks that the voters have reported. */
+void wall_clock_update(Replication *replication);
 
 #endif
--- a/packages/replication/src/commit.c
+++ b/packages/replication/src/commit.c
@@ -1,10 +1,11 @@
-/* Commit and delivery: up to which index the log is committed, and handing committed entries to the state machine. */
+/* Commit and delivery: determines up to which index the log is committed, and delivers committed entries to the state
+ * machine. */
 #include "base/invariant.h"
 #include "commit.h"
 #include "snapshot.h"
 #include "state.h"
 
-/* Up to which index a majority of the voters has synced the log. */
+/* The index up to which a majority of the voters has synced the log. */
 static uint64_t majority_index(const Replication *replication)
 {
     uint64_t matches[VOTER_MOST];
@@ -22,14 +23,14 @@
     return count > 0 ? matches[lock_majority(count) - 1] : 0;
 }
 
-void lead_commit(Replication *replication)
+void leader_commit_advance(Replication *replication)
 {
     uint64_t least = replication->synced_index;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->in_view[i] && replication->voters[i] != replication->disk &&
             replication->peers[i].match_index < least)
             least = replication->peers[i].match_index;
-    /* the view may be less than a majority for a moment, when a voter was just added */
+    /* the view may briefly be smaller than a majority, after a voter was added */
     const uint64_t majority = majority_index(replication);
     if (majority < least)
         least = majority;
@@ -41,7 +42,7 @@
     signal_raise(replication->loop, &replication->changed);
 }
 
-void commit_follow(Replication *replication, uint64_t leader_commit)
+void follower_commit_advance(Replication *replication, uint64_t leader_commit)
 {
     const uint64_t commit = leader_commit < replication->verified_index ? leader_commit : replication->verified_index;
     if (commit > replication->commit_index)
@@ -49,16 +50,16 @@
     replication_deliver(replication);
 }
 
-/* Whether the disk is in the last view. */
-static bool last_has(const Replication *replication, uint64_t disk)
+/* Whether the disk is in the newest view in the log. */
+static bool last_view_has(const Replication *replication, uint64_t disk)
 {
-    for (size_t i = 0; i < replication->last.members_count; i++)
-        if (replication->last.members[i].disk == disk)
+    for (size_t i = 0; i < replication->last_view.members_count; i++)
+        if (replication->last_view.members[i].disk == disk)
             return true;
     return false;
 }
 
-/* Ends the submissions that wait for this entry, or for another one at its index. */
+/* Completes the submissions that await this entry, or another entry at its index. */
 static void waiters_notify(Replication *replication, const Record *entry, const ChangeResult *result)
 {
     for (Waiter **at = &replication->waiters; *at != NULL;) {
@@ -69,7 +70,7 @@
         }
         *at = waiter->next;
         waiter->done = true;
-        /* another entry was committed at this index: the submitted one is lost for good */
+        /* if another entry was committed at this index, the submitted one is permanently lost */
         waiter->status = waiter->term == entry->term ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
         waiter->result = *result;
         signal_raise(replication->loop, &waiter->ended);
@@ -89,7 +90,7 @@
         if (entry->change >= REPLICATION_CHANGE_FIRST)
             replication->settings.state.deliver(replication->settings.state.arg, entry, &result);
         else if (entry->change == REPLICATION_CHANGE_TERM && entry->term == replication->lock.promised &&
-                 last_has(replication, replication->disk))
+                 last_view_has(replication, replication->disk))
             replication->restarted = false; /* this node has been in a view since it restarted */
         replication->delivered_index = entry->index;
         any = true;
--- a/packages/replication/src/commit.h
+++ b/packages/replication/src/commit.h
@@ -3,19 +3,18 @@
 
 #include "replication/replication.h"
 
-/* Commit index and delivery. Nothing here waits. */
+/* The commit index, and delivery to the state machine. No function here blocks. */
 
-/* The leader commits what every voter in the view, and a majority of all voters, has synced. An
- * entry of an earlier term is committed only together with the first of this term (Raft,
- * figure 8). */
-void lead_commit(Replication *replication);
-/* At a follower, when the leader of the promised term has sent its commit index: commits as far as the own log is
- * known to equal the leader's, and delivers. */
-void commit_follow(Replication *replication, uint64_t leader_commit);
-/* Delivers to the state machine what is committed and not delivered yet, ends the submissions that wait for it, and
- * makes a snapshot where one is due. */
+/* At the leader: advances the commit index to what every voter in the view and a majority of all voters have synced. An
+ * entry of an earlier term is committed only together with the first entry of this term (Raft, figure 8). */
+void leader_commit_advance(Replication *replication);
+/* At a follower: takes over the commit index of the leader of the promised term, as far as the local log is known to
+ * match the leader's log, and delivers. */
+void follower_commit_advance(Replication *replication, uint64_t leader_commit);
+/* Delivers all committed entries that have not been delivered yet, completes the submissions that await them, and makes
+ * a snapshot if one is due. */
 void replication_deliver(Replication *replication);
-/* Ends all waiting submissions with this status. */
+/* Completes all waiting submissions with this status. */
 void replication_waiters_end(Replication *replication, Status status);
 
 #endif
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -1,4 +1,4 @@
-/* Rewriting the whole journal while the process runs: after a snapshot was made, and after a failure of the disk. */
+/* Rewrites of the whole journal at run time: after a snapshot was made, and after a disk failure. */
 #include <talloc.h>
 
 #include "disk.h"
@@ -24,9 +24,9 @@
     return records;
 }
 
-/* Waits for the disk. Rewrites the whole journal, with all entries, also those that it had not been given before: they
- * count as queued from here on, so that dropping them is written, too. */
-static Status journal_anew(Replication *replication)
+/* Blocks on disk I/O. Rewrites the whole journal with all entries, including those that had not been passed to it
+ * before. These count as queued from now on, so that a later drop of them is written too. */
+static Status journal_rewrite_all(Replication *replication)
 {
     void *mem = talloc_new(replication);
     size_t count;
@@ -40,7 +40,7 @@
 static void compact_main(void *arg)
 {
     Replication *replication = arg;
-    (void)journal_anew(replication); /* a failure shows in journal_failed, and disk_tend_main tries again */
+    (void)journal_rewrite_all(replication); /* a failure shows in journal_failed, and disk_retry_main retries */
     replication->compacting = false;
 }
 
@@ -58,29 +58,29 @@
     log_event(replication->settings.recorder, LOG_DISK_FAILED, loop_now_ms(replication->loop), &(LogFields){0});
 }
 
-/* Waits for the disk. After a failed write the whole journal is rewritten, again and again until that succeeds. Until
- * then this node accepts nothing, so that memory and disk do not differ. */
+/* Blocks on disk I/O. One attempt to rewrite the whole journal after a failed write. Until an attempt succeeds, this
+ * node accepts nothing, so that memory and disk cannot diverge. */
 static void disk_recover(Replication *replication)
 {
     disk_failed_log(replication);
     replication->recovering = true;
-    log_shorten(replication); /* a disk that is full may take what is left */
-    if (journal_anew(replication) == STATUS_OK) {
+    log_compact(replication); /* a full disk may be able to hold the compacted log */
+    if (journal_rewrite_all(replication) == STATUS_OK) {
         replication->disk_failure_logged = false;
         log_event(replication->settings.recorder, LOG_DISK_RECOVERED, loop_now_ms(replication->loop), &(LogFields){0});
     }
     replication->recovering = false;
 }
 
-/* Tends a disk that has failed. While it goes on failing, or fails again soon after it has recovered, as a nearly full
- * one does, it is tried after growing spans: each try costs a rewrite. */
-static void disk_tend_main(void *arg)
+/* The task that retries a failed disk. While the disk keeps failing, or fails again soon after it has recovered, as a
+ * nearly full disk does, the interval between attempts grows: each attempt costs a rewrite. */
+static void disk_retry_main(void *arg)
 {
     Replication *replication = arg;
     int64_t rest_ms = DISK_RETRY_MS, tried_ms = INT64_MIN;
     while (!loop_stopping(replication->loop)) {
         loop_sleep(replication->loop, DISK_RETRY_MS);
-        if (replication->list_went_back || replication->compacting || replication->has_lease ||
+        if (replication->list_reverted || replication->compacting || replication->has_lease ||
             !journal_failed(replication->journal))
             continue;
         const bool again = tried_ms != INT64_MIN && loop_now_ms(replication->loop) - tried_ms < DISK_WELL_MS;
@@ -94,10 +94,10 @@
 
 void disk_start(Replication *replication)
 {
-    loop_spawn(replication->loop, "disk", disk_tend_main, replication);
+    loop_spawn(replication->loop, "disk", disk_retry_main, replication);
 }
 
 bool replication_disk_failed(const Replication *replication)
 {
-    return replication->recovering || replication->list_went_back || journal_failed(replication->journal);
+    return replication->recovering || replication->list_reverted || journal_failed(replication->journal);
 }
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -1,5 +1,5 @@
-/* Election: the pre-vote, whether this node may stand, and the promises (Raft: votes; Paxos: prepare) of a majority for
- * a higher term. */
+/* The first half of an election: the pre-vote, which decides whether this node may stand, and the promises (Raft:
+ * votes; Paxos: prepare) of a majority for a higher term. */
 #include "base/term.h"
 #include "election.h"
 #include "leading.h"
@@ -7,16 +7,16 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* --- the pre-vote: may this node stand? --------------------------------------------- */
+/* --- the pre-vote --------------------------------------------- */
 
-/* Whether the log of a is more up to date than that of b (Raft 5.4.1). */
-static bool log_ahead(const VoterAnswer *a, const VoterAnswer *b)
+/* Whether log a is more up to date than log b (Raft 5.4.1). */
+static bool log_more_up_to_date(const VoterAnswer *a, const VoterAnswer *b)
 {
     return a->log_term > b->log_term || (a->log_term == b->log_term && a->log_index > b->log_index);
 }
 
-/* Whether the disk is in the last view that the voter has recorded. */
-static bool among(const VoterAnswer *answer, uint64_t disk)
+/* Whether the disk is in the last view that the voter's log records. */
+static bool last_view_includes(const VoterAnswer *answer, uint64_t disk)
 {
     for (size_t i = 0; i < answer->configuration_members_count; i++)
         if (answer->configuration_members[i].disk == disk)
@@ -24,7 +24,8 @@
     return false;
 }
 
-/* The answer with the last view; null: nobody has answered. any_restarted: one of those that answered has restarted. */
+/* Returns the answer with the newest view; NULL: no voter has answered. any_restarted (out): one of the voters that
+ * answered has restarted. */
 static const VoterAnswer *last_view_of(const Poll *poll, bool *any_restarted)
 {
     const VoterAnswer *newest = NULL;
@@ -34,19 +35,18 @@
         if (!poll_reached(poll->status[i]))
             continue;
         *any_restarted |= answer->restarted;
-        /* of one term, the longer log has the later change of view */
+        /* within one term, the longer log has the later view change */
         if (newest == NULL || answer->configuration_term > newest->configuration_term ||
-            (answer->configuration_term == newest->configuration_term && log_ahead(answer, newest)))
+            (answer->configuration_term == newest->configuration_term && log_more_up_to_date(answer, newest)))
             newest = answer;
     }
     return newest;
 }
 
-/* Whether the voters that answered may form a view. If none of them has restarted, any majority will do. Where disks
- * may lose what they synced, restarted voters may have lost what they acknowledged: then every member of the last
- * recorded view has to answer, or has been waited for for RESTARTED_WAIT_MS. repair: committed changes may have been
- * lost. */
-static bool view_may_rest_on(Replication *replication, const Poll *poll, bool *repair)
+/* Whether the voters that answered may form a view. If none of them has restarted, any majority may. If disks may lose
+ * synced data, restarted voters may have lost what they acknowledged: then every member of the last recorded view must
+ * have answered, or RESTARTED_WAIT_MS must have passed. repair (out): committed changes may have been lost. */
+static bool view_allowed(Replication *replication, const Poll *poll, bool *repair)
 {
     bool any_restarted;
     const VoterAnswer *newest = last_view_of(poll, &any_restarted);
@@ -55,7 +55,7 @@
         return true;
     bool heard_all = true;
     for (int i = 0; i < VOTER_MOST; i++)
-        if (among(newest, replication->voters[i]) && !poll_reached(poll->status[i]))
+        if (last_view_includes(newest, replication->voters[i]) && !poll_reached(poll->status[i]))
             heard_all = false;
     if (heard_all) {
         replication->restarted_since_ms = 0;
@@ -67,27 +67,27 @@
     return now_ms - replication->restarted_since_ms >= RESTARTED_WAIT_MS;
 }
 
-/* What the voters said of themselves in the pre-vote. */
+/* Summary of the voters' answers in the pre-vote. */
 typedef struct Prevote {
-    size_t count; /* those that answered */
-    size_t free;  /* those of them that have granted no other node a lease that runs */
-    bool removed; /* this node is no voter any more */
-    bool ahead;   /* another has been promised a higher term and a lease */
+    size_t count;    /* number of voters that answered */
+    size_t unleased; /* those of them that have granted no valid lease to another node */
+    bool removed;    /* this node is not a voter any more */
+    bool ahead;      /* another node has been promised a higher term and granted a lease */
 } Prevote;
 
-/* Counts the answers, and finds the highest term that anybody has heard of. */
+/* Counts the answers, and determines the highest term that any voter or member knows. */
 static Prevote prevote_count(Election *election, const Poll *poll)
 {
     const Replication *replication = election->replication;
     Prevote prevote = {0};
-    /* voters whose disks lost what they synced have lost promises; the members that followed a leader still know its
+    /* voters whose disks lost synced data have lost promises; the members that followed a leader still know its
      * term */
     election->highest = replication->lock.promised;
     if (members_leader_term(replication->settings.members) > election->highest)
         election->highest = members_leader_term(replication->settings.members);
-    /* a learner follows only a term as high as its promise */
-    if (replication->promised_most > election->highest)
-        election->highest = replication->promised_most;
+    /* a learner follows only a term at least as high as the one it has promised */
+    if (replication->promised_highest > election->highest)
+        election->highest = replication->promised_highest;
     for (int i = 0; i < VOTER_MOST; i++)
         if (poll_reached(poll->status[i])) {
             prevote.count++;
@@ -95,7 +95,7 @@
             if (poll->answers[i].promised > election->highest)
                 election->highest = poll->answers[i].promised;
             const bool other = poll->answers[i].held && poll->answers[i].holder != replication->disk;
-            prevote.free += !other;
+            prevote.unleased += !other;
             prevote.ahead |= other && poll->answers[i].promised > replication->lock.promised;
         }
     return prevote;
@@ -106,21 +106,21 @@
     Replication *replication = election->replication;
     Poll *poll = poll_voters(replication, 0, election->skip);
     const Prevote prevote = prevote_count(election, poll);
-    const bool rest = view_may_rest_on(replication, poll, &election->repair);
-    poll_leave(poll);
-    if (lead_over(replication, election->generation))
+    const bool rest = view_allowed(replication, poll, &election->repair);
+    poll_unref(poll);
+    if (leadership_over(replication, election->generation))
         return STATUS_NOT_LEADER;
-    if (prevote.removed) { /* another disk has become a voter in its place; the leader will send the list */
-        lead_down(replication, VOTER_LOST_REST_MS);
+    if (prevote.removed) { /* another disk has replaced this one as a voter; the leader will send the list */
+        leader_step_down(replication, VOTER_LOST_REST_MS);
         return STATUS_NO_VOTER;
     }
-    /* no other node has the lease where a majority has granted it to none; but a candidate that already has a promise
-     * of a higher term goes first */
+    /* no other node has the lease if a majority has not granted it to another; but a candidate that already has a
+     * promise of a higher term takes precedence */
     const bool held = election->new_holder && prevote.count >= replication_majority(replication) &&
-                      (prevote.free < replication_majority(replication) || prevote.ahead);
+                      (prevote.unleased < replication_majority(replication) || prevote.ahead);
     if (prevote.count >= replication_majority(replication) && rest && !held)
         return STATUS_OK;
-    lead_down(replication, 0);
+    leader_step_down(replication, 0);
     return held ? STATUS_OTHER_HOLDER : rest ? STATUS_UNREACHABLE : STATUS_RESTARTED;
 }
 
@@ -134,9 +134,9 @@
     return count;
 }
 
-/* Leaves voters far behind the best log out of the first view; they join once they have caught up. The view stays a
- * majority with this node in it. */
-static void laggards_drop(const Replication *replication, const Poll *poll, int best, bool in_view[VOTER_MOST])
+/* Removes voters far behind the best log from the first view; they join once they have caught up. The view remains a
+ * majority that includes this node. */
+static void lagging_voters_drop(const Replication *replication, const Poll *poll, int best, bool in_view[VOTER_MOST])
 {
     const VoterAnswer *most = &poll->answers[best];
     size_t count = promised_count(replication, in_view);
@@ -150,8 +150,8 @@
     }
 }
 
-/* Records who has promised, and which of them has the best log: this node, if its log is as good as any. */
-static void promises_count(Election *election, const Poll *poll)
+/* Records which voters have promised, and which of them has the best log; on a tie, this node is chosen. */
+static void promises_collect(Election *election, const Poll *poll)
 {
     Replication *replication = election->replication;
     for (int i = 0; i < VOTER_MOST; i++) {
@@ -160,37 +160,39 @@
         election->in_view[i] = true;
         const VoterAnswer *a = &poll->answers[i];
         const VoterAnswer *b = election->best >= 0 ? &poll->answers[election->best] : NULL;
-        if (b == NULL || log_ahead(a, b) || (!log_ahead(b, a) && replication->voters[i] == replication->disk))
+        if (b == NULL || log_more_up_to_date(a, b) ||
+            (!log_more_up_to_date(b, a) && replication->voters[i] == replication->disk))
             election->best = i;
-        lock_lease_answered(&replication->lease, i, poll->sent_ms[i], LOCK_GRANT_MS);
+        lock_lease_granted(&replication->lease, i, poll->sent_ms[i], LOCK_GRANT_MS);
     }
 }
 
-/* Sets what is known of the peers at the beginning of the term. */
-static void peers_begin(Replication *replication, const Poll *poll)
+/* Initialises the state of the peers at the beginning of the term. */
+static void peers_init(Replication *replication, const Poll *poll)
 {
     for (int i = 0; i < VOTER_MOST; i++) {
         if (poll->status[i] == STATUS_OK || poll_reached(poll->status[i]))
-            lead_answered(replication, i, &poll->answers[i]);
+            peer_answer_record(replication, i, &poll->answers[i]);
         replication->peers[i].match_index = 0;
         replication->peers[i].next_index = poll_reached(poll->status[i]) ? poll->answers[i].log_index + 1 : UINT64_MAX;
         replication->peers[i].append_since_ms = INT64_MAX;
         replication->peers[i].refuses_since_ms = INT64_MAX;
         replication->peers[i].reinstall = false;
         replication->peers[i].renewed_ms = INT64_MIN;
-        replication->peers[i].return_ms = 0;
+        replication->peers[i].rejoin_ms = 0;
     }
 }
 
-/* There are too few promises. The lease that was granted with them is released, so that nobody waits for its end. */
-static void promises_lost(Election *election)
+/* Gives up after too few promises. Releases the lease that was granted with them, so that no node waits until it
+ * expires. */
+static void promises_give_up(Election *election)
 {
     Replication *replication = election->replication;
-    if (lead_over(replication, election->generation))
+    if (leadership_over(replication, election->generation))
         return;
     replication->term = election->term;
-    lead_release(replication, 0);
-    lead_down(replication, 0);
+    leader_release_lease(replication, 0);
+    leader_step_down(replication, 0);
 }
 
 Status election_promises(Election *election)
@@ -198,26 +200,26 @@
     Replication *replication = election->replication;
     election->term = term_next(election->highest, replication->disk);
     Poll *poll = poll_voters(replication, election->term, election->skip);
-    /* a lease that ended before this request was sent did not run on without a gap */
+    /* a lease that ended before this request was sent was not held without interruption */
     const int64_t held_until_ms = lock_lease_until(&replication->lease);
     for (int i = 0; i < VOTER_MOST; i++)
         election->new_holder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= held_until_ms;
     replication->reelecting = !election->new_holder;
     if (election->new_holder)
         lock_lease_clear(&replication->lease);
-    promises_count(election, poll);
+    promises_collect(election, poll);
     const int own = replication_own_voter(replication);
-    const bool lost = lead_over(replication, election->generation) ||
+    const bool lost = leadership_over(replication, election->generation) ||
                       promised_count(replication, election->in_view) < replication_majority(replication) || own < 0 ||
                       !election->in_view[own];
     if (!lost) {
-        laggards_drop(replication, poll, election->best, election->in_view);
-        peers_begin(replication, poll);
+        lagging_voters_drop(replication, poll, election->best, election->in_view);
+        peers_init(replication, poll);
     }
     for (int i = 0; i < VOTER_MOST; i++)
         election->promised[i] = poll->status[i] == STATUS_OK ? poll->disks[i] : 0;
-    poll_leave(poll);
+    poll_unref(poll);
     if (lost)
-        promises_lost(election);
+        promises_give_up(election);
     return lost ? STATUS_OTHER_HOLDER : STATUS_OK;
 }
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -1,5 +1,5 @@
-/* Founding: how empty disks become a new cluster, by the votes of the seeds or by three disks that see
- * each other. */
+/* Founding: empty disks become a new cluster, either by the votes of the seeds or by three disks that see each other.
+ */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -8,10 +8,10 @@
 #include "state.h"
 #include "voter_list.h"
 
-#define FOUND_CHECK_MS 200 /* ms; how often an empty controller checks whether three see each other */
-#define VOTE_CHECK_PART 6  /* an empty controller counts the seeds' votes so often in VOTE_WAIT_MS */
+#define FOUND_CHECK_MS 200 /* interval at which an empty controller checks for three disks, in ms */
+#define VOTE_CHECK_PART 6  /* number of times that the seeds' votes are counted in VOTE_WAIT_MS */
 
-/* Asks an empty controller to become part of the cluster with these voters. */
+/* A request that an empty controller become part of the cluster with these voters. */
 #define FOUND_ASK_FIELDS(X) \
     X(U64, cluster, 0)      \
     X(LST, voters, DiskId)
@@ -28,23 +28,23 @@
     if (replication->cluster != 0)
         return replication->cluster == cluster ? STATUS_OK : STATUS_STRANGER;
     replication->cluster = cluster;
-    voters_founded(replication, voters);
+    voter_list_set_initial(replication, voters);
     replication_reread(replication);
     rpc_set_cluster(replication->settings.rpc, cluster);
     members_set_empty(replication->settings.members, false);
     void *mem = talloc_new(replication);
     size_t count;
     const Record *records = replication_records(replication, mem, &count);
-    const Status status = journal_write(replication->journal, records, 1); /* the cluster's record */
+    const Status status = journal_write(replication->journal, records, 1); /* only the record of the cluster */
     talloc_free(mem);
     return status;
 }
 
-/* Waits for the disk. Founds or joins the cluster with these voters. */
-static Status found_now(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
+/* Blocks on disk I/O. Founds or joins the cluster that has these voters. */
+static Status found_with_disks(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
 {
     void *mem = talloc_new(replication);
-    const Status status = replication_found(replication, cluster, voters_of(replication, mem, disks, count));
+    const Status status = replication_found(replication, cluster, voter_list_new(replication, mem, disks, count));
     talloc_free(mem);
     return status;
 }
@@ -57,16 +57,17 @@
               &(LogFields){.text = name});
 }
 
-/* --- by the seeds' votes --------------------------------------------------------- */
+/* --- founding by the seeds' votes --------------------------------------------------------- */
 
-/* The empty controller that has heard of no lower disk id than its own stands as the founder. With the votes of a
- * majority of the seeds it founds the cluster as its only voter, and then adds the others as its leader. */
+/* The task that founds a cluster by votes. The empty controller that knows of no lower disk id than its own is the
+ * candidate. With the votes of a majority of the seeds it founds the cluster as its only voter, and then adds the other
+ * voters as the leader. */
 static void votes_main(void *arg)
 {
     Replication *replication = arg;
     Members *members = replication->settings.members;
     const int64_t from_ms = loop_now_ms(replication->loop) + VOTE_WAIT_MS;
-    uint64_t proposal = 1; /* its number, see members_votes */
+    uint64_t proposal = 1; /* number of the proposal, see members_votes */
     bool stands = false;
     while (!loop_stopping(replication->loop) && !replication_founded(replication) &&
            rpc_cluster(replication->settings.rpc) == 0) {
@@ -83,17 +84,17 @@
             if (granted < seeds / 2 + 1 || rpc_cluster(replication->settings.rpc) != 0)
                 continue;
             const uint64_t cluster = loop_random(replication->loop) | 1;
-            replication->named_successor = true; /* it need not wait its turn: there is no other voter */
-            if (found_now(replication, cluster, &replication->disk, 1) == STATUS_OK)
+            replication->named_successor = true; /* no election delay is needed: there is no other voter */
+            if (found_with_disks(replication, cluster, &replication->disk, 1) == STATUS_OK)
                 founded_log(replication, cluster);
         }
     }
 }
 
-/* --- by three disks --------------------------------------------------------------- */
+/* --- founding by three disks --------------------------------------------------------------- */
 
-/* The three empty disks in the order of their ids; false when there are not exactly three, or when any
- * member knows a cluster. */
+/* Writes the three empty disks in the order of their ids. Returns false if there are not exactly three, or if any
+ * member knows of a cluster. */
 static bool three_empty(const Replication *replication, uint64_t disks[VOTER_FIRST])
 {
     const MemberTable *table = members_table(replication->settings.members);
@@ -118,7 +119,7 @@
     return count == VOTER_FIRST;
 }
 
-/* Answers the offer to be one of three voters. */
+/* Handles MESSAGE_FOUND: the offer to be one of three voters. */
 static Status on_found(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
@@ -133,12 +134,12 @@
         mine |= voters[i] == replication_disk(replication);
     }
     if (ask->voters_count == VOTER_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
-        status = found_now(replication, ask->cluster, voters, VOTER_FIRST);
+        status = found_with_disks(replication, ask->cluster, voters, VOTER_FIRST);
     ((FoundAnswer *)answer)->cluster = rpc_cluster(replication->settings.rpc);
     return status;
 }
 
-/* Waits. Offers the cluster to the other two. */
+/* Blocks. Offers the cluster to the other two controllers. */
 static void offer(Replication *replication, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
 {
     for (int i = 0; i < VOTER_FIRST; i++) {
@@ -156,7 +157,8 @@
     }
 }
 
-/* Of the three, the disk with the lowest id founds the cluster and offers it to the other two. */
+/* The task that founds a cluster by three disks: the controller with the lowest disk id founds the cluster and offers
+ * it to the other two. */
 static void three_main(void *arg)
 {
     Replication *replication = arg;
@@ -167,7 +169,7 @@
         uint64_t disks[VOTER_MOST];
         const int64_t now_ms = loop_now_ms(replication->loop);
         if (replication_founded(replication)) {
-            /* until there is a first leader, the others may not have heard the offer */
+            /* until there is a first leader, the others may not have received the offer */
             if (replication_voters(replication, disks) != VOTER_FIRST ||
                 members_leader_id(replication->settings.members)[0] != '\0')
                 return;
@@ -187,7 +189,7 @@
         if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != replication_disk(replication))
             continue;
         const uint64_t cluster = loop_random(replication->loop) | 1;
-        if (found_now(replication, cluster, disks, VOTER_FIRST) == STATUS_OK) {
+        if (found_with_disks(replication, cluster, disks, VOTER_FIRST) == STATUS_OK) {
             founded_log(replication, cluster);
             offer(replication, disks, cluster);
         }
--- a/packages/replication/src/inside.h
+++ b/packages/replication/src/inside.h
@@ -1,8 +1,8 @@
 #ifndef REPLICATION_SRC_INSIDE_H
 #define REPLICATION_SRC_INSIDE_H
 
-/* The private headers that tests need to compare a log in memory with the one on disk. No source of the product
- * includes this. */
+/* The private headers that tests need to compare the log in memory with the one on disk. The product does not include
+ * this file. */
 #include "disk.h"
 #include "snapshot.h"
 #include "state.h"
--- a/packages/replication/src/install_snapshot.c
+++ b/packages/replication/src/install_snapshot.c
@@ -1,5 +1,5 @@
-/* Installing a snapshot at a voter or learner (Raft: InstallSnapshot at a follower), whole or in
- * pieces, in the place of its log. */
+/* Installs a snapshot at a voter or learner (Raft: InstallSnapshot at a follower), whole or in pieces, replacing its
+ * log. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -10,7 +10,7 @@
 #include "voter.h"
 #include "voter_list.h"
 
-/* Whether the piece belongs to the snapshot that is arriving. */
+/* Whether the piece belongs to the snapshot that is being received. */
 static bool same_snapshot(const IncomingSnapshot *incoming_snapshot, const InstallSnapshotAsk *ask)
 {
     return incoming_snapshot != NULL && incoming_snapshot->term == ask->snapshot.term &&
@@ -41,7 +41,7 @@
     }
     IncomingSnapshot *incoming_snapshot = replication->incoming_snapshot;
     if (ask->from != incoming_snapshot->bytes.count)
-        return STATUS_LOG_GAP; /* the answer says how much has arrived */
+        return STATUS_LOG_GAP; /* the answer reports how many bytes have been received */
     bytes_add(incoming_snapshot, &incoming_snapshot->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
     if (incoming_snapshot->bytes.count < incoming_snapshot->total)
         return STATUS_BUSY;
@@ -58,10 +58,10 @@
     return replication->incoming_snapshot != NULL ? replication->incoming_snapshot->bytes.count : 0;
 }
 
-/* Whether the log has all that the snapshot covers. Such a log is kept: it may go further, and a
- * majority may count on it. Also when the log was found to be of another history (over): that may
- * have been repaired since, and the message may be late or a duplicate. */
-static bool snapshot_held(const Replication *replication, const Record *snapshot, bool over)
+/* Whether the log has everything that the snapshot covers. Such a log is kept, since it may be longer and a majority
+ * may depend on it. This also applies if the log was found to be divergent (over): it may have been corrected since,
+ * and the message may be late or a duplicate. */
+static bool snapshot_covered(const Replication *replication, const Record *snapshot, bool over)
 {
     uint64_t term;
     if (replication->cluster == 0 || snapshot->index > log_last_index(replication->log) ||
@@ -85,36 +85,36 @@
         return status;
     if (ask->snapshot.kind != RECORD_SNAPSHOT)
         return STATUS_BAD_FRAME;
-    if (snapshot_held(replication, &ask->snapshot, ask->over))
-        return journal_write(replication->journal, &promise, count); /* syncs also what the journal was given before */
+    if (snapshot_covered(replication, &ask->snapshot, ask->over))
+        return journal_write(replication->journal, &promise, count); /* also syncs all earlier writes */
     Record whole;
     status = snapshot_piece_take(replication, ask, &whole);
-    if (status != STATUS_OK) { /* only the promise has changed */
+    if (status != STATUS_OK) { /* only the promise has to be written */
         const Status written = journal_write(replication->journal, &promise, count);
         return written == STATUS_OK ? status : written;
     }
     IncomingSnapshot *incoming_snapshot =
-        replication->incoming_snapshot; /* another may begin to arrive while the disk is waited for */
+        replication->incoming_snapshot; /* another one may begin to arrive during the disk write */
     replication->incoming_snapshot = NULL;
     status = voter_replace(replication, &whole, NULL, 0);
     talloc_free(incoming_snapshot);
     return status == STATUS_OK && ask->term != replication->lock.promised ? STATUS_OLD_TERM : status;
 }
 
-/* Whether the log would get shorter within one history, which must never happen. */
-static bool goes_back(const Replication *replication, const Record *snapshot, size_t entry_count)
+/* Whether the log would get shorter without a change of history, which must never happen. */
+static bool shortens_log(const Replication *replication, const Record *snapshot, size_t entry_count)
 {
     uint64_t term;
     return replication->cluster != 0 && snapshot->index + entry_count < replication->queued_index &&
            log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term;
 }
 
-/* Replaces the whole log in memory. The snapshot has been loaded into the state machine. */
+/* Replaces the whole log in memory. The snapshot must already have been loaded into the state machine. */
 static void log_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count)
 {
     Log *log = replication->log;
     log_trim(log, 0);
-    log->base_index = snapshot->index; /* nothing of the former log is kept */
+    log->base_index = snapshot->index; /* no part of the former log is kept */
     log_rebase(log, snapshot);
     replication->commit_index = replication->delivered_index = replication->verified_index = snapshot->index;
     replication_clock_notify(replication, snapshot->at_ms);
@@ -127,11 +127,11 @@
     replication_reread(replication);
 }
 
-/* An empty disk becomes part of the cluster that its messages come from. */
+/* Makes an empty disk part of the cluster that it receives messages from. */
 static void cluster_join(Replication *replication)
 {
     replication->cluster = rpc_cluster(replication->settings.rpc);
-    voters_founded(replication, replication->list);
+    voter_list_set_initial(replication, replication->list);
     members_set_empty(replication->settings.members, false);
 }
 
@@ -139,8 +139,8 @@
 {
     const uint64_t last_index = entry_count > 0 ? entries[entry_count - 1].index : snapshot->index;
     if (last_index < replication->commit_index && replication->settings.disks_keep)
-        return history_refuse(replication, last_index + 1);
-    if (goes_back(replication, snapshot, entry_count)) {
+        return history_conflict_refuse(replication, last_index + 1);
+    if (shortens_log(replication, snapshot, entry_count)) {
         recorder_write(replication->settings.recorder, RECORDER_FATAL, loop_now_ms(replication->loop),
                        "own log may not go back from %" PRIu64 " to %" PRIu64, replication->queued_index,
                        snapshot->index + entry_count);
--- a/packages/replication/src/leading.h
+++ b/packages/replication/src/leading.h
@@ -3,42 +3,42 @@
 
 #include "replication/replication.h"
 
-/* One lead: from the start of an election to the next one, or to the loss of the lead. */
+/* The leader's tasks for its peers, and giving up the leadership. A leadership generation lasts from the start of an
+ * election of this node to its next election or to the loss of the leadership. */
 
-/* A task of one lead for the peer at a slot.
- * Invariant: disk is not 0; the task is over once another disk has the slot, or the learner's
- * slot has been freed. */
-typedef struct Lead {
+/* The argument of a task for the peer at a slot, in one leadership generation.
+ * Invariant: disk is not 0; the task is over once another disk has the slot, or the learner's slot has been freed. */
+typedef struct PeerTask {
     Replication *replication;
-    uint64_t generation; /* lead_generation at its start */
+    uint64_t generation; /* leadership_generation when the task was spawned */
     int slot;
     uint64_t disk;
-    uint64_t learner_generation; /* 0: a voter's slot */
-} Lead;
+    uint64_t learner_generation; /* Learner.generation when the task was spawned; 0: it is a voter's slot */
+} PeerTask;
 
-/* Spawns a task of the present lead; fn is given a Lead that it copies and frees. */
-void lead_spawn(Replication *replication, const char *name, TaskFn fn, int slot);
-/* Whether the lead of this generation is over, or the process ends. */
-bool lead_over(const Replication *replication, uint64_t generation);
-/* Whether the task is over: its lead is, or its peer has left the slot. */
-bool lead_peer_over(const Lead *lead);
-/* The peer at the slot has answered: takes what it says of itself. */
-void lead_answered(Replication *replication, int slot, const VoterAnswer *answer);
+/* Spawns a task of the present leadership generation; fn gets a PeerTask, which it must copy and free. */
+void peer_task_spawn(Replication *replication, const char *name, TaskFn fn, int slot);
+/* Whether this leadership generation is over, or the process is stopping. */
+bool leadership_over(const Replication *replication, uint64_t generation);
+/* Whether the task must end, because its leadership generation is over or its peer has left the slot. */
+bool peer_task_over(const PeerTask *task);
+/* Records the state that the peer at the slot reports with its answer. */
+void peer_answer_record(Replication *replication, int slot, const VoterAnswer *answer);
 
-/* --- giving up the lead (step_down.c) --- */
+/* --- giving up the leadership (step_down.c) --- */
 
-/* Ends the lead or the election under way, if any; releases the lease; ends all waiting
- * submissions with OUTCOME_UNKNOWN. rest_ms > 0: this node does not stand for so long. */
-void lead_down(Replication *replication, int64_t rest_ms);
-/* Releases at all other voters the lease that they granted in replication->term. Does not wait for
- * their answers. next: the disk that is to take over at once; 0: whoever comes first. */
-void lead_release(Replication *replication, uint64_t next);
-/* Which voters may be the next leader, for lead_next. */
-typedef enum NextVoter {
-    NEXT_ANY,
-    NEXT_QUICK, /* those whose disks have synced quickly lately */
-} NextVoter;
-/* The disk of the voter in the view that should lead next, the one with the longest log; 0: none. */
-uint64_t lead_next(const Replication *replication, NextVoter which);
+/* Ends the leadership or the election under way, if any; releases the lease; completes all waiting submissions with
+ * OUTCOME_UNKNOWN. backoff_ms > 0: this node does not stand for election for so long. */
+void leader_step_down(Replication *replication, int64_t backoff_ms);
+/* Releases the lease of replication->term at all other voters, without awaiting their answers. next: the disk that
+ * shall stand for election immediately; 0: none is preferred. */
+void leader_release_lease(Replication *replication, uint64_t next);
+/* The voters among which successor_choose selects. */
+typedef enum SuccessorKind {
+    SUCCESSOR_ANY,
+    SUCCESSOR_FAST_DISK, /* voters whose disks have synced quickly of late */
+} SuccessorKind;
+/* Returns the disk of the voter in the view that should lead next, which is the one with the longest log; 0: none. */
+uint64_t successor_choose(const Replication *replication, SuccessorKind which);
 
 #endif
--- a/packages/replication/src/learners.c
+++ b/packages/replication/src/learners.c
@@ -1,17 +1,17 @@
-/* Learners: controllers without a vote that follow the log all the time, so that a vote can be given to one of
- * them by one committed change, without a transfer. */
+/* Learners: controllers without a vote that follow the log continuously, so that one of them can be made a voter by one
+ * committed change, without a transfer of state. */
 #include "learners.h"
 #include "lease.h"
 #include "replicate.h"
 #include "state.h"
 #include "voter_list.h"
 
-int64_t replication_back_ms(const Replication *replication)
+int64_t voter_replace_ms(const Replication *replication)
 {
     return replication->settings.voter_back_ms > 0 ? replication->settings.voter_back_ms : VOTER_REPLACE_MS;
 }
 
-/* A controller that is leaving may follow as well: so a former voter learns that it has been removed. */
+/* A controller that is leaving may follow too: this is how a former voter learns that it has been removed. */
 bool learner_may_follow(const Replication *replication, const Member *row)
 {
     return row->record.role == ROLE_CONTROLLER && row->record.disk != 0 &&
@@ -20,7 +20,7 @@
 }
 
 /* Whether the disk has a learner's slot. */
-static bool follows(const Replication *replication, uint64_t disk)
+static bool has_slot(const Replication *replication, uint64_t disk)
 {
     for (size_t i = 0; i < LEARNER_MOST; i++)
         if (replication->learners[i].disk == disk)
@@ -28,7 +28,7 @@
     return false;
 }
 
-void learner_done(Replication *replication, size_t learner)
+void learner_slot_free(Replication *replication, size_t learner)
 {
     Learner *slot = &replication->learners[learner];
     slot->disk = 0;
@@ -39,12 +39,12 @@
 void learners_clear(Replication *replication)
 {
     for (size_t i = 0; i < LEARNER_MOST; i++)
-        learner_done(replication, i);
-    replication->learners_generation = replication->lead_generation;
+        learner_slot_free(replication, i);
+    replication->learners_generation = replication->leadership_generation;
 }
 
-/* Gives the slot to the disk, and spawns the tasks that replicate to it and renew its grants. */
-static void learner_begin(Replication *replication, size_t learner, uint64_t disk)
+/* Assigns the slot to the disk, and spawns the tasks that replicate to it and renew its grants. */
+static void learner_slot_assign(Replication *replication, size_t learner, uint64_t disk)
 {
     Learner *slot = &replication->learners[learner];
     const int place = VOTER_MOST + (int)learner;
@@ -53,8 +53,8 @@
                                        .renewed_ms = INT64_MIN,
                                        .append_since_ms = INT64_MAX,
                                        .refuses_since_ms = INT64_MAX};
-    lead_renew(replication, place);
-    lead_peer(replication, place);
+    renewal_start(replication, place);
+    peer_replication_start(replication, place);
 }
 
 bool learner_ready(const Replication *replication, size_t learner)
@@ -69,11 +69,11 @@
 bool learner_steady(const Replication *replication, size_t learner)
 {
     const int64_t since_ms = replication->learners[learner].ready_since_ms;
-    return since_ms != INT64_MAX && loop_now_ms(replication->loop) - since_ms > replication_back_ms(replication);
+    return since_ms != INT64_MAX && loop_now_ms(replication->loop) - since_ms > voter_replace_ms(replication);
 }
 
-/* Records since when each learner has been ready. */
-static void ready_mark(Replication *replication)
+/* Updates since when each learner has been ready. */
+static void ready_times_update(Replication *replication)
 {
     for (size_t i = 0; i < LEARNER_MOST; i++) {
         Learner *slot = &replication->learners[i];
@@ -84,18 +84,19 @@
     }
 }
 
-/* A slot for the disk; -1: none. When none is free, that of a learner that has not become ready in time. */
-static int slot_for(Replication *replication, uint64_t disk)
+/* Returns a slot for the disk; -1: none. If no slot is free, takes that of a learner that has not become ready in time.
+ */
+static int learner_slot_find(Replication *replication, uint64_t disk)
 {
     for (int i = 0; i < LEARNER_MOST; i++)
         if (replication->learners[i].disk == 0)
             return i;
-    if (disk == replication->learners_passed)
+    if (disk == replication->evicted_learner)
         return -1;
     for (int i = 0; i < LEARNER_MOST; i++) {
         const Learner *slot = &replication->learners[i];
         if (slot->ready_since_ms == INT64_MAX && loop_now_ms(replication->loop) - slot->since_ms > LEARNER_LATE_MS) {
-            replication->learners_passed = slot->disk;
+            replication->evicted_learner = slot->disk;
             return i;
         }
     }
@@ -104,21 +105,21 @@
 
 void learners_follow(Replication *replication)
 {
-    if (replication->learners_generation != replication->lead_generation)
+    if (replication->learners_generation != replication->leadership_generation)
         learners_clear(replication);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
         const Member *row = members_find_disk(replication->settings.members, replication->learners[i].disk);
         if (replication->learners[i].disk != 0 && (row == NULL || !learner_may_follow(replication, row)))
-            learner_done(replication, i);
+            learner_slot_free(replication, i);
     }
-    ready_mark(replication);
+    ready_times_update(replication);
     const MemberTable *table = members_table(replication->settings.members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (!learner_may_follow(replication, row) || follows(replication, row->record.disk))
+        if (!learner_may_follow(replication, row) || has_slot(replication, row->record.disk))
             continue;
-        const int slot = slot_for(replication, row->record.disk);
+        const int slot = learner_slot_find(replication, row->record.disk);
         if (slot >= 0)
-            learner_begin(replication, (size_t)slot, row->record.disk);
+            learner_slot_assign(replication, (size_t)slot, row->record.disk);
     }
 }
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -1,4 +1,4 @@
-/* The leader's lease: what it allows the leader to do, and the task for each peer that renews it. */
+/* The leader's lease: what it allows the leader to do, and the tasks that renew it at each peer. */
 #include <talloc.h>
 
 #include "clock.h"
@@ -10,7 +10,7 @@
 #include "voter_list.h"
 #include "voters.h"
 
-bool replication_may_order(const Replication *replication)
+bool replication_may_append(const Replication *replication)
 {
     return replication->phase == REPLICATION_LEADING &&
            loop_now_ms(replication->loop) < lock_lease_until(&replication->lease);
@@ -26,7 +26,7 @@
 
 bool replication_leading(const Replication *replication)
 {
-    return replication_may_order(replication) && view_wide_enough(replication);
+    return replication_may_append(replication) && view_wide_enough(replication);
 }
 
 bool replication_leased(const Replication *replication)
@@ -39,35 +39,34 @@
 bool replication_knows_holder(const Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    /* a restarted voter may have forgotten what it granted: until that has lapsed it must not
-     * say that it knows no leader */
+    /* a restarted voter may have forgotten a grant: until that has expired it must not claim to know no leader */
     return lock_held(&replication->lock, now_ms) || now_ms < replication->lock.not_before_ms || replication->has_lease;
 }
 
-#define PAUSE_TIMES 2      /* count; a grant outlasts so many pauses of the kind that was seen lately */
-#define PAUSE_FADE_PART 32 /* of a pause that was seen, one part in so many is forgotten each WATCH_MS: half in 2 s */
+#define GRANT_PAUSE_FACTOR 2   /* a grant outlasts so many pauses of the recorded length */
+#define PAUSE_DECAY_DIVISOR 32 /* the recorded pause loses one part in so many every WATCH_MS: half in 2 s */
 #define US_PER_MS 1000
 
 int64_t lease_grant_ms(const Replication *replication)
 {
-    const int64_t grant_ms = LOCK_GRANT_LEAST_MS + PAUSE_TIMES * replication->pause_us / US_PER_MS;
+    const int64_t grant_ms = LOCK_GRANT_LEAST_MS + GRANT_PAUSE_FACTOR * replication->pause_us / US_PER_MS;
     return grant_ms < LOCK_GRANT_MS && !replication->settings.longest_grant ? grant_ms : LOCK_GRANT_MS;
 }
 
-void lease_pause_take(Replication *replication, int64_t pause_ms)
+void lease_pause_record(Replication *replication, int64_t pause_ms)
 {
-    const int64_t most_ms = (LOCK_GRANT_MS - LOCK_GRANT_LEAST_MS) / PAUSE_TIMES;
+    const int64_t most_ms = (LOCK_GRANT_MS - LOCK_GRANT_LEAST_MS) / GRANT_PAUSE_FACTOR;
     const int64_t pause_us = (pause_ms < most_ms ? pause_ms : most_ms) * US_PER_MS;
     if (pause_us > replication->pause_us)
         replication->pause_us = pause_us;
 }
 
-void lease_pause_fade(Replication *replication)
+void lease_pause_decay(Replication *replication)
 {
-    replication->pause_us -= replication->pause_us / PAUSE_FADE_PART;
+    replication->pause_us -= replication->pause_us / PAUSE_DECAY_DIVISOR;
 }
 
-/* The time between two renewals: as many fit in a short grant as in a long one. */
+/* The renewal interval, in ms: a short grant has as many renewals as a long one. */
 static int64_t renew_ms(const Replication *replication)
 {
     return lease_grant_ms(replication) * LOCK_RENEW_MS / LOCK_GRANT_MS;
@@ -79,33 +78,33 @@
     replication->peers[slot].grant_ms = grant_ms;
     if (slot < VOTER_MOST) {
         const int64_t before_ms = lock_lease_until(&replication->lease);
-        lock_lease_answered(&replication->lease, slot, sent_ms, grant_ms);
-        /* how long a majority took, not its slowest voters: a dead one delays no renewal of the lease */
+        lock_lease_granted(&replication->lease, slot, sent_ms, grant_ms);
+        /* the delay of a majority, not of the slowest voters: a failed voter delays no renewal of the lease */
         const int64_t until_ms = lock_lease_until(&replication->lease);
         if (until_ms > before_ms)
-            lease_pause_take(replication, loop_now_ms(replication->loop) + lock_lease_ms(grant_ms) - until_ms);
+            lease_pause_record(replication, loop_now_ms(replication->loop) + lock_lease_ms(grant_ms) - until_ms);
     }
-    contact_granted(replication, slot, contact);
+    contact_answered(replication, slot, contact);
 }
 
-/* Waits. Asks the peer only for an answer (MESSAGE_PROPOSE with term 0). Whether it answered. */
-static bool peer_answers(Replication *replication, const Lead *lead, const char *address)
+/* Blocks. Requests an answer only (MESSAGE_PROPOSE with term 0). Returns whether the peer answered. */
+static bool peer_probe(Replication *replication, const PeerTask *task, const char *address)
 {
     void *mem = talloc_new(replication);
-    const ProposeAsk ask = {0, replication->disk, lead->disk, log_last_term(replication->log),
+    const ProposeAsk ask = {0, replication->disk, task->disk, log_last_term(replication->log),
                             log_last_index(replication->log)};
     VoterAnswer answer = {0};
     const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
                                   ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
     const bool reached = poll_reached(status);
-    if (reached && !lead_peer_over(lead))
-        lead_answered(replication, lead->slot, &answer);
+    if (reached && !peer_task_over(task))
+        peer_answer_record(replication, task->slot, &answer);
     talloc_free(mem);
     return reached;
 }
 
-/* Waits. One renewal: a grant counts from when the request was sent. */
-static Status renew_one(Replication *replication, const Lead *lead, const char *address, int64_t sent_ms)
+/* Blocks. Sends one renewal; the grant counts from when the request was sent. */
+static Status renewal_send(Replication *replication, const PeerTask *task, const char *address, int64_t sent_ms)
 {
     void *mem = talloc_new(replication);
     const RenewAsk ask = {replication->term,
@@ -113,69 +112,69 @@
                           replication->commit_index,
                           replication_clock_ms(replication),
                           members_self(replication->settings.members)->id,
-                          lead->disk,
+                          task->disk,
                           0,
                           lease_grant_ms(replication)};
-    const uint64_t contact = replication->contact_asked;
+    const uint64_t contact = replication->contact_requested;
     VoterAnswer answer = {0};
     const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask,
                                   ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
-    if (!lead_peer_over(lead)) {
+    if (!peer_task_over(task)) {
         if (poll_reached(status))
-            lead_answered(replication, lead->slot, &answer);
+            peer_answer_record(replication, task->slot, &answer);
         if (status == STATUS_OK)
-            lease_granted(replication, lead->slot, sent_ms, ask.grant_ms, contact);
+            lease_granted(replication, task->slot, sent_ms, ask.grant_ms, contact);
     }
     talloc_free(mem);
     return status;
 }
 
-/* A peer that hears the leader while the leader does not hear it must not go on granting the lease: after an
- * unanswered renewal it is first asked only for an answer (doubt). */
+/* The task that renews the lease at one peer. A peer that receives requests from the leader but whose answers do not
+ * arrive must not keep granting the lease: after an unanswered renewal, the peer is first probed (probe_first). */
 static void renew_main(void *arg)
 {
-    const Lead lead = *(Lead *)arg;
-    Replication *replication = lead.replication;
+    const PeerTask task = *(PeerTask *)arg;
+    Replication *replication = task.replication;
     talloc_free(arg);
     int64_t asked_ms = INT64_MIN;
-    bool doubt = false;
-    while (!lead_peer_over(&lead)) {
+    bool probe_first = false;
+    while (!peer_task_over(&task)) {
         const int64_t sent_ms = loop_now_ms(replication->loop);
         char address[ADDRESS_MAX];
-        /* appends renew the lease as well; the clock and the leader's id are sent with renewals only */
-        const int64_t last_ms = replication->peers[lead.slot].renewed_ms;
-        if (lead.disk != replication->disk && last_ms != INT64_MIN && asked_ms != INT64_MIN &&
+        /* appends renew the lease too, but the clock and the leader's id are sent with renewals only */
+        const int64_t last_ms = replication->peers[task.slot].renewed_ms;
+        if (task.disk != replication->disk && last_ms != INT64_MIN && asked_ms != INT64_MIN &&
             sent_ms - last_ms < renew_ms(replication) && sent_ms - asked_ms < LOCK_NOTIFY_MS &&
-            !contact_owed(replication, lead.slot)) {
-            contact_rest(replication, lead.slot, renew_ms(replication) - (sent_ms - last_ms));
+            !contact_pending(replication, task.slot)) {
+            contact_wait(replication, task.slot, renew_ms(replication) - (sent_ms - last_ms));
             continue;
         }
-        if (lead.disk == replication->disk) {
+        if (task.disk == replication->disk) {
             const int64_t grant_ms = lease_grant_ms(replication);
             if (lock_renew(&replication->lock, replication->term, replication->disk, sent_ms, grant_ms) == STATUS_OK)
-                lock_lease_answered(&replication->lease, lead.slot, sent_ms, grant_ms);
-            wall_take(replication);
-        } else if (voter_address(replication, lead.slot, address)) {
+                lock_lease_granted(&replication->lease, task.slot, sent_ms, grant_ms);
+            wall_clock_update(replication);
+        } else if (voter_address(replication, task.slot, address)) {
             Status status = STATUS_EXPIRED;
-            if (doubt) {
-                doubt = !peer_answers(replication, &lead, address);
+            if (probe_first) {
+                probe_first = !peer_probe(replication, &task, address);
             } else {
                 asked_ms = sent_ms;
-                status = renew_one(replication, &lead, address, sent_ms);
-                doubt = !poll_reached(status);
+                status = renewal_send(replication, &task, address, sent_ms);
+                probe_first = !poll_reached(status);
             }
-            if (asked_ms != sent_ms && !doubt)
-                continue; /* it answers again: renew at once */
-            if (status == STATUS_OK && !lead_peer_over(&lead) && contact_owed(replication, lead.slot))
-                continue; /* another contact round was requested meanwhile */
+            if (asked_ms != sent_ms && !probe_first)
+                continue; /* the peer answers again: renew immediately */
+            if (status == STATUS_OK && !peer_task_over(&task) && contact_pending(replication, task.slot))
+                continue; /* another contact round was requested in the meantime */
         }
         const int64_t took_ms = loop_now_ms(replication->loop) - sent_ms;
         const int64_t every_ms = renew_ms(replication);
-        contact_rest(replication, lead.slot, took_ms < every_ms ? every_ms - took_ms : 1);
+        contact_wait(replication, task.slot, took_ms < every_ms ? every_ms - took_ms : 1);
     }
 }
 
-void lead_renew(Replication *replication, int slot)
+void renewal_start(Replication *replication, int slot)
 {
-    lead_spawn(replication, "renew", renew_main, slot);
+    peer_task_spawn(replication, "renew", renew_main, slot);
 }
--- a/packages/replication/src/leave.c
+++ b/packages/replication/src/leave.c
@@ -1,12 +1,13 @@
-/* Graceful shutdown: a learner becomes a voter in place of this node, where there is one. */
+/* Graceful shutdown: a learner, if there is one, becomes a voter in place of this node. */
 #include "leading.h"
 #include "learners.h"
 #include "lease.h"
 #include "state.h"
 #include "voters.h"
 
-/* Whether a controller without a vote runs that could become a voter. Only the leader knows whether it has the log. */
-static bool successor_runs(const Replication *replication)
+/* Whether there is a running controller without a vote that could become a voter. Only the leader knows whether it has
+ * the log. */
+static bool successor_available(const Replication *replication)
 {
     const MemberTable *table = members_table(replication->settings.members);
     bool runs = false;
@@ -15,21 +16,22 @@
     return runs;
 }
 
-/* Waits until a committed list has one voter more than are wanted: the successor of this leader. */
+/* Blocks until a committed list has one voter more than wanted, which is the successor of this leader. */
 static void successor_wait(Replication *replication, int64_t until_ms)
 {
-    while (replication_may_order(replication) && replication_is_voter(replication) && successor_runs(replication) &&
-           loop_now_ms(replication->loop) < until_ms &&
+    while (replication_may_append(replication) && replication_is_voter(replication) &&
+           successor_available(replication) && loop_now_ms(replication->loop) < until_ms &&
            (replication->voter_count <= voters_wanted(replication) ||
             replication->list_index > replication->commit_index)) {
-        signal_raise(replication->loop, &replication->membership);
+        signal_raise(replication->loop, &replication->membership_check);
         loop_sleep(replication->loop, MEMBERSHIP_SOON_MS);
     }
 }
 
-/* A learner may have been given the vote by an entry that is on its way to it. From when the leader knows that it
- * leaves it is given none, so it hears of such an entry within a few renewals of the lease. */
-static void vote_settle(const Replication *replication, int64_t until_ms)
+/* Blocks until a vote that may just have been given to this learner is known here. The entry that makes it a voter may
+ * still be in transit; once the leader knows that the learner is leaving, it gives it no vote, so the learner receives
+ * such an entry within a few renewals of the lease. */
+static void pending_vote_await(const Replication *replication, int64_t until_ms)
 {
     const int64_t settled_ms = loop_now_ms(replication->loop) + VOTE_SETTLE_MS;
     while (replication->cluster != 0 && !replication_is_voter(replication) &&
@@ -39,11 +41,11 @@
 
 void replication_leave(Replication *replication, int64_t until_ms)
 {
-    vote_settle(replication, until_ms);
-    const bool votes = replication_is_voter(replication), given = votes && successor_runs(replication);
+    pending_vote_await(replication, until_ms);
+    const bool votes = replication_is_voter(replication), given = votes && successor_available(replication);
     if (given)
         successor_wait(replication, until_ms);
-    lead_down(replication, INT32_MAX);
+    leader_step_down(replication, INT32_MAX);
     while (given && replication_is_voter(replication) && loop_now_ms(replication->loop) < until_ms)
         loop_sleep(replication->loop, MEMBERSHIP_SOON_MS);
     if (votes && replication_is_voter(replication))
--- a/packages/replication/src/log.c
+++ b/packages/replication/src/log.c
@@ -1,4 +1,4 @@
-/* The log in memory. */
+/* The in-memory log. */
 #include "replication/log.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 
 #include "base/invariant.h"
 
-#define LOG_CAPACITY_FIRST 256 /* count; entries that memory is allocated for at first */
+#define LOG_CAPACITY_FIRST 256 /* number of entries for which memory is allocated first */
 
 Log *log_new(void *mem)
 {
@@ -51,11 +51,11 @@
     log->bytes += entry->payload.count;
 }
 
-Status log_take(Log *log, const Record *entry)
+Status log_recover(Log *log, const Record *entry)
 {
     uint64_t term;
     if (entry->index <= log->base_index)
-        return STATUS_OK; /* the snapshot covers it */
+        return STATUS_OK; /* covered by the snapshot */
     if (entry->index > log_last_index(log) + 1)
         return STATUS_JOURNAL_CORRUPT;
     if (log_term_at(log, entry->index, &term) && term == entry->term)
--- a/packages/replication/src/membership.c
+++ b/packages/replication/src/membership.c
@@ -1,5 +1,5 @@
-/* The choice of the next change of membership: docs/control-membership.md has the rules and why none of
- * them makes the voters bear fewer losses. */
+/* The choice of the next change of membership. docs/control-membership.md has the rules, and explains why none of them
+ * lowers the number of losses that the voters tolerate. */
 #include "replication/membership.h"
 
 #include <string.h>
@@ -16,13 +16,13 @@
     return live;
 }
 
-int membership_losses_borne(const MemberState *voters, size_t count)
+int membership_losses_tolerated(const MemberState *voters, size_t count)
 {
     return (int)live_count(voters, count) - (int)lock_majority(count);
 }
 
-/* How many voters the zone has, without those that are leaving. */
-static size_t beside(const Membership *now, const char *zone)
+/* The number of voters in the zone, not counting those that are leaving. */
+static size_t zone_voter_count(const Membership *now, const char *zone)
 {
     size_t count = 0;
     for (size_t i = 0; i < now->voter_count; i++)
@@ -30,14 +30,14 @@
     return count;
 }
 
-/* Whether the learner can be given a vote at once. */
+/* Whether the learner can be made a voter immediately. */
 static bool may_be_added(const MemberState *learner)
 {
     return learner->ready && !learner->leaving;
 }
 
-/* The learner to add: of the zone with the fewest voters, then of the lowest disk; NONE: none is ready.
- * steady: it must have been ready for long. */
+/* Returns the learner to add: one in the zone with the fewest voters, and among those the one with the lowest disk id;
+ * NONE: none is ready. steady: it must have been ready for long. */
 static size_t best_learner(const Membership *now, bool steady)
 {
     size_t best = NONE, fewest = SIZE_MAX;
@@ -45,7 +45,7 @@
         const MemberState *learner = &now->learners[i];
         if (!may_be_added(learner) || (steady && !learner->steady))
             continue;
-        const size_t count = beside(now, learner->zone);
+        const size_t count = zone_voter_count(now, learner->zone);
         if (best == NONE || count < fewest || (count == fewest && learner->disk < now->learners[best].disk)) {
             best = i;
             fewest = count;
@@ -54,59 +54,60 @@
     return best;
 }
 
-int membership_disks_borne(const MemberState *voters, size_t count)
+int membership_disk_losses_tolerated(const MemberState *voters, size_t count)
 {
-    size_t dead = 0;
+    size_t disks_lost = 0;
     for (size_t i = 0; i < count; i++)
-        dead += voters[i].dead;
-    return (int)(count - dead) - (int)lock_majority(count);
+        disks_lost += voters[i].disk_lost;
+    return (int)(count - disks_lost) - (int)lock_majority(count);
 }
 
-/* The learner added, where a majority of the list after it is alive. */
-static MembershipChange added(const Membership *now, size_t learner)
+/* Returns the change that adds the learner, or KEEP if no majority of the resulting list would be alive. */
+static MembershipChange add_step(const Membership *now, size_t learner)
 {
     const bool fits = learner != NONE && now->voter_count < VOTER_MOST &&
                       live_count(now->voters, now->voter_count) + 1 >= lock_majority(now->voter_count + 1);
     return fits ? (MembershipChange){MEMBERSHIP_ADD, learner} : KEEP;
 }
 
-/* The lost voter to remove: one whose disk is lost before one that is silent; NONE: none is lost. */
-static size_t most_lost(const Membership *now)
+/* Returns the lost voter to remove, with those whose disk is lost preferred to silent ones; NONE: no voter is lost. */
+static size_t lost_voter(const Membership *now)
 {
     size_t found = NONE;
     for (size_t i = 0; i < now->voter_count; i++) {
         const MemberState *voter = &now->voters[i];
-        if (voter->lost && !voter->self && (found == NONE || (voter->dead && !now->voters[found].dead)))
+        if (voter->lost && !voter->self && (found == NONE || (voter->disk_lost && !now->voters[found].disk_lost)))
             found = i;
     }
     return found;
 }
 
-/* A voter whose disk is lost is removed before another is added: the shorter list bears as many losses and needs fewer
- * voters for a majority. One that is silent may return with its disk: while it is in the list, one more disk may be
- * lost for good. So of an odd number its successor is added before it is removed. */
-static MembershipChange lost_replaced(const Membership *now, size_t ready_count)
+/* The replacement of a lost voter. A voter whose disk is lost is removed before another is added: the shorter list
+ * tolerates as many losses and needs fewer voters for a majority. A silent voter may return with its disk: while it is
+ * in the list, one more disk may be lost permanently. From an odd number of voters it is therefore removed only after
+ * its successor was added. */
+static MembershipChange lost_voter_step(const Membership *now, size_t ready_count)
 {
-    const size_t lost = most_lost(now);
+    const size_t lost = lost_voter(now);
     if (lost == NONE || (ready_count == 0 && now->voter_count <= now->wanted))
         return KEEP;
-    if (!now->voters[lost].dead && now->voter_count % 2 != 0 && now->voter_count < VOTER_MOST)
-        return added(now, best_learner(now, false));
+    if (!now->voters[lost].disk_lost && now->voter_count % 2 != 0 && now->voter_count < VOTER_MOST)
+        return add_step(now, best_learner(now, false));
     const bool fits = live_count(now->voters, now->voter_count) >= lock_majority(now->voter_count - 1);
     return fits ? (MembershipChange){MEMBERSHIP_REMOVE, lost} : KEEP;
 }
 
-/* Whether voter a should be removed rather than voter b. */
-static bool goes_before(const Membership *now, const MemberState *a, const MemberState *b)
+/* Whether voter a should be removed in preference to voter b. */
+static bool removed_before(const Membership *now, const MemberState *a, const MemberState *b)
 {
     if (a->leaving != b->leaving)
         return a->leaving;
     if (a->live != b->live)
         return !a->live;
-    return beside(now, a->zone) > beside(now, b->zone);
+    return zone_voter_count(now, a->zone) > zone_voter_count(now, b->zone);
 }
 
-/* Whether the leader itself is leaving: it is removed by the next leader. */
+/* Whether the leader itself is leaving; the next leader will remove it. */
 static bool self_leaves(const Membership *now)
 {
     bool leaves = false;
@@ -115,12 +116,12 @@
     return leaves;
 }
 
-/* There is one voter more than wanted only while one is being replaced: the replaced one is removed. */
-static MembershipChange surplus_removed(const Membership *now)
+/* Removes the replaced voter: there is one voter more than wanted only during a replacement. */
+static MembershipChange surplus_voter_step(const Membership *now)
 {
     size_t worst = NONE;
     for (size_t i = 0; i < now->voter_count; i++)
-        if (!now->voters[i].self && (worst == NONE || goes_before(now, &now->voters[i], &now->voters[worst])))
+        if (!now->voters[i].self && (worst == NONE || removed_before(now, &now->voters[i], &now->voters[worst])))
             worst = i;
     if (worst == NONE || self_leaves(now) || now->voter_count % 2 != 0)
         return KEEP;
@@ -128,31 +129,31 @@
     return live >= lock_majority(now->voter_count - 1) ? (MembershipChange){MEMBERSHIP_REMOVE, worst} : KEEP;
 }
 
-/* A learner is added where there are fewer voters than wanted. An even number bears no more losses than
- * one voter less, so two learners must be ready before an odd number grows. */
-static MembershipChange missing_added(const Membership *now, size_t ready_count)
+/* Adds a learner if there are fewer voters than wanted. An even number of voters tolerates no more losses than one
+ * voter fewer, so two learners must be ready before an odd number grows. */
+static MembershipChange missing_voter_step(const Membership *now, size_t ready_count)
 {
     const size_t needed = now->voter_count < VOTER_FIRST || now->voter_count % 2 == 0 ? 1 : 2;
-    return ready_count >= needed ? added(now, best_learner(now, false)) : KEEP;
+    return ready_count >= needed ? add_step(now, best_learner(now, false)) : KEEP;
 }
 
-/* A learner is added as successor of a voter that is leaving, or of one in a zone that has too many voters: after the
- * loss of a zone the voters are in the other zones, and they are spread again when it returns. */
-static MembershipChange successor_added(const Membership *now)
+/* Adds a learner as the successor of a voter that is leaving, or of one in a zone that has too many voters: after the
+ * loss of a zone all voters are in the other zones, and they are spread again when that zone returns. */
+static MembershipChange successor_step(const Membership *now)
 {
     bool any_leaves = false, all_live = true;
-    size_t crowd = 0;
+    size_t largest_zone = 0;
     for (size_t i = 0; i < now->voter_count; i++) {
         any_leaves |= now->voters[i].leaving;
         all_live &= now->voters[i].live;
-        const size_t count = beside(now, now->voters[i].zone);
-        crowd = count > crowd ? count : crowd;
+        const size_t count = zone_voter_count(now, now->voters[i].zone);
+        largest_zone = count > largest_zone ? count : largest_zone;
     }
     if (any_leaves)
-        return added(now, best_learner(now, false));
+        return add_step(now, best_learner(now, false));
     const size_t learner = all_live ? best_learner(now, true) : NONE;
-    const bool spreads = learner != NONE && crowd >= beside(now, now->learners[learner].zone) + 2;
-    return spreads ? added(now, learner) : KEEP;
+    const bool spreads = learner != NONE && largest_zone >= zone_voter_count(now, now->learners[learner].zone) + 2;
+    return spreads ? add_step(now, learner) : KEEP;
 }
 
 MembershipChange membership_next(const Membership *now)
@@ -160,15 +161,15 @@
     size_t ready_count = 0;
     for (size_t i = 0; i < now->learner_count; i++)
         ready_count += may_be_added(&now->learners[i]);
-    /* a missing voter is added before the next lost one is removed: with fewer voters than wanted, what is acknowledged
+    /* a missing voter is added before the next lost one is removed: with fewer voters than wanted, acknowledged changes
      * would be on fewer disks */
-    const MembershipChange missing = now->voter_count < now->wanted ? missing_added(now, ready_count) : KEEP;
+    const MembershipChange missing = now->voter_count < now->wanted ? missing_voter_step(now, ready_count) : KEEP;
     if (missing.step != MEMBERSHIP_KEEP)
         return missing;
-    const MembershipChange lost = lost_replaced(now, ready_count);
+    const MembershipChange lost = lost_voter_step(now, ready_count);
     if (lost.step != MEMBERSHIP_KEEP || now->voter_count < now->wanted)
         return lost;
     if (now->voter_count > now->wanted)
-        return surplus_removed(now);
-    return successor_added(now);
+        return surplus_voter_step(now);
+    return successor_step(now);
 }
--- a/packages/replication/src/messages.c
+++ b/packages/replication/src/messages.c
@@ -1,4 +1,4 @@
-/* The tables of the messages and payloads in messages.h. */
+/* The shape tables of the messages and payloads in messages.h. */
 #include "replication/messages.h"
 
 SHAPE_TABLE(DiskId, DISK_ID_FIELDS)
--- a/packages/replication/src/new_term.c
+++ b/packages/replication/src/new_term.c
@@ -1,5 +1,5 @@
-/* The second half of an election, once a majority has promised: the new leader copies the best log of its voters,
- * orders the first entry of its term, and leads when that is committed. */
+/* The second half of an election, after a majority has promised: the new leader copies the best log of its voters,
+ * appends the first entry of its term, and leads once that entry is committed. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -15,10 +15,10 @@
 #include "voter.h"
 #include "voter_list.h"
 
-#define GAIN_CHECK_MS 100 /* ms; how often a new leader checks whether its voters catch up */
+#define CATCH_UP_CHECK_MS 100 /* interval at which a new leader checks its voters' progress, in ms */
 
-/* Waits. Makes this node's log equal to that of the voter at the place. */
-static Status log_adopt(Replication *replication, int voter)
+/* Blocks. Makes this node's log equal to that of the voter at the place, on disk too. */
+static Status log_copy_from(Replication *replication, int voter)
 {
     char address[ADDRESS_MAX];
     if (!voter_address(replication, voter, address))
@@ -32,7 +32,7 @@
     if (status == STATUS_OK && replication->term != replication->lock.promised)
         status = STATUS_OLD_TERM;
     if (status == STATUS_OK && answer.whole) {
-        /* in one write, so that this disk never has less than before */
+        /* in one write, so that this disk never has fewer entries than before */
         status = voter_replace(replication, &answer.snapshot, answer.entries, answer.entries_count);
         if (status == STATUS_OK && replication->term != replication->lock.promised)
             status = STATUS_OLD_TERM;
@@ -48,67 +48,67 @@
     return status;
 }
 
-/* The lease is won: tasks renew it from here on. */
+/* Starts the lease that was won: tasks renew it from now on. */
 static void lease_begin(const Election *election)
 {
     Replication *replication = election->replication;
     replication->term = election->term;
-    if (!replication->clock_runs) /* no log has a time yet */
+    if (!replication->clock_runs) /* no log contains a time stamp yet */
         replication_clock_set(replication, replication->clock_base_ms);
     if (election->new_holder) {
         replication->won_ms = loop_now_ms(replication->loop);
-        lease_pause_take(replication, LOCK_GRANT_MS); /* how long renewals take is not known yet */
+        lease_pause_record(replication, LOCK_GRANT_MS); /* the delay of renewals is not known yet */
     }
     replication->has_lease = true;
     replication->restarted_since_ms = 0;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->voters[i] != 0)
-            lead_renew(replication, i);
+            renewal_start(replication, i);
 }
 
-/* Waits. Copies the best log, when another voter has it. Any status but OK: the lead is over. */
-static Status best_adopt(Election *election)
+/* Blocks. Copies the best log if another voter has it. Any status but OK: the leadership is over. */
+static Status best_log_copy(Election *election)
 {
     Replication *replication = election->replication;
     if (replication->voters[election->best] == replication->disk)
         return STATUS_OK;
-    const Status status = log_adopt(replication, election->best);
-    /* that log may have another list of voters: the promises must be a majority of those too */
+    const Status status = log_copy_from(replication, election->best);
+    /* that log may have a different list of voters, of which the promises must be a majority too */
     for (int i = 0; i < VOTER_MOST; i++) {
         election->in_view[i] &= replication->voters[i] == election->promised[i];
         if (replication->voters[i] != 0 && replication->voters[i] != election->promised[i] &&
-            !lead_over(replication, election->generation))
-            lead_renew(replication, i);
+            !leadership_over(replication, election->generation))
+            renewal_start(replication, i);
     }
     const int own = replication_own_voter(replication);
     const bool lost = promised_count(replication, election->in_view) < replication_majority(replication) || own < 0 ||
                       !election->in_view[own];
-    if (!lead_over(replication, election->generation) && status == STATUS_OK && !lost)
+    if (!leadership_over(replication, election->generation) && status == STATUS_OK && !lost)
         return STATUS_OK;
     const Status why = lost ? STATUS_OTHER_HOLDER : status != STATUS_OK ? status : STATUS_NOT_LEADER;
-    if (!lead_over(replication, election->generation))
-        lead_down(replication, 0);
+    if (!leadership_over(replication, election->generation))
+        leader_step_down(replication, 0);
     return why;
 }
 
-/* Orders the first entry of the term, and starts the tasks that replicate the log to all voters. */
-static void entry_order(const Election *election)
+/* Appends the first entry of the term, and starts the tasks that replicate the log to all voters. */
+static void first_entry_append(const Election *election)
 {
     Replication *replication = election->replication;
-    /* what the journal was given before is synced before what follows; what an earlier lead had not
-     * given it yet is written now */
+    /* entries passed to the journal earlier are synced before later ones; entries that an earlier leadership had not
+     * passed to it yet are written now */
     replication->synced_index = replication->queued_index;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->peers[i].next_index > log_last_index(replication->log) + 1)
             replication->peers[i].next_index = log_last_index(replication->log) + 1;
     view_entry_add(replication, election->in_view, election->repair);
-    lead_local(replication);
+    local_sync_start(replication);
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->voters[i] != 0)
-            lead_peer(replication, i);
+            peer_replication_start(replication, i);
 }
 
-/* A number that grows while any voter catches up. */
+/* A number that grows as long as any voter makes progress. */
 static uint64_t progress_sum(const Replication *replication)
 {
     uint64_t sum = replication->synced_index;
@@ -117,42 +117,43 @@
     return sum;
 }
 
-/* Waits until the first entry is committed. A voter that lags is waited for as long as it catches up. */
-static Status entry_committed(const Election *election)
+/* Blocks until the first entry is committed. The time limit is extended as long as a lagging voter makes progress. */
+static Status first_entry_await(const Election *election)
 {
     Replication *replication = election->replication;
     int64_t until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
     uint64_t last_sum = 0;
     while (replication->commit_index < replication->term_entry_index) {
-        if (!signal_wait(replication->loop, &replication->changed, loop_now_ms(replication->loop) + GAIN_CHECK_MS) &&
-            !lead_over(replication, election->generation)) {
+        if (!signal_wait(replication->loop, &replication->changed,
+                         loop_now_ms(replication->loop) + CATCH_UP_CHECK_MS) &&
+            !leadership_over(replication, election->generation)) {
             const uint64_t sum = progress_sum(replication);
             if (sum != last_sum) {
                 last_sum = sum;
                 until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
             }
         }
-        if (lead_over(replication, election->generation))
+        if (leadership_over(replication, election->generation))
             return STATUS_NOT_LEADER;
         if (loop_now_ms(replication->loop) > until_ms ||
             loop_now_ms(replication->loop) > lock_lease_until(&replication->lease)) {
             log_event(replication->settings.recorder, LOG_TERM_NOT_OPENED, loop_now_ms(replication->loop),
                       &(LogFields){.term = term_counter(election->term)});
-            lead_down(replication, 0);
+            leader_step_down(replication, 0);
             return STATUS_EXPIRED;
         }
     }
     return STATUS_OK;
 }
 
-/* The first entry is committed: this node leads. */
+/* Begins to lead, once the first entry is committed. */
 static void lead_begin(const Election *election)
 {
     Replication *replication = election->replication;
     INVARIANT(LEADS_COMMITTED, replication->commit_index >= replication->term_entry_index);
     if (replication->settings.opened != NULL)
         replication->settings.opened(replication->settings.opened_arg, election->term, election->new_holder,
-                                     replication->last.repair);
+                                     replication->last_view.repair);
     replication->phase = REPLICATION_LEADING;
     replication->changed_ms = loop_now_ms(replication->loop);
     replication->view_changes++;
@@ -161,7 +162,7 @@
         members_announce(replication->settings.members);
     char text[LOG_TEXT_BYTES];
     snprintf(text, sizeof(text), "%zu voters%s", promised_count(replication, replication->in_view),
-             replication->last.repair ? ", repairs" : "");
+             replication->last_view.repair ? ", repairs" : "");
     log_event(replication->settings.recorder, LOG_ELECTION_WON, loop_now_ms(replication->loop),
               &(LogFields){.term = term_counter(election->term), .text = text});
     signal_raise(replication->loop, &replication->changed);
@@ -170,7 +171,7 @@
 Status election_run(Replication *replication, const bool skip[VOTER_MOST])
 {
     Election election = {.replication = replication,
-                         .generation = ++replication->lead_generation,
+                         .generation = ++replication->leadership_generation,
                          .skip = skip,
                          .new_holder = !replication->has_lease,
                          .best = -1};
@@ -182,11 +183,11 @@
     if (status != STATUS_OK)
         return status;
     lease_begin(&election);
-    status = best_adopt(&election);
+    status = best_log_copy(&election);
     if (status != STATUS_OK)
         return status;
-    entry_order(&election);
-    status = entry_committed(&election);
+    first_entry_append(&election);
+    status = first_entry_await(&election);
     if (status == STATUS_OK)
         lead_begin(&election);
     return status;
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -1,4 +1,5 @@
-/* Asking all voters at once, with one task for each, so that a silent one delays the poll by its time-out only. */
+/* Polls all voters concurrently, with one task for each, so that a silent voter delays the poll by no more than its
+ * timeout. */
 #include <talloc.h>
 
 #include "poll.h"
@@ -7,15 +8,15 @@
 #include "voter.h"
 #include "voter_list.h"
 
-/* The task for one voter. */
+/* The argument of the task for one voter. */
 typedef struct PollPart {
     Poll *poll;
     int voter; /* its place */
 } PollPart;
 
-void poll_leave(Poll *poll)
+void poll_unref(Poll *poll)
 {
-    if (--poll->users == 0)
+    if (--poll->references == 0)
         talloc_free(poll);
 }
 
@@ -30,7 +31,7 @@
     poll->sent_ms[i] = loop_now_ms(replication->loop);
     if (poll->disks[i] == replication->disk) {
         const Status status = voter_propose(replication, &poll->ask);
-        voter_describe(replication, poll, &poll->answers[i]);
+        voter_answer_set(replication, poll, &poll->answers[i]);
         poll->status[i] = status;
     } else if (voter_address(replication, i, address)) {
         VoterAnswer answer = {0};
@@ -43,7 +44,7 @@
     }
     poll->pending--;
     signal_raise(replication->loop, &poll->ended);
-    poll_leave(poll);
+    poll_unref(poll);
 }
 
 bool poll_reached(Status status)
@@ -52,7 +53,7 @@
            status != STATUS_STRANGER && status != STATUS_INTERNAL && status != STATUS_OTHER_DISK;
 }
 
-/* Spawns a task for each voter that is asked. */
+/* Spawns a task for each voter that is polled. */
 static void poll_spawn(Poll *poll, const bool skip[VOTER_MOST])
 {
     Replication *replication = poll->replication;
@@ -61,7 +62,7 @@
         if (skip[i] || replication->voters[i] == 0)
             continue;
         poll->disks[i] = replication->voters[i];
-        poll->users++;
+        poll->references++;
         poll->pending++;
         PollPart *part = talloc_zero(replication, PollPart);
         *part = (PollPart){poll, i};
@@ -75,9 +76,9 @@
     poll->replication = replication;
     poll->ask =
         (ProposeAsk){term, replication->disk, 0, log_last_term(replication->log), log_last_index(replication->log)};
-    poll->users = 1;
+    poll->references = 1;
     poll_spawn(poll, skip);
-    /* the wait for the own disk is bounded, too */
+    /* the wait for the local disk is bounded too */
     int64_t until_ms = loop_now_ms(replication->loop) + ASK_TIMEOUT_MS + ASK_TIMEOUT_MS / 4;
     const size_t needed = replication_majority(replication);
     bool majority = false;
--- a/packages/replication/src/poll.h
+++ b/packages/replication/src/poll.h
@@ -3,28 +3,29 @@
 
 #include "replication/replication.h"
 
-/* Asking all voters at once: the pre-vote and the promises of an election. */
+/* Polling all voters concurrently, for the pre-vote and the promises of an election. */
 
-/* The answers, by place. Freed by whichever ends last: the asking task, or the tasks for the single voters. */
+/* The answers, by place. Reference-counted: freed by the last of the polling task and the tasks for the single voters.
+ */
 typedef struct Poll {
     Replication *replication;
     ProposeAsk ask;
-    size_t users;               /* tasks that use it */
-    int pending;                /* voters whose answer is missing */
-    Signal ended;               /* raised when one more voter has answered or failed to */
-    uint64_t disks[VOTER_MOST]; /* who is asked; 0: nobody at that place */
+    size_t references;          /* number of tasks that use the poll */
+    int pending;                /* number of voters whose answer is missing */
+    Signal ended;               /* raised when another voter has answered or failed to */
+    uint64_t disks[VOTER_MOST]; /* the disks that are polled; 0: none at that place */
     Status status[VOTER_MOST];
     VoterAnswer answers[VOTER_MOST];
     int64_t sent_ms[VOTER_MOST];
 } Poll;
 
-/* Waits until all have answered or failed to. Once a majority has answered, and none of them has lost anything by a
- * restart, it waits POLL_GRACE_MS more at most. term: the term to be promised; 0: a pre-vote. skip: places that are not
- * asked. The caller ends its use by poll_leave. */
+/* Polls the voters. Blocks until all have answered or failed to; once a majority has answered, and none of them has
+ * lost data in a restart, for at most another POLL_GRACE_MS. term: the term to be promised; 0: a pre-vote. skip: places
+ * that are not polled. The caller must release the result with poll_unref. */
 Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST]);
-/* Ends the use of the poll by the asking task. */
-void poll_leave(Poll *poll);
-/* Whether the status is the voter's own answer, a refusal included, and not an error of the transport. */
+/* Drops one reference to the poll. */
+void poll_unref(Poll *poll);
+/* Whether the status is an answer of the voter, which may be a refusal, rather than a transport error. */
 bool poll_reached(Status status);
 
 #endif
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -1,5 +1,5 @@
-/* Changes of the list of voters: the leader adds or removes one voter after another, each by a committed entry, as
- * membership_next chooses, until there are as many voters as the settings want. */
+/* Changes of the list of voters: the leader adds or removes one voter at a time, each by a committed entry, as chosen
+ * by membership_next, until there are as many voters as the settings ask for. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -13,27 +13,27 @@
 #include "voter_list.h"
 #include "voters.h"
 
-/* The payload of the list with the disk at the place, or the place vacated (0); on mem. */
+/* Returns the packed list with the disk set at the place (0: the place vacated), allocated on mem. */
 static Bytes list_pack(const Replication *replication, void *mem, int place, uint64_t disk)
 {
     Bytes payload = {0};
-    shape_pack(&VoterList_shape, voters_with(replication, mem, place, disk), mem, &payload);
+    shape_pack(&VoterList_shape, voter_list_with(replication, mem, place, disk), mem, &payload);
     return payload;
 }
 
-/* Waits until the list without the voter at the place is committed. */
+/* Removes the voter at the place. Blocks until the new list is committed. */
 static void voter_remove(Replication *replication, int place)
 {
     void *mem = talloc_new(replication);
     ChangeResult result;
     log_event(replication->settings.recorder, LOG_VOTER_REMOVED, loop_now_ms(replication->loop),
               &(LogFields){.peer_disk = replication->voters[place]});
-    /* where it fails, the next check chooses again */
+    /* after a failure, the next check chooses again */
     (void)replication_submit(replication, REPLICATION_CHANGE_VOTERS, list_pack(replication, mem, place, 0), &result);
     talloc_free(mem);
 }
 
-/* A vacant place; -1: none. */
+/* Returns a vacant place; -1: none. */
 static int place_free(const Replication *replication)
 {
     for (int i = 0; i < VOTER_MOST; i++)
@@ -42,8 +42,8 @@
     return -1;
 }
 
-/* Waits until the list with the learner as a voter is committed. Replication and lease go on with what the leader knew
- * of the learner. */
+/* Makes the learner a voter. Blocks until the new list is committed. Replication and the lease continue with what the
+ * leader already knows about the learner. */
 static void voter_add(Replication *replication, size_t learner)
 {
     const int place = place_free(replication);
@@ -55,38 +55,38 @@
     talloc_free(mem);
     if (status != STATUS_OK || replication->voters[place] != disk)
         return;
-    learner_done(replication, learner);
+    learner_slot_free(replication, learner);
     replication->peers[place] = peer;
     if (peer.renewed_ms != INT64_MIN)
-        lock_lease_answered(&replication->lease, place, peer.renewed_ms, peer.grant_ms);
-    lead_renew(replication, place);
-    lead_peer(replication, place);
+        lock_lease_granted(&replication->lease, place, peer.renewed_ms, peer.grant_ms);
+    renewal_start(replication, place);
+    peer_replication_start(replication, place);
     char text[LOG_TEXT_BYTES];
     snprintf(text, sizeof(text), "place %d of %zu", place + 1, replication->voter_count);
     log_event(replication->settings.recorder, LOG_VOTER_ADDED, loop_now_ms(replication->loop),
               &(LogFields){.peer_disk = disk, .text = text});
-    (void)replication_barrier(replication); /* where it fails, the next check waits for the commit */
+    (void)replication_barrier(replication); /* after a failure, the next check waits for the commit */
 }
 
-/* Waits. What is known of the others may be as old as a renewal of the lease. Before a change they are asked once more,
- * for a change that counts on a member that was just lost might never be committed. A contact round is short, so that
- * its answers are recent, and longer only where too few have answered the last one. */
+/* Blocks. Gathers the input of a change after another contact round. The leader's knowledge may be as old as a renewal
+ * of the lease, and a change that depends on a member that was just lost might never be committed. A contact round is
+ * short, so that its answers are recent; it is longer only if too few peers answered the previous one. */
 static void membership_gather_fresh(Replication *replication, MembershipInput *input)
 {
-    const int64_t most_ms = replication->contact_most_ms > 0 ? replication->contact_most_ms : POLL_GRACE_MS;
+    const int64_t most_ms = replication->contact_timeout_ms > 0 ? replication->contact_timeout_ms : POLL_GRACE_MS;
     const uint64_t contact = contact_members(replication, most_ms);
     membership_gather(replication, contact, input);
     if (membership_next(&input->now).step != MEMBERSHIP_KEEP)
-        replication->contact_most_ms = 0;
+        replication->contact_timeout_ms = 0;
     else
-        replication->contact_most_ms = 2 * most_ms < 2 * LOCK_RENEW_MS ? 2 * most_ms : 2 * LOCK_RENEW_MS;
+        replication->contact_timeout_ms = 2 * most_ms < 2 * LOCK_RENEW_MS ? 2 * most_ms : 2 * LOCK_RENEW_MS;
 }
 
-/* Waits. Chooses the next change and makes it; a list must be committed before the next change is chosen. Returns
- * whether a change was tried. */
-static bool membership_tend(Replication *replication)
+/* Blocks. Chooses the next change and makes it; a list must be committed before the next change is chosen. Returns
+ * whether a change was attempted. */
+static bool membership_update(Replication *replication)
 {
-    if (!replication_may_order(replication)) {
+    if (!replication_may_append(replication)) {
         learners_clear(replication);
         return false;
     }
@@ -97,9 +97,9 @@
     membership_gather(replication, 0, &input);
     if (membership_next(&input.now).step == MEMBERSHIP_KEEP)
         return false;
-    const uint64_t generation = replication->lead_generation;
+    const uint64_t generation = replication->leadership_generation;
     membership_gather_fresh(replication, &input);
-    if (lead_over(replication, generation) || !replication_may_order(replication) ||
+    if (leadership_over(replication, generation) || !replication_may_append(replication) ||
         replication->list_index > replication->commit_index)
         return false;
     const MembershipChange change = membership_next(&input.now);
@@ -123,15 +123,15 @@
 {
     Replication *replication = arg;
     while (!loop_stopping(replication->loop)) {
-        /* the next change follows at once: there may be fewer voters than wanted in between */
-        const int64_t rest_ms = membership_tend(replication)    ? 1
+        /* the next change follows immediately: between two changes there may be fewer voters than wanted */
+        const int64_t rest_ms = membership_update(replication)  ? 1
                                 : learners_pending(replication) ? MEMBERSHIP_SOON_MS
                                                                 : MEMBERSHIP_CHECK_MS;
-        signal_wait(replication->loop, &replication->membership, loop_now_ms(replication->loop) + rest_ms);
+        signal_wait(replication->loop, &replication->membership_check, loop_now_ms(replication->loop) + rest_ms);
     }
 }
 
-void voters_start(Replication *replication)
+void reconfiguration_start(Replication *replication)
 {
     loop_spawn(replication->loop, "voters", voters_main, replication);
 }
--- a/packages/replication/src/reconfigure.h
+++ b/packages/replication/src/reconfigure.h
@@ -3,8 +3,8 @@
 
 #include "replication/replication.h"
 
-/* Spawns the task by which the leader adds and removes voters until there are as many as wanted, one committed change
- * of the list at a time (Raft: single-server membership changes). */
-void voters_start(Replication *replication);
+/* Spawns the task that, at the leader, adds and removes voters until their number is as configured, by one committed
+ * change of the list at a time (Raft: single-server membership changes). */
+void reconfiguration_start(Replication *replication);
 
 #endif
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -1,5 +1,5 @@
-/* Recovery: reading the journal at the start of a process. A journal that is not whole is not used: the node continues
- * with a new, empty disk, which has promised nothing and never founds a cluster. */
+/* Recovery: reads the journal when the process starts. A corrupt journal is not used: the node continues with a new,
+ * empty disk, which has promised nothing and never founds a cluster. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -9,14 +9,14 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* A journal that is being read. */
+/* The state of reading a journal. */
 typedef struct Reading {
     Replication *replication;
-    Failure failure; /* what is wrong with the records together; each is valid by itself */
+    Failure failure; /* an inconsistency between records that are valid individually */
 } Reading;
 
-/* The cluster, and the list of voters that it was founded with. */
-static void cluster_found(Replication *replication, const Record *record)
+/* Restores the cluster id, and the list of voters that the cluster was founded with. */
+static void recover_cluster(Replication *replication, const Record *record)
 {
     VoterList *voters = talloc_zero(replication, VoterList);
     if (shape_unpack(&VoterList_shape, record->payload, voters, voters, NULL) == STATUS_OK) {
@@ -26,18 +26,19 @@
     replication->cluster = record->term;
 }
 
-static void entry_found(Reading *reading, const Record *record)
+static void recover_entry(Reading *reading, const Record *record)
 {
     Replication *replication = reading->replication;
     const uint64_t last_index = log_last_index(replication->log);
-    const Status status = log_take(replication->log, record);
+    const Status status = log_recover(replication->log, record);
     if (status != STATUS_OK)
-        failure_set(&reading->failure, status, "entry %" PRIu64 " does not follow the log up to %" PRIu64,
-                    record->index, last_index);
+        failure_set(&reading->failure, status,
+                    "entry %" PRIu64 " does not follow the log, which ends at entry %" PRIu64, record->index,
+                    last_index);
     replication_clock_notify(replication, record->at_ms);
 }
 
-static void record_found(void *arg, const Record *record)
+static void recover_record(void *arg, const Record *record)
 {
     Reading *reading = arg;
     Replication *replication = reading->replication;
@@ -45,13 +46,13 @@
         return;
     switch (record->kind) {
     case RECORD_CLUSTER:
-        cluster_found(replication, record);
+        recover_cluster(replication, record);
         break;
     case RECORD_PROMISE:
         lock_promise(&replication->lock, record->term, record->index);
         break;
     case RECORD_ENTRY:
-        entry_found(reading, record);
+        recover_entry(reading, record);
         break;
     case RECORD_TRIM:
         log_trim(replication->log, record->index);
@@ -62,26 +63,26 @@
         replication_clock_notify(replication, record->at_ms);
         break;
     case RECORD_COMMIT:
-        break; /* of an earlier release; the leader sends the commit index again */
+        break; /* written by an earlier release; the leader sends the commit index again */
     default:
         failure_set(&reading->failure, STATUS_JOURNAL_FORMAT,
-                    "a record of kind %" PRIu64 ", which this release does not know", record->kind);
+                    "unknown record kind %" PRIu64 "; the journal was written by a later release", record->kind);
     }
 }
 
 static JournalSettings journal_settings(const Replication *replication, const char *path)
 {
     return (JournalSettings){
-        .path = path, .node_name = replication->node_name, .disk_keeps = replication->settings.disks_keep};
+        .path = path, .node_name = replication->node_name, .disk_durable = replication->settings.disks_keep};
 }
 
-/* Waits. Opens the journal and takes what it holds. */
+/* Blocks. Opens the journal and restores the state from its records. */
 static Status disk_read(Replication *replication, const char *path, Failure *failure)
 {
     Reading reading = {.replication = replication};
     const JournalSettings settings = journal_settings(replication, path);
-    const Status status =
-        journal_open(replication->loop, replication, &settings, record_found, &reading, &replication->journal, failure);
+    const Status status = journal_open(replication->loop, replication, &settings, recover_record, &reading,
+                                       &replication->journal, failure);
     if (status != STATUS_OK)
         return status;
     if (reading.failure.status != STATUS_OK)
@@ -89,7 +90,7 @@
     const bool state = replication->log->snapshot.kind == RECORD_SNAPSHOT || replication->log->count > 0 ||
                        replication->lock.promised != 0;
     if (replication->cluster == 0 && state)
-        return failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds a log, but not the cluster it is of", path);
+        return failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds a log but no cluster record", path);
     if (replication->log->snapshot.kind != RECORD_SNAPSHOT)
         return STATUS_OK;
     const Status loaded = replication_load(replication, &replication->log->snapshot);
@@ -100,14 +101,14 @@
     return STATUS_OK;
 }
 
-/* Undoes disk_read. */
-static void disk_forget(Replication *replication)
+/* Discards everything that disk_read has restored. */
+static void disk_discard(Replication *replication)
 {
     talloc_free(replication->log);
     replication->log = log_new(replication);
     talloc_free(replication->founded);
     talloc_free(replication->list);
-    voters_first(replication);
+    voter_list_init(replication);
     replication->cluster = 0;
     replication->lock = (LockVoter){0};
     replication->clock_base_ms = replication->clock_at_ms = replication->clock_log_ms = 0;
@@ -116,15 +117,15 @@
     replication->settings.state.load(replication->settings.state.arg, (Bytes){0});
 }
 
-/* Waits. The journal is not whole: what it has promised and acknowledged is not known. */
-static Status disk_begin_anew(Replication *replication, const char *path, Failure *failure)
+/* Blocks. Replaces a corrupt journal by a new, empty one: what was promised and acknowledged with it is unknown. */
+static Status disk_replace(Replication *replication, const char *path, Failure *failure)
 {
     log_event(replication->settings.recorder, LOG_JOURNAL_DAMAGED, loop_now_ms(replication->loop),
               &(LogFields){.text = failure->text});
     *failure = (Failure){0};
-    disk_forget(replication);
+    disk_discard(replication);
     const JournalSettings settings = journal_settings(replication, path);
-    return journal_begin(replication->loop, replication, &settings, &replication->journal, failure);
+    return journal_recreate(replication->loop, replication, &settings, &replication->journal, failure);
 }
 
 Status replication_open_disk(Replication *replication, const char *path, const char *node_name, Failure *failure)
@@ -133,17 +134,17 @@
     replication->node_name = talloc_strdup(replication, node_name);
     Status status = disk_read(replication, path, &read);
     if (status == STATUS_JOURNAL_CORRUPT)
-        status = disk_begin_anew(replication, path, &read);
+        status = disk_replace(replication, path, &read);
     if (status != STATUS_OK)
         return failure_set(failure, status, "%s", read.text);
     replication->disk = journal_disk(replication->journal);
     if (journal_counts(replication->journal)->begun_anew)
-        replication->settings.founds = REPLICATION_FOUNDS_NEVER; /* the cluster of the former disk may still run */
+        replication->settings.founds = REPLICATION_FOUNDS_NEVER; /* the former disk's cluster may still be running */
     replication->queued_index = log_last_index(replication->log);
     replication_reread(replication);
     replication->restarted = replication->cluster != 0;
-    /* a lease may have been granted just before the restart: nothing is promised until it has lapsed. A
-     * disk that was never part of a cluster has granted nothing. */
+    /* a lease may have been granted just before the restart: nothing is promised until it has expired. A disk that was
+     * never part of a cluster has granted nothing. */
     if (replication->cluster != 0)
         replication->lock.not_before_ms = loop_now_ms(replication->loop) + LOCK_GRANT_MS;
     replication->lock.promise_certain = replication->settings.disks_keep;
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -1,5 +1,5 @@
-/* Replication under a leader (Raft: AppendEntries at the leader): one task syncs the leader's own
- * journal, one for each peer sends it the entries that it lacks. */
+/* Replication by a leader (Raft: AppendEntries at the leader): one task syncs the leader's own journal, and one task
+ * for each peer sends it the entries that it lacks. */
 #include <talloc.h>
 
 #include "commit.h"
@@ -12,12 +12,12 @@
 #include "state.h"
 #include "voter_list.h"
 
-#define PEER_AGAIN_MS 100 /* ms; a peer that could not be asked is tried again after this */
+#define PEER_RETRY_MS 100 /* interval between attempts to reach a peer, in ms */
 
-/* --- the own journal ---------------------------------------------------------------- */
+/* --- the local journal ---------------------------------------------------------------- */
 
-/* Waits for the disk. Writes the next entries that are not synced yet, at most LOG_WRITE_BYTES of
- * them; up_to: the index of the last one. */
+/* Blocks on disk I/O. Writes the next entries that are not synced yet, about LOG_WRITE_BYTES at most. up_to (out): the
+ * index of the last one. */
 static Status local_write(Replication *replication, uint64_t *up_to)
 {
     void *mem = talloc_new(replication);
@@ -37,52 +37,52 @@
     return status;
 }
 
-/* The leader as one of its own voters: it syncs entries like the others, without messages. */
+/* The task that syncs the leader's own journal: the leader is one of its own voters, but needs no messages. */
 static void local_main(void *arg)
 {
-    const Lead lead = *(Lead *)arg;
-    Replication *replication = lead.replication;
+    const PeerTask task = *(PeerTask *)arg;
+    Replication *replication = task.replication;
     talloc_free(arg);
-    while (!lead_over(replication, lead.generation)) {
+    while (!leadership_over(replication, task.generation)) {
         if (replication->synced_index >= log_last_index(replication->log)) {
-            signal_wait(replication->loop, &replication->grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
+            signal_wait(replication->loop, &replication->log_grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
             continue;
         }
         uint64_t up_to;
         const int64_t start_ms = loop_now_ms(replication->loop);
         const Status status = local_write(replication, &up_to);
-        if (lead_over(replication, lead.generation))
+        if (leadership_over(replication, task.generation))
             return;
         if (status != STATUS_OK) {
             disk_failed_log(replication);
-            lead_down(replication, 0);
+            leader_step_down(replication, 0);
             return;
         }
         replication->slow_times =
             loop_now_ms(replication->loop) - start_ms > VOTER_SLOW_MS ? replication->slow_times + 1 : 0;
         replication->synced_index = up_to;
-        lead_commit(replication);
+        leader_commit_advance(replication);
     }
 }
 
-void lead_local(Replication *replication)
+void local_sync_start(Replication *replication)
 {
-    lead_spawn(replication, "local", local_main, replication_own_voter(replication));
+    peer_task_spawn(replication, "local", local_main, replication_own_voter(replication));
 }
 
 /* --- the peers ---------------------------------------------------------------------- */
 
-/* The next entries for the peer, at most LOG_BATCH_ENTRIES and about LOG_BATCH_BYTES; copies on
- * mem, since the log may change before they are sent. */
-static AppendAsk append_next(const Replication *replication, const Lead *lead, void *mem)
+/* Returns an append with the next entries for the peer, at most LOG_BATCH_ENTRIES and about LOG_BATCH_BYTES. The
+ * entries are copies on mem, since the log may change before they are sent. */
+static AppendAsk append_next(const Replication *replication, const PeerTask *task, void *mem)
 {
-    const Peer *peer = &replication->peers[lead->slot];
+    const Peer *peer = &replication->peers[task->slot];
     AppendAsk ask = {.term = replication->term,
                      .holder = replication->disk,
                      .prev_index = peer->next_index - 1,
                      .commit_index = replication->commit_index,
                      .entries = talloc_array(mem, Record, LOG_BATCH_ENTRIES),
-                     .to = lead->disk,
+                     .to = task->disk,
                      .grant_ms = lease_grant_ms(replication)};
     log_term_at(replication->log, ask.prev_index, &ask.prev_term);
     size_t bytes = 0;
@@ -95,12 +95,12 @@
     return ask;
 }
 
-/* The peer's log does not match at the entry before those that were sent: goes back to the end of the
- * peer's log, or else by LOG_BACK_STEP. Before the first entry only a snapshot helps. */
-static void peer_go_back(const Replication *replication, Peer *peer, uint64_t peer_last_index)
+/* Lowers next_index after the peer's log did not match at the entry before those that were sent: to the end of the
+ * peer's log, or else by LOG_BACK_STEP. If not even the first entry matches, the peer needs a snapshot. */
+static void next_index_lower(const Replication *replication, Peer *peer, uint64_t peer_last_index)
 {
     const uint64_t first = replication->log->base_index + 1, next = peer->next_index;
-    peer->match_index = 0; /* its disk may have lost what it had synced */
+    peer->match_index = 0; /* the peer's disk may have lost synced entries */
     if (next <= first)
         peer->reinstall = true;
     else if (peer_last_index + 1 < next)
@@ -109,32 +109,32 @@
         peer->next_index = next > first + LOG_BACK_STEP ? next - LOG_BACK_STEP : first;
 }
 
-/* Records how long the append took, whether the log matched or not. */
-static void peer_took(Peer *peer, int64_t took_ms)
+/* Records the duration of an append, whether the log matched or not. */
+static void append_time_record(Peer *peer, int64_t took_ms)
 {
     peer->append_since_ms = INT64_MAX;
     peer->append_took_ms = took_ms;
     peer->slow_times = took_ms > VOTER_SLOW_MS ? peer->slow_times + 1 : 0;
 }
 
-/* Waits. Sends one append, which may be empty, and takes the answer. */
-static void append_one(Replication *replication, const Lead *lead, const char *address)
+/* Blocks. Sends one append, which may be empty, and processes the answer. */
+static void append_send(Replication *replication, const PeerTask *task, const char *address)
 {
-    Peer *peer = &replication->peers[lead->slot];
+    Peer *peer = &replication->peers[task->slot];
     void *mem = talloc_new(replication);
-    const AppendAsk ask = append_next(replication, lead, mem);
-    const uint64_t match = ask.prev_index + ask.entries_count, contact = replication->contact_asked;
+    const AppendAsk ask = append_next(replication, task, mem);
+    const uint64_t match = ask.prev_index + ask.entries_count, contact = replication->contact_requested;
     VoterAnswer answer = {0};
     const int64_t sent_ms = loop_now_ms(replication->loop);
     if (peer->append_since_ms == INT64_MAX)
         peer->append_since_ms = sent_ms;
     const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
                                   APPEND_TIMEOUT_MS, &VoterAnswer_shape, &answer);
-    if (!lead_peer_over(lead)) {
+    if (!peer_task_over(task)) {
         if (poll_reached(status))
-            lead_answered(replication, lead->slot, &answer);
+            peer_answer_record(replication, task->slot, &answer);
         if (status == STATUS_OK || status == STATUS_LOG_GAP)
-            peer_took(peer, loop_now_ms(replication->loop) - sent_ms);
+            append_time_record(peer, loop_now_ms(replication->loop) - sent_ms);
         if (status == STATUS_DISK_FAILED && peer->refuses_since_ms == INT64_MAX)
             peer->refuses_since_ms = loop_now_ms(replication->loop);
         else if (status == STATUS_OK)
@@ -142,54 +142,54 @@
         if (status == STATUS_OK) {
             peer->match_index = match;
             peer->next_index = match + 1;
-            lease_granted(replication, lead->slot, sent_ms, ask.grant_ms,
-                          contact); /* a peer that takes an append grants the lease as well */
-            lead_commit(replication);
+            lease_granted(replication, task->slot, sent_ms, ask.grant_ms,
+                          contact); /* a peer that accepts an append also grants the lease */
+            leader_commit_advance(replication);
         } else if (status == STATUS_LOG_GAP) {
-            peer_go_back(replication, peer, answer.log_index);
+            next_index_lower(replication, peer, answer.log_index);
         } else {
-            loop_sleep(replication->loop, PEER_AGAIN_MS);
+            loop_sleep(replication->loop, PEER_RETRY_MS);
         }
     }
     talloc_free(mem);
 }
 
-/* A learner whose last append took long is measured again, also when there is nothing new. */
-static bool slow_learner(const Lead *lead)
+/* Whether the peer is a learner whose last append was slow: it is measured again even if there are no new entries. */
+static bool slow_learner(const PeerTask *task)
 {
-    return lead->slot >= VOTER_MOST && lead->replication->peers[lead->slot].append_took_ms >= VOTER_SLOW_MS;
+    return task->slot >= VOTER_MOST && task->replication->peers[task->slot].append_took_ms >= VOTER_SLOW_MS;
 }
 
-/* The task for one other voter, in the view or not, or for one learner. */
+/* The task that replicates to one other voter, in the view or not, or to one learner. */
 static void peer_main(void *arg)
 {
-    const Lead lead = *(Lead *)arg;
-    Replication *replication = lead.replication;
+    const PeerTask task = *(PeerTask *)arg;
+    Replication *replication = task.replication;
     talloc_free(arg);
-    Peer *peer = &replication->peers[lead.slot];
-    bool matched = false; /* it has taken an append in this term */
-    while (!lead_peer_over(&lead)) {
+    Peer *peer = &replication->peers[task.slot];
+    bool matched = false; /* the peer has accepted an append in this term */
+    while (!peer_task_over(&task)) {
         char address[ADDRESS_MAX];
-        if (!voter_address(replication, lead.slot, address)) {
-            loop_sleep(replication->loop, PEER_AGAIN_MS);
+        if (!voter_address(replication, task.slot, address)) {
+            loop_sleep(replication->loop, PEER_RETRY_MS);
             continue;
         }
         if (peer->reinstall || peer->next_index <= replication->log->base_index) {
-            install_snapshot_one(replication, &lead, address);
-        } else if (peer->next_index <= log_last_index(replication->log) || !matched || slow_learner(&lead)) {
-            append_one(replication, &lead, address);
+            snapshot_send(replication, &task, address);
+        } else if (peer->next_index <= log_last_index(replication->log) || !matched || slow_learner(&task)) {
+            append_send(replication, &task, address);
             matched |= peer->match_index + 1 == peer->next_index;
-            /* nobody waits for a learner: it takes several changes in one append */
-            if (lead.slot >= VOTER_MOST && peer->next_index > log_last_index(replication->log))
+            /* no commit waits for a learner, so several changes are sent in one append */
+            if (task.slot >= VOTER_MOST && peer->next_index > log_last_index(replication->log))
                 loop_sleep(replication->loop, LEARNER_APPEND_MS);
         } else {
-            signal_wait(replication->loop, &replication->grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
+            signal_wait(replication->loop, &replication->log_grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
         }
     }
 }
 
-void lead_peer(Replication *replication, int slot)
+void peer_replication_start(Replication *replication, int slot)
 {
     if (slot_disk(replication, slot) != replication->disk)
-        lead_spawn(replication, "peer", peer_main, slot);
+        peer_task_spawn(replication, "peer", peer_main, slot);
 }
--- a/packages/replication/src/replicate.h
+++ b/packages/replication/src/replicate.h
@@ -3,11 +3,12 @@
 
 #include "replication/replication.h"
 
-/* Replication under a leader (Raft: AppendEntries). */
+/* Replication by a leader (Raft: AppendEntries). */
 
 /* Spawns the task that syncs the leader's own journal. */
-void lead_local(Replication *replication);
-/* Spawns the task that keeps the log of the peer at the slot up to date; none for this node's own place. */
-void lead_peer(Replication *replication, int slot);
+void local_sync_start(Replication *replication);
+/* Spawns the task that keeps the log of the peer at the slot up to date; does nothing for this node's
+ * own place. */
+void peer_replication_start(Replication *replication, int slot);
 
 #endif
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -1,4 +1,4 @@
-/* The replicated log of one node: its construction, its start, and its getters. */
+/* The replicated log of one node: construction, start and getters. */
 #include <talloc.h>
 
 #include "disk.h"
@@ -16,7 +16,7 @@
     replication->settings = *settings;
     replication->loop = settings->loop;
     replication->log = log_new(replication);
-    voters_first(replication);
+    voter_list_init(replication);
     return replication;
 }
 
@@ -57,22 +57,22 @@
 
 void replication_step_down(Replication *replication, int64_t rest_ms)
 {
-    lead_down(replication, rest_ms);
+    leader_step_down(replication, rest_ms);
 }
 
 void replication_start(Replication *replication, Members *members)
 {
     replication->settings.members = members;
-    voter_serve(replication);
-    /* a leader that has restarted leads no more: it releases its lease, so that the others need not wait for the
-     * end of it. Where its promise is certainly the last one, it names itself to stand first. */
+    voter_handlers_register(replication);
+    /* a leader that has restarted does not lead any more: it releases its lease, so that the others need not wait until
+     * it expires. If its promise is certainly the newest one, it names itself as the successor. */
     if (replication->lock.promised != 0 && replication->lock.holder == replication->disk &&
         replication_is_voter(replication)) {
         replication->term = replication->lock.promised;
         replication->named_successor = replication->lock.promise_certain;
-        lead_release(replication, replication->lock.promise_certain ? replication->disk : 0);
+        leader_release_lease(replication, replication->lock.promise_certain ? replication->disk : 0);
     }
     replication_watch(replication);
     disk_start(replication);
-    voters_start(replication);
+    reconfiguration_start(replication);
 }
--- a/packages/replication/src/send_snapshot.c
+++ b/packages/replication/src/send_snapshot.c
@@ -1,6 +1,6 @@
-/* Sending a snapshot (Raft: InstallSnapshot at the leader) to a peer whose log no entries can make match: a small one
- * whole, else in pieces, each with a deadline of its own, so that a large state gets through a narrow link and renewals
- * of the lease are sent between the pieces. */
+/* Sends a snapshot (Raft: InstallSnapshot at the leader) to a peer whose log cannot be made to match by appends. A
+ * small snapshot is sent whole, a larger one in pieces, each with a deadline of its own, so that a large state can pass
+ * through a slow link and renewals of the lease are sent between the pieces. */
 #include <talloc.h>
 
 #include "leading.h"
@@ -9,10 +9,10 @@
 #include "snapshot.h"
 #include "state.h"
 
-#define INSTALL_SNAPSHOT_TIMEOUT_MS (4 * ELECTION_STEP_TIMEOUT_MS) /* ms; a piece through a narrow link */
+#define INSTALL_SNAPSHOT_TIMEOUT_MS (4 * ELECTION_STEP_TIMEOUT_MS) /* time limit of one piece on a slow link, in ms */
 
-/* Waits. Sends one piece of the snapshot, or all of it. */
-static Status piece_send(Replication *replication, const Lead *lead, const char *address, InstallSnapshotAsk *ask,
+/* Blocks. Sends one piece of the snapshot, or the whole snapshot. */
+static Status piece_send(Replication *replication, const PeerTask *task, const char *address, InstallSnapshotAsk *ask,
                          Bytes whole, VoterAnswer *answer)
 {
     void *mem = talloc_new(replication);
@@ -26,13 +26,13 @@
     const Status status =
         rpc_ask(replication->settings.rpc, mem, address, MESSAGE_INSTALL_SNAPSHOT, &InstallSnapshotAsk_shape, ask,
                 INSTALL_SNAPSHOT_TIMEOUT_MS, &VoterAnswer_shape, answer);
-    if (!lead_peer_over(lead) && poll_reached(status))
-        lead_answered(replication, lead->slot, answer);
+    if (!peer_task_over(task) && poll_reached(status))
+        peer_answer_record(replication, task->slot, answer);
     talloc_free(mem);
     return status;
 }
 
-/* Whether there is another piece to send after this answer; ask->from is where it begins. */
+/* Whether there is another piece to send after this answer; if so, sets ask->from to its beginning. */
 static bool goes_on(InstallSnapshotAsk *ask, Status status, const VoterAnswer *answer, size_t sent)
 {
     if (ask->total == 0)
@@ -48,11 +48,11 @@
     return true;
 }
 
-void install_snapshot_one(Replication *replication, const Lead *lead, const char *address)
+void snapshot_send(Replication *replication, const PeerTask *task, const char *address)
 {
-    Peer *peer = &replication->peers[lead->slot];
-    /* a peer with another history needs the newest snapshot; but of a large one some pieces may be there already,
-     * and a new one would begin from the start */
+    Peer *peer = &replication->peers[task->slot];
+    /* a peer with a divergent history needs the newest snapshot; but it may already have pieces of a large one, and a
+     * new snapshot would start from the beginning */
     if (replication->log->snapshot.kind != RECORD_SNAPSHOT ||
         (peer->reinstall && replication->log->snapshot.payload.count <= SNAPSHOT_WHOLE_BYTES))
         replication_compact_maybe(replication, true);
@@ -61,7 +61,7 @@
         return;
     }
     void *mem = talloc_new(replication);
-    InstallSnapshotAsk ask = {.holder = replication->disk, .to = lead->disk, .over = peer->reinstall};
+    InstallSnapshotAsk ask = {.holder = replication->disk, .to = task->disk, .over = peer->reinstall};
     shape_copy(&Record_shape, &replication->log->snapshot, mem, &ask.snapshot);
     const Bytes whole = ask.snapshot.payload;
     const uint64_t index = ask.snapshot.index;
@@ -73,15 +73,15 @@
     Status status;
     do {
         answer = (VoterAnswer){0};
-        status = piece_send(replication, lead, address, &ask, whole, &answer);
-    } while (!lead_peer_over(lead) && goes_on(&ask, status, &answer, ask.snapshot.payload.count));
-    if (!lead_peer_over(lead)) {
+        status = piece_send(replication, task, address, &ask, whole, &answer);
+    } while (!peer_task_over(task) && goes_on(&ask, status, &answer, ask.snapshot.payload.count));
+    if (!peer_task_over(task)) {
         if (status == STATUS_OK) {
             peer->match_index = index;
             peer->next_index = index + 1;
             peer->reinstall = false;
             log_event(replication->settings.recorder, LOG_SNAPSHOT_SENT, loop_now_ms(replication->loop),
-                      &(LogFields){.index = index, .peer_disk = lead->disk});
+                      &(LogFields){.index = index, .peer_disk = task->disk});
         } else {
             loop_sleep(replication->loop, LOCK_RENEW_MS);
         }
--- a/packages/replication/src/send_snapshot.h
+++ b/packages/replication/src/send_snapshot.h
@@ -3,8 +3,8 @@
 
 #include "leading.h"
 
-/* Waits. Sends the peer the snapshot, once; a peer that does not take it is tried again by its
- * task. A snapshot is made first where the peer needs a newer one. */
-void install_snapshot_one(Replication *replication, const Lead *lead, const char *address);
+/* Blocks. Sends the snapshot to the peer once; if that fails, the peer's task tries again. Makes a snapshot first if
+ * the peer needs a newer one. */
+void snapshot_send(Replication *replication, const PeerTask *task, const char *address);
 
 #endif
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -1,5 +1,5 @@
-/* The requests that a voter or learner answers. Each names the disk that it is meant for, since an address does not
- * identify a voter: a node with a new disk may listen at the address of an earlier one. */
+/* The handlers of the requests to a voter or learner. Each request names the disk that it is addressed to, since an
+ * address does not identify a voter: a node with a new disk may listen at the address of a former one. */
 #include <string.h>
 #include <talloc.h>
 
@@ -9,7 +9,7 @@
 #include "state.h"
 #include "voter.h"
 
-void voter_describe(const Replication *replication, void *mem, VoterAnswer *answer)
+void voter_answer_set(const Replication *replication, void *mem, VoterAnswer *answer)
 {
     *answer = (VoterAnswer){
         .promised = replication->lock.promised,
@@ -18,22 +18,22 @@
         .log_term = log_last_term(replication->log),
         .log_index = log_last_index(replication->log),
         .restarted = replication->restarted,
-        .configuration_term = replication->last.term,
-        .configuration_members_count = replication->last.members_count,
+        .configuration_term = replication->last_view.term,
+        .configuration_members_count = replication->last_view.members_count,
         .wall_ms = loop_wall_ms(replication->loop),
         .sync_ms = journal_counts(replication->journal)->last_sync_ms,
         .reach = members_reach(replication->settings.members),
         .snapshot_bytes_here = snapshot_piece_count(replication),
     };
-    answer->configuration_members = talloc_array(mem, DiskId, (unsigned)replication->last.members_count);
-    if (replication->last.members_count > 0)
-        memcpy(answer->configuration_members, replication->last.members,
-               replication->last.members_count * sizeof(DiskId));
+    answer->configuration_members = talloc_array(mem, DiskId, (unsigned)replication->last_view.members_count);
+    if (replication->last_view.members_count > 0)
+        memcpy(answer->configuration_members, replication->last_view.members,
+               replication->last_view.members_count * sizeof(DiskId));
 }
 
-/* The log after an index, for a new leader; the whole of it where that index is not known here or is
- * of another history. */
-static void voter_log(Replication *replication, void *mem, const LogAsk *ask, LogAnswer *answer)
+/* Sets *answer to the log after an index, for a new leader; to the whole log if that index is unknown here or the entry
+ * at it differs. */
+static void log_answer_set(Replication *replication, void *mem, const LogAsk *ask, LogAnswer *answer)
 {
     const Log *log = replication->log;
     uint64_t term;
@@ -49,8 +49,8 @@
         shape_copy(&Record_shape, log_at(log, i), mem, &answer->entries[answer->entries_count++]);
 }
 
-/* Whether a request for the disk is meant for this node; 0: from an older release, which did not say. */
-static bool is_for(const Replication *replication, uint64_t to)
+/* Whether a request to the disk is addressed to this node. 0: it is from an older release, which did not send it. */
+static bool addressed_to_this_disk(const Replication *replication, uint64_t to)
 {
     return to == 0 || to == replication->disk;
 }
@@ -59,48 +59,48 @@
 {
     Replication *replication = arg;
     const ProposeAsk *ask = question;
-    if (!is_for(replication, ask->to))
+    if (!addressed_to_this_disk(replication, ask->to))
         return STATUS_OTHER_DISK;
     const Status status = voter_propose(replication, ask);
-    voter_describe(replication, mem, answer);
+    voter_answer_set(replication, mem, answer);
     return status;
 }
 
-/* The leader renews its lease, and sends its clock, its name and its commit index. */
+/* Handles MESSAGE_RENEW: the leader renews its lease, and sends its clock, its member id and its commit index. */
 static Status on_renew(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
     const RenewAsk *ask = question;
-    if (!is_for(replication, ask->to))
+    if (!addressed_to_this_disk(replication, ask->to))
         return STATUS_OTHER_DISK;
     const Status status =
         lock_renew(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop), ask->grant_ms);
     if (status == STATUS_OK) {
         replication_clock_set(replication, ask->clock_ms);
         members_set_leader(replication->settings.members, ask->term, ask->holder_id);
-        commit_follow(replication, ask->commit_index);
+        follower_commit_advance(replication, ask->commit_index);
     }
-    voter_describe(replication, mem, answer);
+    voter_answer_set(replication, mem, answer);
     return status;
 }
 
-/* The leader has given its lease up. */
+/* Handles MESSAGE_RELEASE: the leader has released its lease. */
 static Status on_release(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
     const RenewAsk *ask = question;
-    if (!is_for(replication, ask->to))
+    if (!addressed_to_this_disk(replication, ask->to))
         return STATUS_OTHER_DISK;
     if (ask->term == replication->lock.promised && ask->holder == replication->lock.holder) {
         lock_release(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop));
         replication->named_successor = ask->next == replication->disk;
-        /* the others wait, so that the named successor stands first */
+        /* the other voters wait, so that the named successor stands for election first */
         if (ask->next != 0 && !replication->named_successor &&
-            replication->rest_until_ms < loop_now_ms(replication->loop) + HANDED_MS)
-            replication->rest_until_ms = loop_now_ms(replication->loop) + HANDED_MS;
+            replication->no_election_until_ms < loop_now_ms(replication->loop) + HANDED_MS)
+            replication->no_election_until_ms = loop_now_ms(replication->loop) + HANDED_MS;
         signal_raise(replication->loop, &replication->released);
     }
-    voter_describe(replication, mem, answer);
+    voter_answer_set(replication, mem, answer);
     return STATUS_OK;
 }
 
@@ -108,10 +108,10 @@
 {
     Replication *replication = arg;
     const AppendAsk *ask = question;
-    if (!is_for(replication, ask->to))
+    if (!addressed_to_this_disk(replication, ask->to))
         return STATUS_OTHER_DISK;
     const Status status = voter_append(replication, ask);
-    voter_describe(replication, mem, answer);
+    voter_answer_set(replication, mem, answer);
     return status;
 }
 
@@ -119,10 +119,10 @@
 {
     Replication *replication = arg;
     const InstallSnapshotAsk *ask = question;
-    if (!is_for(replication, ask->to))
+    if (!addressed_to_this_disk(replication, ask->to))
         return STATUS_OTHER_DISK;
     const Status status = voter_install_snapshot(replication, ask);
-    voter_describe(replication, mem, answer);
+    voter_answer_set(replication, mem, answer);
     return status;
 }
 
@@ -130,15 +130,15 @@
 {
     Replication *replication = arg;
     const LogAsk *question = ask;
-    if (!is_for(replication, question->to))
+    if (!addressed_to_this_disk(replication, question->to))
         return STATUS_OTHER_DISK;
     if (question->term != replication->lock.promised || question->holder != replication->lock.holder)
         return STATUS_OLD_TERM;
-    voter_log(replication, mem, question, answer);
+    log_answer_set(replication, mem, question, answer);
     return STATUS_OK;
 }
 
-void voter_serve(Replication *replication)
+void voter_handlers_register(Replication *replication)
 {
     Rpc *rpc = replication->settings.rpc;
     rpc_handle(rpc, MESSAGE_PROPOSE, &ProposeAsk_shape, &VoterAnswer_shape, on_propose, replication);
--- a/packages/replication/src/serve.h
+++ b/packages/replication/src/serve.h
@@ -3,9 +3,9 @@
 
 #include "replication/replication.h"
 
-/* What a voter or learner says of itself with each answer; lists on mem. */
-void voter_describe(const Replication *replication, void *mem, VoterAnswer *answer);
+/* Sets *answer to the state that a voter or learner reports with each answer; its lists are allocated on mem. */
+void voter_answer_set(const Replication *replication, void *mem, VoterAnswer *answer);
 /* Registers the handlers of all messages of the replicated log. */
-void voter_serve(Replication *replication);
+void voter_handlers_register(Replication *replication);
 
 #endif
--- a/packages/replication/src/snapshot.c
+++ b/packages/replication/src/snapshot.c
@@ -1,5 +1,5 @@
-/* Snapshots: the state of the state machine replaces the entries that led to it, which bounds the
- * log (Raft: log compaction). */
+/* Snapshots: the state of the state machine replaces the entries that led to it, which bounds the log (Raft: log
+ * compaction). */
 #include <talloc.h>
 
 #include "disk.h"
@@ -21,13 +21,13 @@
     return status;
 }
 
-/* Whether the state was too large for a snapshot when that was last tried. */
+/* Whether the state was too large for a snapshot at the last attempt. */
 static bool state_too_large(const Replication *replication)
 {
     return replication->too_large_bytes > 0 && replication->tried_index == replication->log->base_index;
 }
 
-/* The bytes that the state takes at most: as it was last measured, and all entries since. */
+/* An upper bound of the size of the state, in bytes: its last measured size plus the size of all later entries. */
 static size_t state_most_bytes(const Replication *replication)
 {
     const Log *log = replication->log;
@@ -41,31 +41,31 @@
 {
     if (state_most_bytes(replication) + bytes <= STATE_FULL_BYTES)
         return STATUS_OK;
-    /* it may have got smaller since: most entries replace what was there, or take it away */
+    /* the state may have become smaller since: most entries replace or remove data */
     const int64_t now_ms = loop_now_ms(replication->loop);
-    if (now_ms - replication->shrunk_ms >= STATE_SHRINK_MS) {
-        replication->shrunk_ms = now_ms;
+    if (now_ms - replication->size_measured_ms >= STATE_SHRINK_MS) {
+        replication->size_measured_ms = now_ms;
         replication_compact_maybe(replication, true);
     }
     return state_most_bytes(replication) + bytes <= STATE_FULL_BYTES ? STATUS_OK : STATUS_STATE_FULL;
 }
 
-/* Whether the log is long enough for a snapshot. Both entries and bytes are bounded, since the log is read at a start,
- * sent to a peer that was away, and kept in memory. A large state is not written again for a log that is smaller
- * than it. */
-static bool long_enough(const Replication *replication)
+/* Whether the log is long enough for a snapshot. Both the number of entries and their size are bounded, since the log
+ * is read at a start, sent to a peer that was away, and kept in memory. A large state is not written again for a log
+ * that is smaller than the state. */
+static bool compaction_due(const Replication *replication)
 {
     const Log *log = replication->log;
     const size_t most =
         replication->settings.snapshot_entries > 0 ? replication->settings.snapshot_entries : LOG_SNAPSHOT_ENTRIES;
-    if (state_too_large(replication)) /* tried again once the log has got longer by as much as the state took */
+    if (state_too_large(replication)) /* retried once the log has grown by the size of the state */
         return log->bytes >= replication->tried_log_bytes + replication->too_large_bytes;
     const size_t bytes =
         log->snapshot.payload.count > LOG_SNAPSHOT_BYTES ? log->snapshot.payload.count : LOG_SNAPSHOT_BYTES;
     return log->count >= most || log->bytes >= bytes;
 }
 
-/* Whether an entry that is not delivered yet changes the voters or the view. Then list and last are not those as of
+/* Whether an undelivered entry changes the voters or the view. If so, list and last_view are newer than
  * delivered_index, and a snapshot has to wait. */
 static bool change_under_way(const Replication *replication)
 {
@@ -76,13 +76,13 @@
     return any;
 }
 
-/* The snapshot of what is delivered; its payload on mem. */
+/* Returns the snapshot as of delivered_index; its payload is allocated on mem. */
 static Record snapshot_make(Replication *replication, void *mem)
 {
     const Snapshot snapshot = {
         .voters = replication->list->voters,
         .voters_count = replication->list->voters_count,
-        .last = replication->last,
+        .last = replication->last_view,
         .state = replication->settings.state.save(replication->settings.state.arg, mem),
         .controllers = replication->list->controllers,
         .controllers_count = replication->list->controllers_count,
@@ -96,7 +96,7 @@
     return record;
 }
 
-bool log_shorten(Replication *replication)
+bool log_compact(Replication *replication)
 {
     Log *log = replication->log;
     if (replication->delivered_index <= log->base_index || change_under_way(replication))
@@ -122,6 +122,6 @@
 
 void replication_compact_maybe(Replication *replication, bool force)
 {
-    if (!replication->compacting && (force || long_enough(replication)) && log_shorten(replication))
+    if (!replication->compacting && (force || compaction_due(replication)) && log_compact(replication))
         disk_compact(replication);
 }
--- a/packages/replication/src/snapshot.h
+++ b/packages/replication/src/snapshot.h
@@ -3,8 +3,8 @@
 
 #include "replication/replication.h"
 
-/* The payload of a SNAPSHOT record: the list of voters and the last view as of its index, and
- * the state. Part of the format on disk. */
+/* The payload of a SNAPSHOT record: the list of voters, the last view and the state, all as of its index. Part of the
+ * on-disk format. */
 #define SNAPSHOT_FIELDS(X)   \
     X(LST, voters, DiskId)   \
     X(ONE, last, TermRecord) \
@@ -12,14 +12,14 @@
     X(LST, controllers, VoterController)
 SHAPE(Snapshot, SNAPSHOT_FIELDS)
 
-/* Replaces the state by that of a snapshot, and sets delivered_index to its index. Any status but OK: it is no
- * snapshot, or the state machine refused it. */
+/* Replaces the state by that of a snapshot and sets delivered_index to its index. Any status but OK: the record does
+ * not parse as a snapshot, or the state machine refused it. */
 Status replication_load(Replication *replication, const Record *snapshot);
-/* Replaces the entries that are delivered by a snapshot of the state, in memory; false: there are none, or they can't
- * be now. The journal has to be rewritten afterwards. */
-bool log_shorten(Replication *replication);
-/* Replaces the entries that are delivered by a snapshot of the state, when the log is long enough or force says so.
- * Does not wait: the journal is rewritten by a task. */
+/* Replaces the delivered entries by a snapshot of the state, in memory only: the journal has to be rewritten
+ * afterwards. Returns false if there are no such entries or no snapshot can be made now. */
+bool log_compact(Replication *replication);
+/* Replaces the delivered entries by a snapshot of the state if the log is long enough or force is set. Does not block:
+ * another task rewrites the journal. */
 void replication_compact_maybe(Replication *replication, bool force);
 
 #endif
--- a/packages/replication/src/status.c
+++ b/packages/replication/src/status.c
@@ -1,4 +1,4 @@
-/* What status pages and log lines show of the replicated log. No decision uses it. */
+/* The status of the replicated log for status pages and log lines. No decision depends on it. */
 #include <string.h>
 
 #include "learners.h"
@@ -11,13 +11,13 @@
     *commit_index = replication->commit_index;
 }
 
-/* The learners, and how many losses are borne and asked for. */
+/* Sets the rows of the learners, and the numbers of losses that are tolerated and configured. */
 static void learners_status(const Replication *replication, ReplicationStatus *status)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     MembershipInput input;
     membership_gather(replication, 0, &input);
-    status->losses_borne = membership_losses_borne(input.voters, input.now.voter_count);
+    status->losses_borne = membership_losses_tolerated(input.voters, input.now.voter_count);
     status->losses_asked = (int)(voters_wanted(replication) / 2);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
         const Peer *peer = &replication->peers[VOTER_MOST + i];
@@ -32,7 +32,7 @@
     }
 }
 
-/* The voters, the own one included. */
+/* Sets the rows of the voters, including this node. */
 static void voters_status(const Replication *replication, ReplicationStatus *status)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
--- a/packages/replication/src/step_down.c
+++ b/packages/replication/src/step_down.c
@@ -1,5 +1,5 @@
-/* Release up the lead: the lease is released at the voters, so that none of them has to wait until it
- * lapses, and one of them is named to be the next leader. */
+/* Giving up the leadership: releases the lease at the voters, so that none of them has to wait until it expires, and
+ * names one of them to be the next leader. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -9,7 +9,7 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* One MESSAGE_RELEASE in flight; its task frees it. */
+/* One MESSAGE_RELEASE in flight; freed by its task. */
 typedef struct Release {
     Replication *replication;
     RenewAsk ask;
@@ -25,7 +25,7 @@
     talloc_free(release);
 }
 
-void lead_release(Replication *replication, uint64_t next)
+void leader_release_lease(Replication *replication, uint64_t next)
 {
     for (int i = 0; i < VOTER_MOST; i++) {
         Release *release = talloc_zero(replication, Release);
@@ -40,7 +40,7 @@
     }
 }
 
-uint64_t lead_next(const Replication *replication, NextVoter which)
+uint64_t successor_choose(const Replication *replication, SuccessorKind which)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     const Peer *best = NULL;
@@ -50,7 +50,7 @@
         if (replication->voters[i] == replication->disk || !replication->in_view[i] ||
             now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
             continue;
-        if (which == NEXT_QUICK &&
+        if (which == SUCCESSOR_FAST_DISK &&
             (peer->sync_ms > VOTER_SLOW_MS / 2 || peer->append_took_ms > VOTER_SLOW_MS / 2 ||
              (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS / 2)))
             continue;
@@ -62,17 +62,17 @@
     return disk;
 }
 
-void lead_down(Replication *replication, int64_t rest_ms)
+void leader_step_down(Replication *replication, int64_t backoff_ms)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    if (rest_ms > 0)
-        replication->rest_until_ms = now_ms + rest_ms;
-    replication->lead_generation++;
+    if (backoff_ms > 0)
+        replication->no_election_until_ms = now_ms + backoff_ms;
+    replication->leadership_generation++;
     if (replication->phase != REPLICATION_FOLLOWING || replication->has_lease) {
         if (replication->has_lease) {
-            /* nothing is decided under this lease any more: the voters may grant another */
+            /* nothing is decided under this lease any more, so the voters may grant another */
             lock_release(&replication->lock, replication->term, replication->disk, now_ms);
-            lead_release(replication, lead_next(replication, NEXT_ANY));
+            leader_release_lease(replication, successor_choose(replication, SUCCESSOR_ANY));
             log_event(replication->settings.recorder, LOG_LEADER_STEPPED_DOWN, now_ms,
                       &(LogFields){.term = term_counter(replication->term)});
         }
