--- a/packages/replication/src/submit.c
+++ b/packages/replication/src/submit.c
@@ -1,4 +1,4 @@
-/* Submitting changes to the log at its leader, and waiting for their delivery. */
+/* Submission of changes to the log at the leader, and the wait for their delivery. */
 #include <talloc.h>
 
 #include "base/invariant.h"
@@ -6,20 +6,21 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* Waits during a reelection of this leader. The log's own changes do not need a view that is wide enough: they are what
- * makes it so. */
-static Status may_order(Replication *replication, uint64_t change, int64_t until_ms)
+/* Checks that this node may append a change. Blocks during a reelection of this leader. The log's own changes do not
+ * require view_wide_enough, since they are what widens the view. */
+static Status append_allowed(Replication *replication, uint64_t change, int64_t until_ms)
 {
     while (replication->phase == REPLICATION_ELECTING && replication->has_lease)
         if (!signal_wait(replication->loop, &replication->changed, until_ms))
             return STATUS_BUSY;
-    return replication_leading(replication) || (change < REPLICATION_CHANGE_FIRST && replication_may_order(replication))
+    return replication_leading(replication) ||
+                   (change < REPLICATION_CHANGE_FIRST && replication_may_append(replication))
                ? STATUS_OK
                : STATUS_NOT_LEADER;
 }
 
-/* Adds the entry to the log; its payload still belongs to the caller. */
-static Record order_add(Replication *replication, uint64_t change, Bytes payload)
+/* Appends an entry with a copy of the payload to the log. */
+static Record entry_append(Replication *replication, uint64_t change, Bytes payload)
 {
     const Record entry = {.kind = RECORD_ENTRY,
                           .term = replication->term,
@@ -32,15 +33,15 @@
     log_add(replication->log, &entry);
     if (change < REPLICATION_CHANGE_FIRST)
         replication_reread(replication);
-    signal_raise(replication->loop, &replication->grew);
+    signal_raise(replication->loop, &replication->log_grew);
     return entry;
 }
 
 Status replication_offer(Replication *replication, uint64_t change, Bytes payload)
 {
-    const Status status = may_order(replication, change, loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS);
+    const Status status = append_allowed(replication, change, loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS);
     if (status == STATUS_OK)
-        order_add(replication, change, payload);
+        entry_append(replication, change, payload);
     return status;
 }
 
@@ -67,10 +68,10 @@
 Status replication_submit(Replication *replication, uint64_t change, Bytes payload, ChangeResult *result)
 {
     const int64_t until_ms = loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS;
-    Status status = may_order(replication, change, until_ms);
+    Status status = append_allowed(replication, change, until_ms);
     if (status != STATUS_OK)
         return status;
-    const Record entry = order_add(replication, change, payload);
+    const Record entry = entry_append(replication, change, payload);
     Waiter *waiter = talloc_zero(replication, Waiter);
     waiter->term = entry.term;
     waiter->index = entry.index;
@@ -82,7 +83,7 @@
     status = waiter->done ? waiter->status : STATUS_OUTCOME_UNKNOWN;
     if (!waiter->done)
         waiter_drop(replication, waiter);
-    /* voters may have left the view while the change waited: it may be on too few disks */
+    /* voters may have left the view in the meantime, so the change may be on too few disks */
     if (status == STATUS_OK && change >= REPLICATION_CHANGE_FIRST && !view_wide_enough(replication))
         status = STATUS_OUTCOME_UNKNOWN;
     *result = waiter->result;
--- a/packages/replication/src/view_change.c
+++ b/packages/replication/src/view_change.c
@@ -1,4 +1,4 @@
-/* The view: the voters that each commit waits for. The leader changes it within its term, by a TERM entry. */
+/* The view: the voters that each commit waits for. The leader changes it within its term by a TERM entry. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -16,7 +16,7 @@
                          .holder = replication->disk,
                          .members = talloc_array(mem, DiskId, VOTER_MOST),
                          .holder_id = members_self(replication->settings.members)->id,
-                         .repair = repair || replication->last.repair};
+                         .repair = repair || replication->last_view.repair};
     for (int i = 0; i < VOTER_MOST; i++)
         if (in_view[i])
             record.members[record.members_count++].disk = replication->voters[i];
@@ -39,17 +39,17 @@
     view_entry_add(replication, in_view, false);
     replication->changed_ms = loop_now_ms(replication->loop);
     replication->view_changes++;
-    signal_raise(replication->loop, &replication->grew);
+    signal_raise(replication->loop, &replication->log_grew);
 }
 
-/* Why the voter at the place is to leave the view; null: it is to stay. spare: a majority stays without it, so that it
- * may be taken out only for being slow. */
+/* Returns the reason to remove the voter at the place from the view; NULL: none. spare: a majority remains without the
+ * voter, so that it may also be removed merely for being slow. */
 static const char *leave_reason(const Replication *replication, int place, bool spare, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
     const bool near =
         peer->match_index > 0 && peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(replication->log);
-    if (voter_dead(replication, replication->voters[place], DEAD_ANYWHERE))
+    if (voter_disk_replaced(replication, replication->voters[place], REPLACEMENT_ANY_ADDRESS))
         return "its disk is lost";
     if (now_ms - peer->answered_ms > LOCK_GRANT_MS)
         return "silent";
@@ -65,31 +65,31 @@
     return !near && now_ms - replication->changed_ms > VOTER_LATE_MS ? "far behind" : NULL;
 }
 
-/* Whether the voter at the place has nearly all of the log, answers in time and was out of the view long enough. */
-static bool may_return(const Replication *replication, int place, int64_t now_ms)
+/* Whether the voter at the place has nearly all of the log, answers in time, and was out of the view long enough. */
+static bool may_rejoin(const Replication *replication, int place, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
     const Member *member = members_find_disk(replication->settings.members, replication->voters[place]);
     return (member == NULL || !member->record.leaving) && now_ms - peer->answered_ms <= LOCK_RENEW_MS * 2 &&
            peer->append_since_ms == INT64_MAX && peer->match_index > 0 &&
            peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(replication->log) &&
-           peer->append_took_ms < VOTER_SLOW_MS / 2 && peer->sync_ms < VOTER_SLOW_MS / 2 && now_ms >= peer->return_ms &&
-           !voter_dead(replication, replication->voters[place], DEAD_ANYWHERE);
+           peer->append_took_ms < VOTER_SLOW_MS / 2 && peer->sync_ms < VOTER_SLOW_MS / 2 && now_ms >= peer->rejoin_ms &&
+           !voter_disk_replaced(replication, replication->voters[place], REPLACEMENT_ANY_ADDRESS);
 }
 
-/* The next view, while it is being decided. */
+/* The next view while it is being determined. */
 typedef struct NextView {
     bool in_view[VOTER_MOST]; /* by place */
-    size_t count;             /* voters in it */
+    size_t count;             /* number of voters in the view */
     bool changed;
 } NextView;
 
-/* Takes voters that are up to date into the view. */
-static void view_take_in(const Replication *replication, NextView *next, int64_t now_ms)
+/* Adds voters that are up to date to the view. */
+static void view_add_ready(const Replication *replication, NextView *next, int64_t now_ms)
 {
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->voters[i] != 0 && replication->voters[i] != replication->disk && !next->in_view[i] &&
-            may_return(replication, i, now_ms)) {
+            may_rejoin(replication, i, now_ms)) {
             next->in_view[i] = next->changed = true;
             next->count++;
             log_event(replication->settings.recorder, LOG_VOTER_IN, now_ms,
@@ -97,8 +97,8 @@
         }
 }
 
-/* Takes the voter at the place out of the view if it delays the others. */
-static void view_let_go(Replication *replication, NextView *next, int place, int64_t now_ms)
+/* Removes the voter at the place from the view if it delays the others. */
+static void view_remove_late(Replication *replication, NextView *next, int place, int64_t now_ms)
 {
     Peer *peer = &replication->peers[place];
     const bool spare = next->count > replication_majority(replication);
@@ -107,32 +107,32 @@
         next->in_view[place] = false;
         next->changed = true;
         next->count--;
-        peer->return_ms = now_ms + VOTER_REST_MS;
+        peer->rejoin_ms = now_ms + VOTER_REST_MS;
         peer->slow_times = 0;
         log_event(replication->settings.recorder, LOG_VOTER_OUT, now_ms,
                   &(LogFields){.peer_disk = replication->voters[place], .text = why});
         return;
     }
-    /* it restarted while in the view: another TERM entry clears that, once it is delivered there. Of a voter that was
-     * just taken in, restarted is known only after a renewal */
+    /* a voter that restarted while in the view needs another TERM entry, whose delivery clears its restarted flag. For
+     * a voter that has just been added, the flag is up to date only after a renewal */
     next->changed |= peer->restarted && now_ms - replication->changed_ms > 2 * LOCK_RENEW_MS;
 }
 
-/* Whether the peer has promised a term above this one, so that it takes nothing of this one: a voter, in the view or
- * not, or a learner, which may have been a voter before. A new term is needed then; not again before its effect shows.
- */
-static bool peer_above(const Replication *replication, int slot, int64_t now_ms)
+/* Whether the peer has promised a higher term than this one and therefore refuses everything in this term. The peer may
+ * be a voter, in the view or not, or a learner, which may have been a voter before. A new term is then needed, but not
+ * again before the effect of the previous one shows. */
+static bool peer_promised_higher(const Replication *replication, int slot, int64_t now_ms)
 {
     return replication->peers[slot].promised > replication->term && now_ms - replication->changed_ms > LOCK_RENEW_MS;
 }
 
-/* Whether a learner that answers takes nothing of this term. */
-static bool learner_above(const Replication *replication, int64_t now_ms)
+/* Whether a learner that answers refuses everything in this term. */
+static bool learner_promised_higher(const Replication *replication, int64_t now_ms)
 {
     bool above = false;
-    for (int i = VOTER_MOST; i < SLOT_MOST; i++)
+    for (int i = VOTER_MOST; i < SLOTS_MAX; i++)
         above |= slot_disk(replication, i) != 0 && now_ms - replication->peers[i].answered_ms <= 2 * LOCK_RENEW_MS &&
-                 peer_above(replication, i, now_ms);
+                 peer_promised_higher(replication, i, now_ms);
     return above;
 }
 
@@ -140,22 +140,22 @@
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     NextView next = {0};
-    bool election_needed = learner_above(replication, now_ms);
+    bool election_needed = learner_promised_higher(replication, now_ms);
     memcpy(next.in_view, replication->in_view, sizeof(next.in_view));
     for (int i = 0; i < VOTER_MOST; i++) {
         next.count += next.in_view[i];
         skip[i] = false;
     }
-    view_take_in(replication, &next, now_ms);
+    view_add_ready(replication, &next, now_ms);
     for (int i = 0; i < VOTER_MOST; i++) {
         const Peer *peer = &replication->peers[i];
         if (replication->voters[i] == 0 || replication->voters[i] == replication->disk)
             continue;
         const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
-        skip[i] = silent || voter_dead(replication, replication->voters[i], DEAD_ANYWHERE);
-        election_needed |= !skip[i] && peer_above(replication, i, now_ms);
+        skip[i] = silent || voter_disk_replaced(replication, replication->voters[i], REPLACEMENT_ANY_ADDRESS);
+        election_needed |= !skip[i] && peer_promised_higher(replication, i, now_ms);
         if (next.in_view[i])
-            view_let_go(replication, &next, i, now_ms);
+            view_remove_late(replication, &next, i, now_ms);
     }
     if (!election_needed && next.changed)
         view_change(replication, next.in_view);
--- a/packages/replication/src/view_change.h
+++ b/packages/replication/src/view_change.h
@@ -3,17 +3,18 @@
 
 #include "replication/replication.h"
 
-/* The view: the voters that each commit waits for, at least a majority (like the in-sync
- * replicas of primary-backup replication). Recorded by an entry of its own. Not the list of voters
- * (voter_list.h): a voter outside the view keeps its vote. Nothing here waits. */
+/* The view: the voters that each commit waits for, at least a majority (like the in-sync replicas of primary-backup
+ * replication). Each view is recorded by a log entry. The view differs from the list of voters (voter_list.h): a voter
+ * outside the view keeps its vote. No function here blocks. */
 
-/* Adds a TERM entry with these voters, by place, as the view. repair: as in TermRecord. */
+/* Appends a TERM entry that makes these voters, by place, the view. repair: as in TermRecord. */
 void view_entry_add(Replication *replication, const bool in_view[VOTER_MOST], bool repair);
-/* Changes the view in the same term. What was ordered before is committed together with the
- * change, so that the last view recorded has all of it. */
+/* Changes the view within the term. Entries appended earlier are committed together with the change, so every member of
+ * the last recorded view has all of them. */
 void view_change(Replication *replication, const bool in_view[VOTER_MOST]);
-/* The leader takes voters that are up to date into the view, and late ones out of it as long as a majority stays. True:
- * a voter has promised a higher term, so that a new election is needed; skip is filled in for it. */
+/* At the leader: adds voters that are up to date to the view, and removes late ones as long as a majority remains.
+ * Returns true if a peer has promised a higher term, so that a new election is needed; skip (out) is for that
+ * election. */
 bool view_update(Replication *replication, bool skip[VOTER_MOST]);
 
 #endif
--- a/packages/replication/src/voter.h
+++ b/packages/replication/src/voter.h
@@ -3,39 +3,39 @@
 
 #include "replication/replication.h"
 
-/* The part of a voter or learner: what it promises, and the log that it keeps. OK is returned
- * only once all that is answered for is synced on the own disk. */
+/* The role of a voter or learner: its promises, and the log that it keeps. OK is returned only after everything that
+ * the answer vouches for has been synced to this node's disk. */
 
 /* --- promises (promise.c) --- */
 
-/* Waits for the disk. Promises the term to the asking node; term 0: only a pre-vote. NO_VOTER: the asking node or
- * this one is no voter; OLD_TERM, OTHER_HOLDER, RESTARTED: as lock_may_promise; DISK_FAILED. */
+/* Blocks on disk I/O. Promises the term to the candidate; term 0: a pre-vote only. NO_VOTER: the candidate or this node
+ * is not a voter; OLD_TERM, OTHER_HOLDER, RESTARTED: as in lock_may_promise; DISK_FAILED. */
 Status voter_propose(Replication *replication, const ProposeAsk *ask);
-/* Whether the sender of an append or snapshot is the leader of the promised term or a higher
- * one. A higher one is promised, and its record added to records, which the caller must sync.
- * OLD_TERM, OTHER_HOLDER: it is not. */
+/* Checks that the sender of an append or snapshot is the leader of the promised term or of a higher one. A higher term
+ * is promised, and the record of the promise is added to records, which the caller must sync. OLD_TERM, OTHER_HOLDER:
+ * the sender is not that leader. */
 Status leader_accept(Replication *replication, uint64_t term, uint64_t holder, Record *records, size_t *count);
 
 /* --- the log (append.c, install_snapshot.c) --- */
 
-/* Waits for the disk. Raft's AppendEntries. LOG_GAP: the log does not match at the entry before
- * these; OTHER_HISTORY: they would replace what is committed. */
+/* Blocks on disk I/O. Handles Raft's AppendEntries. LOG_GAP: the log does not match at the entry before these;
+ * OTHER_HISTORY: they would replace committed entries. */
 Status voter_append(Replication *replication, const AppendAsk *ask);
-/* Refuses, with OTHER_HISTORY, a request to drop committed entries from index on; it is logged and counted. Only where
- * disks keep what they have synced. */
-Status history_refuse(Replication *replication, uint64_t index);
-/* Waits for the disk. Raft's InstallSnapshot, whole or one piece. Statuses of snapshot_piece_take and leader_accept. */
+/* Refuses a request to drop committed entries from index on: counts and logs it, and returns OTHER_HISTORY. Only for
+ * disks that keep what they have synced. */
+Status history_conflict_refuse(Replication *replication, uint64_t index);
+/* Blocks on disk I/O. Handles Raft's InstallSnapshot, with the whole snapshot or one piece. Returns the statuses of
+ * snapshot_piece_take and leader_accept. */
 Status voter_install_snapshot(Replication *replication, const InstallSnapshotAsk *ask);
-/* Waits for the disk. Puts the snapshot and what follows it in the place of the whole log, in
- * one write. */
+/* Blocks on disk I/O. Replaces the whole log by the snapshot and the entries after it, in one write. */
 Status voter_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count);
-/* Takes a snapshot or a piece of one. OK: whole is the complete snapshot, its payload owned by ask or by
- * incoming_snapshot; BUSY: more pieces must come; LOG_GAP: another piece is wanted; BAD_FRAME: a length or the
+/* Accepts a snapshot or a piece of one. OK: *whole is the complete snapshot, its payload owned by ask or by
+ * incoming_snapshot; BUSY: more pieces are needed; LOG_GAP: a different piece is expected; BAD_FRAME: a length or the
  * checksum is wrong. */
 Status snapshot_piece_take(Replication *replication, const InstallSnapshotAsk *ask, Record *whole);
-/* Forgets the pieces that have arrived. */
+/* Discards the pieces received so far. */
 void snapshot_piece_drop(Replication *replication);
-/* How many bytes of a snapshot have arrived. */
+/* The number of bytes received of an incoming snapshot. */
 uint64_t snapshot_piece_count(const Replication *replication);
 
 #endif
--- a/packages/replication/src/voter_list.c
+++ b/packages/replication/src/voter_list.c
@@ -1,5 +1,5 @@
-/* The list of voters, from the newest entry of the log that has one, committed or not; and the address of each voter.
- */
+/* The list of voters, from the newest entry of the log that holds one, committed or not; and the address of each
+ * voter. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -40,21 +40,21 @@
     return slot >= VOTER_MOST ? replication->learners[slot - VOTER_MOST].disk : replication->voters[slot];
 }
 
-void voters_first(Replication *replication)
+void voter_list_init(Replication *replication)
 {
     replication->founded = talloc_zero(replication, VoterList);
     replication->list = talloc_zero(replication, VoterList);
     lock_lease_clear(&replication->lease);
 }
 
-void voters_founded(Replication *replication, const VoterList *list)
+void voter_list_set_initial(Replication *replication, const VoterList *list)
 {
     talloc_free(replication->founded);
     replication->founded = talloc_zero(replication, VoterList);
     shape_copy(&VoterList_shape, list, replication->founded, replication->founded);
 }
 
-void voters_take(Replication *replication, const VoterList *list, uint64_t index)
+void voter_list_set(Replication *replication, const VoterList *list, uint64_t index)
 {
     VoterList *copy = talloc_zero(replication, VoterList);
     shape_copy(&VoterList_shape, list, copy, copy);
@@ -79,39 +79,40 @@
     replication->lease.voters = replication->voter_count;
 }
 
-/* Takes a copy as the last view. */
+/* Makes a copy of the record the last view. */
 static void last_set(Replication *replication, const TermRecord *record)
 {
-    talloc_free(replication->last_mem);
-    replication->last_mem = talloc_new(replication);
-    shape_copy(&TermRecord_shape, record, replication->last_mem, &replication->last);
+    talloc_free(replication->last_view_mem);
+    replication->last_view_mem = talloc_new(replication);
+    shape_copy(&TermRecord_shape, record, replication->last_view_mem, &replication->last_view);
 }
 
-/* A list known to be committed may only be followed by later ones. Should the log hold an older one,
- * the disk has lost something: this node votes no more. */
+/* Checks that a list known to be committed is followed by later ones only. If the log holds an older one, the disk has
+ * lost data, and this node stops voting. */
 static void list_check(Replication *replication, uint64_t index)
 {
-    if (replication->list_index <= replication->commit_index && replication->list_index > replication->list_committed)
-        replication->list_committed = replication->list_index;
-    if (!replication->settings.disks_keep || index >= replication->list_committed || replication->list_went_back)
+    if (replication->list_index <= replication->commit_index &&
+        replication->list_index > replication->list_committed_index)
+        replication->list_committed_index = replication->list_index;
+    if (!replication->settings.disks_keep || index >= replication->list_committed_index || replication->list_reverted)
         return;
-    replication->list_went_back = true;
+    replication->list_reverted = true;
     recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                    "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more",
-                   replication->list_committed, index);
+                   replication->list_committed_index, index);
 }
 
-/* The list of voters and the last view, searched from the end of the log. */
-typedef struct Reread {
+/* The state of searching the log backwards for the list of voters and the last view. */
+typedef struct VoterScan {
     void *mem;
     VoterList list;
-    uint64_t list_index; /* of the entry, or of the snapshot */
+    uint64_t list_index; /* of the entry or of the snapshot */
     TermRecord last;
     bool list_found, last_found;
     bool repaired; /* a REPAIRED entry follows the last view */
-} Reread;
+} VoterScan;
 
-static void reread_entry(Reread *reread, const Record *entry)
+static void voter_scan_entry(VoterScan *reread, const Record *entry)
 {
     if (entry->change == REPLICATION_CHANGE_VOTERS && !reread->list_found &&
         shape_unpack(&VoterList_shape, entry->payload, reread->mem, &reread->list, NULL) == STATUS_OK) {
@@ -125,8 +126,8 @@
             shape_unpack(&TermRecord_shape, entry->payload, reread->mem, &reread->last, NULL) == STATUS_OK;
 }
 
-/* Takes from the snapshot what no entry had. */
-static void reread_snapshot(Reread *reread, const Log *log)
+/* Takes from the snapshot what was found in no entry. */
+static void voter_scan_snapshot(VoterScan *reread, const Log *log)
 {
     Snapshot snapshot;
     if ((reread->list_found && reread->last_found) || log->snapshot.kind != RECORD_SNAPSHOT ||
@@ -142,7 +143,7 @@
     reread->list_found = reread->last_found = true;
 }
 
-static void voters_log(const Replication *replication)
+static void voters_changed_log(const Replication *replication)
 {
     char text[LOG_TEXT_BYTES];
     snprintf(text, sizeof(text), "%zu voters", replication->voter_count);
@@ -153,24 +154,24 @@
 void replication_reread(Replication *replication)
 {
     const Log *log = replication->log;
-    Reread reread = {.mem = talloc_new(replication)};
+    VoterScan reread = {.mem = talloc_new(replication)};
     for (size_t i = log->count; i > 0 && !(reread.list_found && reread.last_found); i--)
-        reread_entry(&reread, &log->entries[i - 1]);
-    reread_snapshot(&reread, log);
+        voter_scan_entry(&reread, &log->entries[i - 1]);
+    voter_scan_snapshot(&reread, log);
     list_check(replication, reread.list_index);
     uint64_t before[VOTER_MOST];
     memcpy(before, replication->voters, sizeof(before));
-    voters_take(replication, reread.list_found ? &reread.list : replication->founded, reread.list_index);
+    voter_list_set(replication, reread.list_found ? &reread.list : replication->founded, reread.list_index);
     if (memcmp(before, replication->voters, sizeof(before)) != 0)
-        voters_log(replication);
+        voters_changed_log(replication);
     if (reread.last_found) {
         last_set(replication, &reread.last);
-        replication->last.repair &= !reread.repaired;
+        replication->last_view.repair &= !reread.repaired;
     }
     talloc_free(reread.mem);
 }
 
-/* The disk's controller when the disk became a voter; null: it is not in the list. */
+/* The controller that had the disk when the disk became a voter; NULL: the disk is not in the list. */
 static const VoterController *controller_of(const Replication *replication, uint64_t disk)
 {
     for (size_t i = 0; i < replication->list->controllers_count; i++)
@@ -179,7 +180,7 @@
     return NULL;
 }
 
-VoterList *voters_of(const Replication *replication, void *mem, const uint64_t disks[], size_t count)
+VoterList *voter_list_new(const Replication *replication, void *mem, const uint64_t disks[], size_t count)
 {
     VoterList *list = talloc_zero(mem, VoterList);
     list->voters = talloc_zero_array(list, DiskId, (unsigned)count);
@@ -201,7 +202,7 @@
     return list;
 }
 
-VoterList *voters_with(const Replication *replication, void *mem, int place, uint64_t disk)
+VoterList *voter_list_with(const Replication *replication, void *mem, int place, uint64_t disk)
 {
     uint64_t disks[VOTER_MOST];
     size_t count = 0;
@@ -210,7 +211,7 @@
         if (disks[i] != 0)
             count = (size_t)i + 1;
     }
-    return voters_of(replication, mem, disks, count);
+    return voter_list_new(replication, mem, disks, count);
 }
 
 bool voter_address(const Replication *replication, int place, char address[ADDRESS_MAX])
@@ -224,13 +225,14 @@
     return disk != 0 && address[0] != '\0';
 }
 
-bool voter_dead(const Replication *replication, uint64_t disk, DeadWhere where)
+bool voter_disk_replaced(const Replication *replication, uint64_t disk, ReplacementAddress where)
 {
     const VoterController *controller = controller_of(replication, disk);
     if (controller == NULL || controller->name[0] == '\0')
         return false;
     const Member *other = members_other_disk(replication->settings.members, controller->name, disk);
-    return other != NULL && (where == DEAD_ANYWHERE || strcmp(other->record.address, controller->address) == 0);
+    return other != NULL &&
+           (where == REPLACEMENT_ANY_ADDRESS || strcmp(other->record.address, controller->address) == 0);
 }
 
 const char *voter_zone(const Replication *replication, uint64_t disk)
--- a/packages/replication/src/voters.c
+++ b/packages/replication/src/voters.c
@@ -1,4 +1,4 @@
-/* What the leader knows of voters and learners, as input for the choice of the next change (membership.h). */
+/* What the leader knows about voters and learners, as input for the choice of the next change (membership.h). */
 #include <string.h>
 
 #include "learners.h"
@@ -6,13 +6,13 @@
 #include "voter_list.h"
 #include "voters.h"
 
-/* For how long a voter may be silent before it is replaced by a learner that is ready: a part of the time in
- * which a lost voter has to be replaced, but no less than its lease may run. */
+/* How long a voter may be silent before it is replaced by a ready learner, in ms: a fraction of the time within which a
+ * lost voter must be replaced, but no less than the longest possible lease. */
 static int64_t silent_most_ms(const Replication *replication, const Member *member)
 {
     if (member != NULL && member->record.leaving)
         return 2 * LOCK_RENEW_MS;
-    const int64_t part_ms = replication_back_ms(replication) / VOTER_SILENT_PART;
+    const int64_t part_ms = voter_replace_ms(replication) / VOTER_SILENT_PART;
     return part_ms > LOCK_GRANT_MS + LOCK_RENEW_MS ? part_ms : LOCK_GRANT_MS + LOCK_RENEW_MS;
 }
 
@@ -28,19 +28,19 @@
     const uint64_t disk = replication->voters[place];
     if (disk == 0 || disk == replication->disk || replication->in_view[place])
         return false;
-    if (voter_dead(replication, disk, DEAD_ANYWHERE))
+    if (voter_disk_replaced(replication, disk, REPLACEMENT_ANY_ADDRESS))
         return true;
     const Member *member = members_find_disk(replication->settings.members, disk);
     const int64_t refuses_ms = replication->peers[place].refuses_since_ms;
     if (refuses_ms != INT64_MAX && loop_now_ms(replication->loop) - refuses_ms > silent_most_ms(replication, member))
-        return true; /* it answers, and grants leases, but its disk holds nothing new */
+        return true; /* it answers and grants leases, but its disk stores nothing new */
     int64_t heard_ms = member != NULL ? member->seen_ms : replication->won_ms;
     if (replication->peers[place].answered_ms > heard_ms)
         heard_ms = replication->peers[place].answered_ms;
     return loop_now_ms(replication->loop) - heard_ms > silent_most_ms(replication, member);
 }
 
-/* What is known of voters and learners alike. */
+/* The part of MemberState that applies to voters and learners alike. */
 static MemberState state_of(const Replication *replication, uint64_t disk)
 {
     const Member *member = members_find_disk(replication->settings.members, disk);
@@ -69,7 +69,8 @@
         *voter = state_of(replication, replication->voters[i]);
         voter->live = voter_live(replication, i) && (voter->self || replication->peers[i].contact >= contact);
         voter->lost = voter_lost(replication, i);
-        voter->dead = voter->lost && voter_dead(replication, replication->voters[i], DEAD_ANYWHERE);
+        voter->disk_lost =
+            voter->lost && voter_disk_replaced(replication, replication->voters[i], REPLACEMENT_ANY_ADDRESS);
         input->places[input->now.voter_count++] = i;
     }
     for (size_t i = 0; i < LEARNER_MOST; i++) {
--- a/packages/replication/src/watch.h
+++ b/packages/replication/src/watch.h
@@ -3,7 +3,7 @@
 
 #include "replication/replication.h"
 
-/* Spawns the task that, while this node leads, checks its lease, its disk and the view, and that stands for election
+/* Spawns the task that checks the lease, the disk and the view while this node leads, and that stands for election
  * while this node is a voter and knows no leader. */
 void replication_watch(Replication *replication);
 
--- a/packages/replication/src/window.c
+++ b/packages/replication/src/window.c
@@ -1,4 +1,4 @@
-/* What a checker of safety properties sees of the replicated log. */
+/* Read access to the state of the replicated log for checkers of safety properties. */
 #include "replication/window.h"
 
 #include <talloc.h>
--- a/packages/replication/test/commit.c
+++ b/packages/replication/test/commit.c
@@ -1,6 +1,6 @@
-/* Up to which entry a leader's log is committed, by what its voters have synced: the leader of a term counts no entry
- * of an earlier term before the first one of its own is synced (Raft 5.4.2), and counts a majority as well as the view.
- */
+/* Tests of the commit index at a leader, as a function of what its voters have synced: entries of an earlier term are
+ * not committed before the first entry of the leader's own term is (Raft 5.4.2), and a commit needs a majority as well
+ * as the view. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,10 +15,10 @@
 
 #define VOTERS 5
 #define TERM 2
-#define EARLIER 3 /* count; entries of the term before */
+#define EARLIER 3 /* number of entries of the earlier term */
 
-/* The fixture: a leader of five voters, which are all in the view. Its log has three entries of an earlier term and the
- * first of its own. */
+/* The fixture: a leader of five voters, all of them in the view. Its log has three entries of an earlier term and the
+ * first entry of its own term. */
 typedef struct Leader {
     SimWorld *world;
     Replication *replication;
@@ -75,17 +75,17 @@
     return 0;
 }
 
-/* Each of the other voters has synced up to its index; what is committed then. */
+/* Lets each of the other voters have synced up to its index. Returns the resulting commit index. */
 static uint64_t committed(Replication *replication, const uint64_t synced[VOTERS - 1])
 {
     for (int i = 1; i < VOTERS; i++)
         replication->peers[i].match_index = synced[i - 1];
-    lead_commit(replication);
+    leader_commit_advance(replication);
     return replication->commit_index;
 }
 
-/* All have all entries of the earlier term: another leader's log, whose last entry is of a term in between, may still
- * take their place. */
+/* All voters having the entries of the earlier term is not enough: the log of another leader, whose last entry is of a
+ * term in between, may still replace them. */
 static void entries_of_earlier_terms_wait(void **state)
 {
     Replication *replication = ((Leader *)*state)->replication;
@@ -95,7 +95,7 @@
                      EARLIER + 1);
 }
 
-/* A commit waits for each voter in the view, ... */
+/* A commit waits for every voter in the view. */
 static void all_in_the_view_count(void **state)
 {
     Replication *replication = ((Leader *)*state)->replication;
@@ -104,7 +104,7 @@
     assert_int_equal(committed(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, EARLIER + 1, EARLIER}), EARLIER + 1);
 }
 
-/* ... and for a majority of the voters where the view is smaller. */
+/* A commit waits for a majority of the voters, even if the view is smaller. */
 static void a_majority_counts(void **state)
 {
     Replication *replication = ((Leader *)*state)->replication;
--- a/packages/replication/test/membership.c
+++ b/packages/replication/test/membership.c
@@ -1,6 +1,6 @@
-/* The choice of the next change of membership, on a model: from every state of one to six voters, one change after
- * another is applied as it is chosen, until none is due. No change makes the voters bear fewer losses, or fewer disks
- * that are lost for good, than before. */
+/* Tests of the choice of the next membership change, on a model: starting from every state of one to six voters, each
+ * chosen change is applied until none is due. No change may lower the number of losses, or of permanently lost disks,
+ * that the voters tolerate. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,11 +12,11 @@
 #include "replication/membership.h"
 
 #define LEARNERS 2
-#define STEPS_MOST 24 /* count; more changes than this in a row never end */
+#define STEPS_MOST 24 /* limit of changes in a row; more are taken for an endless sequence */
 
 static const char *const ZONES[] = {"a", "b", "c"};
 
-/* The fixture: voters and learners, and how many voters are wanted. */
+/* The fixture: the voters and learners, and the number of voters wanted. */
 typedef struct Model {
     MemberState voters[VOTER_MOST + 1], learners[LEARNERS];
     size_t voter_count, learner_count, wanted;
@@ -27,8 +27,7 @@
     return (Membership){model->voters, model->voter_count, model->learners, model->learner_count, model->wanted};
 }
 
-/* Takes the change as committed: a learner that was added is in the view, a voter that was removed is gone from the
- * model. */
+/* Applies the change as committed: an added learner is in the view, a removed voter is no longer in the model. */
 static void apply(Model *model, MembershipChange change)
 {
     if (change.step == MEMBERSHIP_ADD) {
@@ -42,7 +41,7 @@
     }
 }
 
-/* On how many disks an acknowledged change is synced at least, by the rule that a leader keeps. */
+/* The minimum number of disks on which an acknowledged change is synced, by the rule that a leader follows. */
 static size_t copies_of(const Model *model)
 {
     const size_t majority = lock_majority(model->voter_count > VOTER_FIRST ? model->voter_count : VOTER_FIRST);
@@ -50,8 +49,8 @@
     return asked < majority ? asked : majority;
 }
 
-/* Applies changes until none is due. After each the voters bear as many losses as before it, and what is acknowledged
- * is on as many disks. */
+/* Applies changes until none is due. After each change the voters must tolerate at least as many losses as before, and
+ * acknowledged changes must be on at least as many disks. */
 static void settle(Model *model)
 {
     for (int step = 0; step < STEPS_MOST; step++) {
@@ -59,8 +58,8 @@
         const MembershipChange change = membership_next(&now);
         if (change.step == MEMBERSHIP_KEEP)
             return;
-        const int before = membership_losses_borne(model->voters, model->voter_count);
-        const int disks_before = membership_disks_borne(model->voters, model->voter_count);
+        const int before = membership_losses_tolerated(model->voters, model->voter_count);
+        const int disks_before = membership_disk_losses_tolerated(model->voters, model->voter_count);
         const size_t copies = copies_of(model);
         if (change.step == MEMBERSHIP_REMOVE)
             assert_false(model->voters[change.index].self);
@@ -69,17 +68,17 @@
         assert_true(before >= 0); /* without a majority nothing can be committed */
         apply(model, change);
         assert_in_range(model->voter_count, 1, VOTER_MOST);
-        assert_true(membership_losses_borne(model->voters, model->voter_count) >= before);
-        assert_true(membership_disks_borne(model->voters, model->voter_count) >= disks_before);
+        assert_true(membership_losses_tolerated(model->voters, model->voter_count) >= before);
+        assert_true(membership_disk_losses_tolerated(model->voters, model->voter_count) >= disks_before);
         assert_true(copies_of(model) >= copies);
     }
-    fail_msg("%d changes in a row and no end", STEPS_MOST);
+    fail_msg("a change is still due after %d changes", STEPS_MOST);
 }
 
 #define KINDS 5
 
-/* A state by number: each digit of kinds is a voter that is alive, alive and leaving, silent, silent for too long, or
- * one whose disk is lost; the first one is the leader, which is alive. */
+/* Returns the state with this number: each base-KINDS digit of kinds makes a voter alive, alive and leaving, silent,
+ * silent for too long, or one whose disk is lost. The first voter is the leader, which is always alive. */
 static Model model_of(size_t voter_count, unsigned kinds, size_t learner_count, size_t wanted)
 {
     Model model = {.voter_count = voter_count, .learner_count = learner_count, .wanted = wanted};
@@ -91,7 +90,7 @@
                                         .live = kind < 2,
                                         .leaving = kind == 1,
                                         .lost = kind >= 3,
-                                        .dead = kind == 4};
+                                        .disk_lost = kind == 4};
     }
     for (size_t i = 0; i < learner_count && i < LEARNERS; i++)
         model.learners[i] = (MemberState){.disk = 100 + i, .zone = ZONES[i], .ready = true, .steady = true};
@@ -114,13 +113,13 @@
             for (size_t learners = 0; learners <= LEARNERS; learners++)
                 for (unsigned kinds = 0; kinds < power(KINDS, voters); kinds++) {
                     Model model = model_of(voters, kinds, learners, wanted);
-                    if (membership_losses_borne(model.voters, model.voter_count) >= 0)
+                    if (membership_losses_tolerated(model.voters, model.voter_count) >= 0)
                         settle(&model);
                 }
 }
 
-/* With one learner ready, the loss of any one voter, or its leaving, is made good: as many losses are borne afterwards
- * as before it, and that voter votes no more. */
+/* With one ready learner, the loss or the leaving of any one voter is compensated: afterwards the voters tolerate as
+ * many losses as before, and that voter is no longer in the list. */
 static void ready_learner_makes_loss_good(void **state)
 {
     (void)state;
@@ -130,33 +129,33 @@
                 Model model = model_of(wanted, 0, 1, wanted);
                 model.learners[0].steady = false;
                 model.voters[lost].lost = kind < 2;
-                model.voters[lost].dead = kind == 1;
+                model.voters[lost].disk_lost = kind == 1;
                 model.voters[lost].live = kind == 2;
                 model.voters[lost].leaving = kind == 2;
                 const uint64_t disk = model.voters[lost].disk;
                 settle(&model);
                 assert_int_equal(model.voter_count, wanted);
-                assert_int_equal(membership_losses_borne(model.voters, model.voter_count), (int)wanted / 2);
+                assert_int_equal(membership_losses_tolerated(model.voters, model.voter_count), (int)wanted / 2);
                 for (size_t i = 0; i < model.voter_count; i++)
                     assert_true(model.voters[i].disk != disk);
             }
 }
 
-/* Why a successor is added first: a voter that is alive, removed before that, leaves a list that bears one loss less.
+/* The reason to add a successor first: removing a live voter before that leaves a list that tolerates one loss fewer.
  */
 static void removal_before_addition_bears_less(void **state)
 {
     (void)state;
     for (size_t count = 3; count <= VOTER_MOST; count += 2) {
         Model model = model_of(count, 0, 1, count);
-        const int before = membership_losses_borne(model.voters, model.voter_count);
+        const int before = membership_losses_tolerated(model.voters, model.voter_count);
         apply(&model, (MembershipChange){MEMBERSHIP_REMOVE, 1});
-        assert_int_equal(membership_losses_borne(model.voters, model.voter_count), before - 1);
+        assert_int_equal(membership_losses_tolerated(model.voters, model.voter_count), before - 1);
     }
 }
 
-/* Why it is so for a silent voter as well: removed first it leaves a list that bears one lost disk less, though it
- * might have returned. */
+/* The reason to do the same for a silent voter: removing it first leaves a list that tolerates one permanently lost
+ * disk fewer, although the voter might have returned. */
 static void removal_of_a_silent_voter_bears_a_disk_less(void **state)
 {
     (void)state;
@@ -164,13 +163,13 @@
         Model model = model_of(count, 0, 1, count);
         model.voters[1].live = false;
         model.voters[1].lost = true;
-        const int before = membership_disks_borne(model.voters, model.voter_count);
+        const int before = membership_disk_losses_tolerated(model.voters, model.voter_count);
         apply(&model, (MembershipChange){MEMBERSHIP_REMOVE, 1});
-        assert_int_equal(membership_disks_borne(model.voters, model.voter_count), before - 1);
+        assert_int_equal(membership_disk_losses_tolerated(model.voters, model.voter_count), before - 1);
     }
 }
 
-/* A leader that is leaving has its successor added and removes nobody: the next leader removes it. */
+/* A leader that is leaving adds its successor and removes no voter: the next leader removes it. */
 static void leaving_leader_is_removed_by_the_next(void **state)
 {
     (void)state;
@@ -187,7 +186,8 @@
         assert_false(model.voters[i].leaving);
 }
 
-/* Two votes in one zone and none in that of a learner which has been ready for long: it takes one over, once only. */
+/* With two voters in one zone and none in the zone of a learner that has been ready for long, the learner replaces one
+ * of them, and only one. */
 static void vote_moves_to_zone_without_votes(void **state)
 {
     (void)state;
--- a/packages/replication/test/old_disk.c
+++ b/packages/replication/test/old_disk.c
@@ -1,6 +1,6 @@
-/* What a release before wrote on its disks is read by this one as it was meant: the journals of
- * packages/replication/test/fixtures. No value here may ever follow a change of the sources: it is the format that has
- * changed then, and the disks of releases before are not read any more. */
+/* Checks that this release reads the journals of an earlier release (packages/replication/test/fixtures) with their
+ * original meaning. No expected value here may be adapted to a change of the sources: a failure means that the format
+ * has changed and that disks of earlier releases can no longer be read. */
 #include <inttypes.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,17 +19,17 @@
 #define DISK3 UINT64_C(8630311504119448803)
 #define DISK4 UINT64_C(1762622527523423208)
 #define TERM1 1694970 /* core1 leads */
-#define TERM2 2189206 /* core2 does */
+#define TERM2 2189206 /* core2 leads */
 
 /* --- records --------------------------------------------------------------------------- */
 
-/* Records as they stand in the file, their kinds and changes as numbers: these are the format. */
+/* A record as stored in the file, with its kind and change as numbers, which are part of the format. */
 typedef struct Row {
     uint64_t kind, term, index;
     int64_t at_ms;
     uint64_t change;
     const char *name;
-    size_t count; /* bytes of the payload, and their checksum */
+    size_t count; /* size of the payload in bytes, and its checksum */
     uint32_t checksum;
 } Row;
 
@@ -51,7 +51,7 @@
     {4, TERM1, 26, 10591, 25, "", 19, 0x2caa687d},  {4, TERM1, 27, 10606, 22, "", 13, 0x9cb83819},
 };
 
-/* As the leader has them that was cut off: under the second term entry 29 and what follows it came anew. */
+/* The records of the leader that was cut off: in the second term, entry 29 and the entries after it were replaced. */
 static const Row TRIMMED[] = {
     {1, 1, DISK1, 0, 0, "core1", 0, 0x00000000},   {2, CLUSTER, 0, 0, 0, "", 49, 0x60e6d9c8},
     {3, TERM1, DISK1, 0, 0, "", 0, 0x00000000},    {6, TERM1, 27, 10891, 0, "", 1223, 0x3d8a74b4},
@@ -102,9 +102,9 @@
     assert_records("trimmed-core1", TRIMMED, sizeof(TRIMMED) / sizeof(TRIMMED[0]));
 }
 
-/* --- one controller, which nobody reaches ------------------------------------------------------ */
+/* --- one isolated controller ------------------------------------------------------ */
 
-/* What each controller knows of a voter: its disk, and where it was founded or given the vote. */
+/* What each controller knows about a voter: its disk, and the node that had the disk when it became a voter. */
 typedef struct Voter {
     uint64_t disk;
     const char *name, *zone, *address;
@@ -115,15 +115,15 @@
 static const Voter CONTROLLER3 = {DISK3, "core3", "west", "10.0.0.3:7000"};
 static const Voter CONTROLLER4 = {DISK4, "core4", "north", "10.0.0.4:7000"};
 
-/* What a journal is to be read as. */
+/* The expected state after reading a journal. */
 typedef struct Known {
     const char *name;
     int controller;
     uint64_t disk, base_term, base_index, last_term, last_index;
     uint64_t promised, holder, list_index;
-    const Voter *first;        /* the first of the voters; the second and third are always the same */
-    const char *leader_id;     /* of the last view recorded */
-    uint64_t term_entry_index; /* an entry that says who is in the view */
+    const Voter *first;        /* the first voter; the second and third are the same in all fixtures */
+    const char *leader_id;     /* of the last recorded view */
+    uint64_t term_entry_index; /* an entry that records a view; 0: none is checked */
     size_t torn_bytes;
 } Known;
 
@@ -131,14 +131,15 @@
 #define LEADER2 "core2@4b435c8f74616796"
 
 static const Known KNOWN[] = {
-    /* entries alone, of a voter that has promised the lease to core1, and of a learner */
+    /* entries only: those of a voter that has promised the term to core1, and those of a learner */
     {"entries-core2", 1, DISK2, TERM1, 1, TERM1, 27, TERM1, DISK1, 3, &CONTROLLER1, LEADER1, 4, 0},
     {"entries-core4", 3, DISK4, TERM1, 1, TERM1, 27, TERM1, DISK1, 3, &CONTROLLER1, LEADER1, 4, 0},
-    /* a snapshot and one entry more; with a record of a release before; the entry is torn */
+    /* a snapshot and one entry; the same with a record that only earlier releases wrote; the same with the entry torn
+     */
     {"snapshot-core1", 0, DISK1, TERM1, 27, TERM1, 28, TERM1, DISK1, 27, &CONTROLLER1, LEADER1, 0, 0},
     {"commit-core1", 0, DISK1, TERM1, 27, TERM1, 28, TERM1, DISK1, 27, &CONTROLLER1, LEADER1, 0, 0},
     {"torn-core1", 0, DISK1, TERM1, 27, TERM1, 27, TERM1, DISK1, 27, &CONTROLLER1, LEADER1, 0, 96},
-    /* a leader that is cut off has entry 29; later that is trimmed, and core4 has its place */
+    /* a leader that is cut off has entry 29; later that entry is trimmed, and core4 has replaced core1 as a voter */
     {"cut-core1", 0, DISK1, TERM1, 27, TERM1, 29, TERM1, DISK1, 27, &CONTROLLER1, LEADER1, 0, 0},
     {"trimmed-core1", 0, DISK1, TERM1, 27, TERM2, 32, TERM2, DISK2, 31, &CONTROLLER4, LEADER2, 32, 0},
     {"trimmed-core3", 2, DISK3, TERM1, 26, TERM2, 32, TERM2, DISK2, 31, &CONTROLLER4, LEADER2, 32, 0},
@@ -162,7 +163,7 @@
     assert_voter(list, 2, &CONTROLLER3);
 }
 
-/* core1 founded the cluster alone. */
+/* Checks that core1 founded the cluster as its only voter. */
 static void assert_founded(const VoterList *list)
 {
     assert_int_equal(list->voters_count, 1);
@@ -172,7 +173,7 @@
 
 static void assert_view(const Replication *replication, const Known *known)
 {
-    const TermRecord *last = &replication->last;
+    const TermRecord *last = &replication->last_view;
     assert_int_equal(last->term, known->last_term);
     assert_int_equal(last->holder, known->holder);
     assert_string_equal(last->holder_id, known->leader_id);
@@ -228,7 +229,7 @@
 {
     Start *start = arg;
     Journal *journal;
-    const JournalSettings settings = {.path = PATH, .node_name = start->node, .disk_keeps = true};
+    const JournalSettings settings = {.path = PATH, .node_name = start->node, .disk_durable = true};
     start->status = journal_open(start->loop, start->loop, &settings, NULL, NULL, &journal, &start->failure);
 }
 
@@ -238,7 +239,7 @@
     loop_spawn(loop, "open", start_main, arg);
 }
 
-/* A format that is newer, or another node's journal, is refused. */
+/* A newer format, and the journal of another node, are refused. */
 static void refused(void **state)
 {
     (void)state;
--- a/packages/replication/test/old_disk.h
+++ b/packages/replication/test/old_disk.h
@@ -1,7 +1,7 @@
 #ifndef REPLICATION_TEST_OLD_DISK_H
 #define REPLICATION_TEST_OLD_DISK_H
 
-/* Fleets whose disks are those of packages/replication/test/fixtures, as a release before has written them. */
+/* Fleets whose disks are the journals of packages/replication/test/fixtures, which an earlier release wrote. */
 #include <stdio.h>
 
 #include "controller_set.h"
@@ -9,28 +9,29 @@
 #define PATH "data/journal"
 #define FIXTURES "packages/replication/test/fixtures"
 #define CONTROLLERS 4
-#define FILE_MOST 4096 /* bytes */
+#define FILE_MOST 4096 /* limit of the size of a fixture, in bytes */
 
+/* Reads the fixture of this name; allocated on mem. */
 static inline Bytes fixture(void *mem, const char *name)
 {
     Bytes bytes = {talloc_size(mem, FILE_MOST), 0, FILE_MOST};
     FILE *file = fopen(talloc_asprintf(mem, FIXTURES "/%s", name), "rb");
     if (file == NULL)
-        fail_msg("%s/%s: not found; the test runs in the folder of the sources", FIXTURES, name);
+        fail_msg("cannot open %s/%s; run the test from the root of the source tree", FIXTURES, name);
     bytes.count = fread(bytes.data, 1, FILE_MOST, file);
     fclose(file);
     assert_in_range(bytes.count, 1, FILE_MOST - 1);
     return bytes;
 }
 
-/* Four controllers, the last one without a vote, as the fixtures have them. */
+/* Four controllers, the last one without a vote, as in the fixtures. */
 static inline Fleet *fleet_of(void)
 {
     const FleetSite site = {.zones = 3, .losses = 1, .entry_point_seeds = 1, .votes = true, .disks_keep = true};
     return fleet_new_at(NULL, 2, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
 }
 
-/* Puts the fixture in the place of the controller's journal. */
+/* Replaces the controller's journal by the fixture. */
 static inline void put(Fleet *fleet, int controller, const char *name)
 {
     const int machine = fleet_node(fleet, FLEET_CONTROLLER, controller)->machine;
@@ -43,7 +44,7 @@
     bytes_add(fleet->world, file, bytes.data, bytes.count);
 }
 
-/* The controller runs with the fixture on its disk, and nobody reaches it. */
+/* Starts the controller with the fixture on its disk, isolated from all others. */
 static inline Replication *opened(Fleet *fleet, int controller, const char *name)
 {
     put(fleet, controller, name);
