--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -1,4 +1,5 @@
-/* Promise, grant, renewal and release at a voter; the end of a majority's lease at the holder. */
+/* The arithmetic of the leader's lock: promise, grant, renewal and release at a voter, and the end of a majority's
+ * lease at the holder. */
 #include "lock/lock.h"
 
 #include "base/constants.h"
@@ -6,10 +7,10 @@
 
 #define WHOLE_PERCENT 100
 
-/* The lease ends earlier at a holder with a slow clock than at a voter with a fast one. */
+/* The lease must end earlier for a holder with a slow clock than for a voter with a fast one. */
 _Static_assert(LOCK_LEASE_MS *(WHOLE_PERCENT + CLOCK_SLOW_PERCENT) <=
                    LOCK_GRANT_MS * (WHOLE_PERCENT - CLOCK_SLOW_PERCENT),
-               "the holder counts on more of the lease than clocks apart leave of it");
+               "the holder relies on more of a lease than the clock drift allowance leaves");
 
 /* --- the voter ------------------------------------------------------------------- */
 
@@ -49,7 +50,7 @@
         return;
     voter->lease_until_ms = now_ms;
     voter->released = term;
-    /* what a restart may have forgotten was the lease of this holder, which it has given back */
+    /* the only grant that may have been forgotten in the restart was to this holder, which has now released it */
     if (voter->promise_certain && voter->not_before_ms > now_ms)
         voter->not_before_ms = now_ms;
 }
@@ -80,13 +81,13 @@
         lease->until_ms[voter] = until_ms;
 }
 
-/* The m-th latest end, where m is a majority: a majority's grants last at least as long as that. */
+/* Returns the m-th latest end, where m is a majority: the grants of a majority last at least until then. */
 int64_t lock_lease_until(const LockLease *lease)
 {
     INVARIANT(VOTER_PLACES, lease->voters <= VOTER_MOST);
     int64_t latest_ms[VOTER_MOST];
     size_t count = 0;
-    for (int i = 0; i < VOTER_MOST; i++) { /* inserted in order, the latest first */
+    for (int i = 0; i < VOTER_MOST; i++) { /* insertion sort, latest first */
         size_t at = count++;
         for (; at > 0 && latest_ms[at - 1] < lease->until_ms[i]; at--)
             latest_ms[at] = latest_ms[at - 1];
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -1,5 +1,5 @@
-/* The lock's two parts: what a voter promises and grants, and how long a holder may count on it, also
- * on clocks that run apart. */
+/* Tests of both sides of the lock: what a voter promises and grants, and how long a holder may rely on it, also with
+ * clocks that run at different rates. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -16,7 +16,7 @@
 #define VOTERS 3
 #define NOW_MS 1000
 
-/* A steady clock that runs at so many percent, in milliseconds. */
+/* The reading, in ms, of a steady clock that runs at so many percent of true speed. */
 static int64_t clock_at(int64_t true_ms, int64_t percent)
 {
     return true_ms * percent / 100;
@@ -33,14 +33,14 @@
 
 /* --- the lease of a majority ------------------------------------------------------- */
 
-/* While the holder counts on its lease, no majority may promise anything to another. */
+/* While the holder relies on its lease, no majority may promise a term to another node. */
 static void lease_of_ends_first(int64_t grant_ms, int64_t holder_percent, int64_t voter_percent)
 {
     for (int64_t sent_ms = 100; sent_ms < 200; sent_ms++) {
         LockLease lease = {.voters = VOTERS};
         LockVoter voters[VOTERS] = {{0}};
         lock_lease_clear(&lease);
-        for (int i = 0; i < VOTERS - 1; i++) { /* answered at once, which is the worst */
+        for (int i = 0; i < VOTERS - 1; i++) { /* an immediate answer is the worst case */
             lock_promise(&voters[i], TERM, HOLDER);
             assert_int_equal(lock_renew(&voters[i], TERM, HOLDER, clock_at(sent_ms, voter_percent), grant_ms),
                              STATUS_OK);
@@ -51,7 +51,7 @@
             for (int i = 0; i < VOTERS - 1; i++)
                 assert_int_equal(lock_may_promise(&voters[i], TERM + 1, RIVAL, clock_at(true_ms, voter_percent)),
                                  STATUS_OTHER_HOLDER);
-        /* four renewals still fit in it */
+        /* four renewals still fit into the lease */
         assert_true(true_ms > sent_ms + 4 * (LOCK_RENEW_MS * grant_ms / LOCK_GRANT_MS));
     }
 }
@@ -77,7 +77,7 @@
     lease_ends_first(100 - CLOCK_SLOW_PERCENT, 100 - CLOCK_SLOW_PERCENT);
 }
 
-/* The lease is that of the oldest grant in the best majority; a late answer never shortens it. */
+/* The lease ends with the oldest grant of the best majority; a late answer never shortens it. */
 static void lease_takes_a_majority(void **state)
 {
     (void)state;
@@ -95,7 +95,7 @@
     assert_int_equal(lock_lease_until(&lease), INT64_MIN);
 }
 
-/* A shorter grant is relied on for less, and never takes back what a longer one gave. */
+/* The holder relies on a shorter grant for less time, and a shorter grant never shortens an earlier, longer one. */
 static void shorter_grant_takes_nothing_back(void **state)
 {
     (void)state;
@@ -104,7 +104,7 @@
     assert_int_equal(voter.lease_until_ms, NOW_MS + LOCK_GRANT_MS);
     assert_int_equal(lock_renew(&voter, TERM, HOLDER, NOW_MS + LOCK_GRANT_MS, LOCK_GRANT_LEAST_MS), STATUS_OK);
     assert_int_equal(voter.lease_until_ms, NOW_MS + LOCK_GRANT_MS + LOCK_GRANT_LEAST_MS);
-    /* more than a voter may grant, or a request of an earlier release, which names none */
+    /* a request for more than a voter may grant, and one of an earlier release, which has no duration */
     assert_int_equal(lock_renew(&voter, TERM, HOLDER, NOW_MS + LOCK_GRANT_MS, 10 * LOCK_GRANT_MS), STATUS_OK);
     assert_int_equal(voter.lease_until_ms, NOW_MS + 2 * LOCK_GRANT_MS);
     assert_int_equal(lock_renew(&voter, TERM, HOLDER, NOW_MS + LOCK_GRANT_MS + 1, 0), STATUS_OK);
@@ -149,7 +149,7 @@
 {
     (void)state;
     LockVoter voter = granting_voter();
-    lock_release(&voter, TERM, RIVAL, NOW_MS); /* not its holder: changes nothing */
+    lock_release(&voter, TERM, RIVAL, NOW_MS); /* RIVAL is not the holder: changes nothing */
     lock_release(&voter, TERM - 1, HOLDER, NOW_MS);
     assert_true(lock_held(&voter, NOW_MS));
     lock_release(&voter, TERM, HOLDER, NOW_MS);
@@ -158,7 +158,8 @@
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_OK);
 }
 
-/* It may have forgotten a lease that it granted; one that knows its last holder may promise to that. */
+/* A restarted voter may have forgotten a lease that it granted. If it knows the last holder for certain, it may promise
+ * a term to that one. */
 static void restarted_voter_promises_nothing(void **state)
 {
     (void)state;
@@ -168,7 +169,8 @@
     assert_int_equal(lock_may_promise(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_OK);
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_RESTARTED);
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS + LOCK_GRANT_MS), STATUS_OK);
-    lock_release(&voter, TERM, HOLDER, NOW_MS); /* its last holder gives back what it may have forgotten */
+    lock_release(&voter, TERM, HOLDER,
+                 NOW_MS); /* the last holder releases the lease that the voter may have forgotten */
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_OK);
 }
 
