--- a/packages/heartbeat/include/heartbeat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -1,49 +1,50 @@
 #ifndef HEARTBEAT_MESSAGES_H
 #define HEARTBEAT_MESSAGES_H
 
-/* The messages between an agent and the leader: heartbeats, reports of attempts, orders, and
- * survival rule 2's question. Fields are only ever added, at the end.
- * Times are spans in ms: no two clocks are compared. */
+/* The messages between an agent and the leader: heartbeats, reports of attempts, orders, and the question of survival
+ * rule 2. Fields are only ever added, and only at the end. Times are durations in ms, so that no two clocks are
+ * compared. */
 
 #include "state/change.h"
 #include "replication/messages.h"
 #include "wire/shape.h"
 
-/* How far an attempt that runs has come, sent when that has changed; the first also says that it
- * runs. text: its checkpoint; ran_ms: for how long the agent has known it to run. */
-#define ATTEMPT_SAVED_FIELDS(X)                 \
-    X(TXT, job, 0)                              \
-    X(U64, task, 0)                             \
-    X(U64, attempt, 0)                          \
-    X(TXT, text, 0)                             \
-    X(I64, ran_ms, 0)                           \
-    X(U64, percent, 0)    /* of its work ... */ \
-    X(I64, percent_ms, 0) /* ... when it had run so long; 0: not known */
+/* The progress of a running attempt, sent when it has changed; the first one also reports that the attempt runs. text:
+ * the checkpoint; ran_ms: how long the agent has known the attempt to run; percent: the part of the work that is done;
+ * percent_ms: how long the attempt had run at that point, 0: not known. */
+#define ATTEMPT_SAVED_FIELDS(X) \
+    X(TXT, job, 0)              \
+    X(U64, task, 0)             \
+    X(U64, attempt, 0)          \
+    X(TXT, text, 0)             \
+    X(I64, ran_ms, 0)           \
+    X(U64, percent, 0)          \
+    X(I64, percent_ms, 0)
 SHAPE(AttemptSaved, ATTEMPT_SAVED_FIELDS)
 
-/* An agent's heartbeat, which also renews its lease and asks for orders. attempts: all attempts that it
- * knows of and that may run, or whose end the leader has not confirmed. settled: that list is
- * complete (since the agent started it has heard its worker, or the worker's lease has lapsed).
- * others: capacity in use there by others than our attempts. number grows with each heartbeat and report. */
-#define HEARTBEAT_ASK_FIELDS(X)                                                \
-    X(TXT, agent, 0)                                                           \
-    X(U64, incarnation, 0)                                                     \
-    X(U64, number, 0)                                                          \
-    X(ONE, worker, Worker)                                                     \
-    X(FLAG, worker_live, 0)                                                    \
-    X(FLAG, leaving, 0)                                                        \
-    X(FLAG, settled, 0)                                                        \
-    X(LST, attempts, AttemptId)                                                \
-    X(ONE, others, Resources)                                                  \
-    X(LST, saved, AttemptSaved)                                                \
-    X(I64, leave_ms, 0) /* leaving: it stays at least so long; 0: not known */ \
-    X(U64, have, 0)     /* version and term of the orders it has */            \
-    X(U64, have_term, 0)                                                       \
-    X(I64, wait_ms, 0) /* the answer may be delayed for so long, for newer ones */
+/* An agent's heartbeat, which also renews its lease and requests orders. attempts: all attempts known to the agent that
+ * may run, or whose end the leader has not confirmed. settled: that list is complete (since the agent started, its
+ * worker has contacted it or the worker's lease has expired). others: capacity in use on the worker by others than this
+ * system's attempts. number increases with each heartbeat and report. */
+#define HEARTBEAT_ASK_FIELDS(X)                                                         \
+    X(TXT, agent, 0)                                                                    \
+    X(U64, incarnation, 0)                                                              \
+    X(U64, number, 0)                                                                   \
+    X(ONE, worker, Worker)                                                              \
+    X(FLAG, worker_live, 0)                                                             \
+    X(FLAG, leaving, 0)                                                                 \
+    X(FLAG, settled, 0)                                                                 \
+    X(LST, attempts, AttemptId)                                                         \
+    X(ONE, others, Resources)                                                           \
+    X(LST, saved, AttemptSaved)                                                         \
+    X(I64, leave_ms, 0) /* if leaving: how long it still runs at least; 0: not known */ \
+    X(U64, have, 0)     /* with have_term: version and term of the agent's orders */    \
+    X(U64, have_term, 0)                                                                \
+    X(I64, wait_ms, 0) /* time for which the answer may be delayed until there are newer orders */
 SHAPE(HeartbeatAsk, HEARTBEAT_ASK_FIELDS)
 
-/* An order to start an attempt; saved: the checkpoint that it goes on from. It is valid for timeout_ms
- * of its answer, counted from when the request was sent. */
+/* An order to start an attempt. saved: the checkpoint from which the attempt resumes. The order is valid for the
+ * timeout_ms of the answer that carries it, counted from when the request was sent. */
 #define ORDER_FIELDS(X)          \
     X(TXT, job, 0)               \
     X(U64, task, 0)              \
@@ -53,9 +54,9 @@
     X(TXT, saved, 0)
 SHAPE(Order, ORDER_FIELDS)
 
-/* lease_ms: the lease, counted from when the heartbeat was sent. orders: it brings newer orders than
- * the agent has, by (term, version). wanted: every attempt that is to be on the worker; starts: those of
- * them that have not begun and that the heartbeat did not name. What is not wanted is to be stopped. */
+/* The answer to a heartbeat. lease_ms: the lease, counted from when the heartbeat was sent. orders: the answer contains
+ * newer orders than the agent has, by (term, version). wanted: every attempt that shall be on the worker; starts: those
+ * of them that have not begun and that the heartbeat did not list. All other attempts shall be stopped. */
 #define HEARTBEAT_ANSWER_FIELDS(X) \
     X(U64, term, 0)                \
     X(I64, lease_ms, 0)            \
@@ -66,20 +67,20 @@
     X(LST, wanted, AttemptId)
 SHAPE(HeartbeatAnswer, HEARTBEAT_ANSWER_FIELDS)
 
-/* Survival rule 2's question (the paper's "all have lost the statefile"): do you know a holder of
- * the lock? */
+/* The question of survival rule 2 (the paper's "all have lost the statefile"): whether the recipient knows a holder of
+ * the lock. */
 #define KNOW_ASK_FIELDS(X) X(U64, nothing, 0)
 SHAPE(KnowAsk, KNOW_ASK_FIELDS)
 
-/* term: the highest term known; voters: the voters' disks, from controllers only. */
+/* The answer to KnowAsk. term: the highest known term; voters: the voters' disks, sent by controllers only. */
 #define KNOW_ANSWER_FIELDS(X) \
     X(FLAG, knows, 0)         \
     X(U64, term, 0)           \
     X(LST, voters, DiskId)
 SHAPE(KnowAnswer, KNOW_ANSWER_FIELDS)
 
-/* An agent's report of attempts that began or ended, repeated until it is answered: the leader
- * answers once they are committed. */
+/* An agent's report of attempts that began or ended, repeated until it is answered. The leader answers once the updates
+ * are committed. */
 #define NOTIFY_ASK_FIELDS(X) \
     X(TXT, agent, 0)         \
     X(U64, incarnation, 0)   \
@@ -87,11 +88,12 @@
     X(LST, updates, AttemptUpdate)
 SHAPE(NotifyAsk, NOTIFY_ASK_FIELDS)
 
+/* The answer to NotifyAsk; term: the leader's term. */
 #define NOTIFY_ANSWER_FIELDS(X) X(U64, term, 0)
 SHAPE(NotifyAnswer, NOTIFY_ANSWER_FIELDS)
 
-/* Orders without a heartbeat, as agents of the first release ask for them. The answer's fields are
- * those of the heartbeat's. */
+/* A request for orders without a heartbeat, as sent by agents of the first release. The fields of the answer are as in
+ * HeartbeatAnswer. */
 #define FETCH_ASK_FIELDS(X) \
     X(TXT, agent, 0)        \
     X(U64, incarnation, 0)  \
--- a/packages/heartbeat/src/lease.c
+++ b/packages/heartbeat/src/lease.c
@@ -1,18 +1,20 @@
-/* A worker's lease at its agent, and how long leases are counted by who grants and who passes on. */
+/* A worker's lease at its agent, and the durations to be assumed by the grantor of a lease and to be delegated. */
 #include "heartbeat/lease.h"
 
 #include "base/constants.h"
 #include "base/invariant.h"
 
 #define WHOLE_PERCENT 100
-#define SLOW_CLOCK_PERCENT (WHOLE_PERCENT - CLOCK_SLOW_PERCENT) /* what a slow clock shows of a span */
+#define SLOW_CLOCK_PERCENT                                                                    \
+    (WHOLE_PERCENT - CLOCK_SLOW_PERCENT) /* the part of a duration that a slow clock measures \
+                                          */
 
 bool lease_answered(Lease *lease, uint64_t term, int64_t sent_ms, int64_t lease_ms)
 {
     if (term < lease->term)
         return false;
     lease->term = term;
-    if (sent_ms + lease_ms > lease->until_ms) /* answers may come in another order than they were asked for */
+    if (sent_ms + lease_ms > lease->until_ms) /* answers may arrive out of order */
         lease->until_ms = sent_ms + lease_ms;
     return true;
 }
--- a/packages/heartbeat/src/liveset.c
+++ b/packages/heartbeat/src/liveset.c
@@ -1,4 +1,4 @@
-/* The leader's live set: a row for each worker, kept up by heartbeats. */
+/* The leader's live set: one row for each worker, updated by heartbeats. */
 #include "heartbeat/liveset.h"
 
 #include <talloc.h>
@@ -7,12 +7,12 @@
 #include "base/map.h"
 #include "heartbeat/lease.h"
 
-#define READY_HEARTBEATS 3 /* count; a worker silent for so many heartbeats gets no new work */
+#define READY_HEARTBEATS 3 /* a worker that is silent for so many heartbeat intervals gets no new work */
 
-/* Invariant: rows are owned by the map, so a reset frees them together. */
+/* Invariant: the rows are owned by the map, so that a reset frees all of them. */
 struct Liveset {
-    Map *rows;              /* worker's name to LiveRow */
-    int64_t first_until_ms; /* of workers not heard of: a lease of an earlier leader may run until then */
+    Map *rows;              /* maps a worker's name to its LiveRow */
+    int64_t first_until_ms; /* for unknown workers: a lease of an earlier leader may be valid until then */
 };
 
 Liveset *liveset_new(void *mem)
@@ -22,7 +22,7 @@
     return liveset;
 }
 
-/* The row of a worker, created when it has none. */
+/* Returns the row of a worker, which is created if there is none. */
 static LiveRow *row_of(Liveset *liveset, const char *name)
 {
     LiveRow *row = map_get(liveset->rows, name);
@@ -50,12 +50,12 @@
 {
     LiveRow *row = row_of(liveset, heartbeat->worker.name);
     *list_counts = false;
-    /* an older incarnation is a second process, or the same after its clock jumped back: it is
-     * taken once the newer one's lease has lapsed */
+    /* an older incarnation is a second process, or the same one after its clock jumped back: it is accepted once the
+     * lease of the newer one has expired */
     if (heartbeat->incarnation < row->incarnation && now_ms < row->until_ms)
         return STATUS_DUPLICATE_WORKER;
     if (heartbeat->incarnation != row->incarnation) {
-        /* a new agent: until_ms stays, for the earlier one's lease runs until it lapses */
+        /* a new agent: until_ms is kept, because the earlier agent's lease is valid until then */
         row->incarnation = heartbeat->incarnation;
         row->number = 0;
         row->joined_ms = now_ms;
--- a/packages/heartbeat/src/messages.c
+++ b/packages/heartbeat/src/messages.c
@@ -1,4 +1,4 @@
-/* The field tables of the messages between agents and the leader. */
+/* The shape tables of the messages between agents and the leader. */
 #include "heartbeat/messages.h"
 
 #include "wire/shape.h"
--- a/packages/heartbeat/src/orphans.c
+++ b/packages/heartbeat/src/orphans.c
@@ -1,5 +1,5 @@
-/* Orphaned attempts by worker: added when the table no longer has them there, confirmed or dropped by what the
- * agents list and report. */
+/* Orphaned attempts by worker: added when the table no longer places them there, and confirmed or removed according to
+ * what the agents list and report. */
 #include "heartbeat/orphans.h"
 
 #include <string.h>
@@ -7,25 +7,27 @@
 
 #include "base/map.h"
 
-/* Invariant: one row for each task of a job on a worker, of its newest attempt there. */
+/* One orphaned attempt. Invariant: there is one row for each task of a job on a worker, for its newest attempt there.
+ */
 typedef struct Orphan {
     const char *job;
-    uint64_t task; /* its number */
+    uint64_t task; /* number of the task */
     uint64_t attempt;
-    Resources resources;       /* capacity it uses */
-    bool resources_known;      /* false: the table does not have its job */
-    const char *cell, *tenant; /* of its job; null while resources_known is false */
-    bool listed;               /* by the newest heartbeat */
-    int64_t until_ms;          /* an order for it may arrive until then */
+    Resources resources;  /* capacity that the attempt uses */
+    bool resources_known; /* whether resources, cell and tenant are set: they are unless the table had no such job */
+    const char *cell, *tenant; /* of its job; NULL while resources_known is false */
+    bool listed;               /* the newest heartbeat lists the attempt */
+    int64_t until_ms;          /* an order for the attempt may arrive until then */
 } Orphan;
 
+/* The orphaned attempts on one worker. */
 typedef struct OrphanList {
     Orphan **rows; /* each owned by the list */
     size_t count;
 } OrphanList;
 
 struct Orphans {
-    Map *workers; /* name to OrphanList */
+    Map *workers; /* maps a worker's name to its OrphanList */
 };
 
 Orphans *orphans_new(void *mem)
@@ -41,7 +43,7 @@
     orphans->workers = map_new(orphans);
 }
 
-/* Null when there is no such row, or no list. */
+/* Returns the row of a task; NULL if there is no such row, or no list. */
 static Orphan *orphan_find(const OrphanList *list, const char *job, uint64_t task)
 {
     for (size_t i = 0; list != NULL && i < list->count; i++)
@@ -50,7 +52,7 @@
     return NULL;
 }
 
-/* The row of a task on a worker, created when there is none. */
+/* Returns the row of a task on a worker, which is created if there is none. */
 static Orphan *orphan_of(Orphans *orphans, const char *worker, const char *job, uint64_t task)
 {
     OrphanList *list = map_get(orphans->workers, worker);
@@ -69,15 +71,15 @@
     return orphan;
 }
 
-/* The order of the rows does not matter. */
+/* Removes a row; the order of the rows is not kept. */
 static void orphan_drop(OrphanList *list, size_t at)
 {
     talloc_free(list->rows[at]);
     list->rows[at] = list->rows[--list->count];
 }
 
-/* Notes what the attempt uses, and whose it is. */
-static void orphan_known(Orphan *orphan, const JobSpec *spec, Resources resources)
+/* Records the resources, the cell and the tenant of the attempt. */
+static void orphan_set_job(Orphan *orphan, const JobSpec *spec, Resources resources)
 {
     if (!orphan->resources_known) {
         orphan->cell = talloc_strdup(orphan, spec->cell);
@@ -91,13 +93,14 @@
                  int64_t until_ms)
 {
     Orphan *orphan = orphan_of(orphans, worker, job->spec.id, task_number(task));
-    orphan_known(orphan, &job->spec, job->spec.steps[task->step].resources);
+    orphan_set_job(orphan, &job->spec, job->spec.steps[task->step].resources);
     orphan->attempt = attempt;
     orphan->until_ms = until_ms;
 }
 
-/* Whether the table places the attempt on this worker: then it is counted there and is not orphaned.
- * spec, resources (out): its job's and the capacity it uses; spec is null where the table does not have the task. */
+/* Whether the table places the attempt on this worker, where it is then counted and not orphaned. spec, resources
+ * (out): the specification of its job and the capacity that it uses; spec is NULL if the table does not have the task.
+ */
 static bool placed_here(const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt,
                         const JobSpec **spec, Resources *resources)
 {
@@ -112,8 +115,9 @@
     return task_on_worker(task->phase) && strcmp(task->worker, heartbeat->worker.name) == 0;
 }
 
-/* An attempt that the heartbeat lists. */
-static void listed_take(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt)
+/* Processes an attempt that the heartbeat lists. */
+static void listed_attempt_add(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat,
+                               const AttemptId *attempt)
 {
     Resources resources = {0};
     const JobSpec *spec;
@@ -124,7 +128,7 @@
     if (attempt->attempt > orphan->attempt)
         orphan->attempt = attempt->attempt;
     if (spec != NULL)
-        orphan_known(orphan, spec, resources);
+        orphan_set_job(orphan, spec, resources);
 }
 
 void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms)
@@ -133,8 +137,8 @@
     for (size_t i = 0; list != NULL && i < list->count; i++)
         list->rows[i]->listed = false;
     for (size_t i = 0; i < heartbeat->attempts_count; i++)
-        listed_take(orphans, table, heartbeat, &heartbeat->attempts[i]);
-    list = map_get(orphans->workers, heartbeat->worker.name); /* may have been created */
+        listed_attempt_add(orphans, table, heartbeat, &heartbeat->attempts[i]);
+    list = map_get(orphans->workers, heartbeat->worker.name); /* the list may just have been created */
     for (size_t i = 0; list != NULL && i < list->count;)
         if (!list->rows[i]->listed && now_ms > list->rows[i]->until_ms)
             orphan_drop(list, i);
--- a/packages/heartbeat/test/orphans.c
+++ b/packages/heartbeat/test/orphans.c
@@ -1,10 +1,11 @@
-/* Orphaned attempts: capacity used by what the table places elsewhere or nowhere, and may still run. */
+/* Tests of orphaned attempts: the capacity used by attempts that the table places elsewhere or nowhere but that may
+ * still run. */
 #include "../../state/test/board.h"
 #include "heartbeat/orphans.h"
 
 #define UNTIL_MS 5000
 
-/* A job of two tasks, and the leader's list of orphaned attempts, which watches the table. */
+/* The fixture: a job of two tasks, and the leader's list of orphaned attempts, which follows changes of the table. */
 typedef struct Case {
     Board board;
     Orphans *orphans;
@@ -51,8 +52,8 @@
     orphans_heartbeat(fixture->orphans, fixture->board.table, &ask, now_ms);
 }
 
-/* An older attempt finishes well while a newer one runs elsewhere: that one is to be stopped, and uses
- * capacity until its agent has reported its end. */
+/* An older attempt succeeds while a newer one runs elsewhere: the newer one must be stopped, and uses capacity until
+ * its agent has reported its end. */
 static void newer_counts_until_its_end(void **state)
 {
     Case *fixture = *state;
@@ -67,7 +68,7 @@
     assert_int_equal(cpu_on(fixture, "w2"), 3000);
     AttemptId listed = {"j", 0, 2};
     heartbeat(fixture, "w2", &listed, 1, UNTIL_MS + 1);
-    assert_int_equal(cpu_on(fixture, "w2"), 3000); /* still there, though no order is on its way */
+    assert_int_equal(cpu_on(fixture, "w2"), 3000); /* still listed, although no order is in transit any more */
     const AttemptUpdate older = {.job = "j", .task = 0, .attempt = 1, .worker = "w2", .word = ATTEMPT_STOPPED};
     orphans_end(fixture->orphans, &older);
     assert_int_equal(cpu_on(fixture, "w2"), 3000);
@@ -76,7 +77,7 @@
     assert_int_equal(cpu_on(fixture, "w2"), 0);
 }
 
-/* An order that may still be on its way counts, whatever the agent lists. */
+/* An order that may still be in transit counts, whatever the agent lists. */
 static void order_on_its_way_counts(void **state)
 {
     Case *fixture = *state;
@@ -87,8 +88,8 @@
     assert_int_equal(cpu_on(fixture, "w1"), 0);
 }
 
-/* What an agent lists and the table places elsewhere counts there too; what the table does not know at
- * all is of unknown size. */
+/* An attempt that an agent lists and the table places elsewhere counts on the agent's worker too; an attempt that the
+ * table does not know is of unknown size. */
 static void listed_but_placed_elsewhere_counts(void **state)
 {
     Case *fixture = *state;
@@ -117,7 +118,7 @@
     assert_int_equal(cpu_on(fixture, "w1"), 0);
 }
 
-/* A state loaded from a snapshot is watched as the one before it. */
+/* A state loaded from a snapshot is followed like the one before it. */
 static void loaded_state_is_watched(void **state)
 {
     Case *fixture = *state;
