--- a/packages/journal/src/block.c
+++ b/packages/journal/src/block.c
@@ -5,7 +5,7 @@
 
 #include "journal/journal.h"
 
-#define BLOCK_HEAD 16                      /* bytes: magic, length, checksum of both, checksum of the body */
+#define BLOCK_HEAD 16 /* size of a block's header, in bytes: magic, length, checksum of both, checksum of the body */
 static const uint32_t MAGIC = 0x53504A31u; /* "SPJ1" */
 
 static void put32(uint8_t *at, uint32_t value)
@@ -30,7 +30,7 @@
     bytes_add(mem, to, body.data, body.count);
 }
 
-/* Whether a whole, good block starts at this byte; body: its records, within content. */
+/* Whether a valid block starts at this byte. body (out): its records, within content. */
 static bool block_at(Bytes content, size_t at, Bytes *body)
 {
     if (content.count - at < BLOCK_HEAD)
@@ -56,13 +56,13 @@
     talloc_free(scratch);
 }
 
-/* Hands over the records of a block that starts at byte at. */
+/* Passes the records of a block that starts at byte at to found. */
 static Status block_read(Bytes body, size_t at, JournalFn found, void *arg, Failure *failure)
 {
     for (size_t k = 0; k < body.count;) {
         const uint32_t count = body.count - k >= 4 ? get32(body.data + k) : UINT32_MAX;
         if (count > body.count - k - 4)
-            return failure_set(failure, STATUS_JOURNAL_CORRUPT, "record out of its block at byte %zu",
+            return failure_set(failure, STATUS_JOURNAL_CORRUPT, "record exceeds its block at byte %zu",
                                at + BLOCK_HEAD + k);
         void *mem = talloc_new(NULL);
         Record record;
@@ -90,8 +90,8 @@
             for (size_t later = at + 1; later < content.count; later++)
                 if (content.data[later] == (uint8_t)(MAGIC >> 24) && block_at(content, later, &body))
                     return failure_set(failure, STATUS_JOURNAL_CORRUPT,
-                                       "bad block at byte %zu, but a whole one follows at byte %zu", at, later);
-            return STATUS_OK; /* no whole block follows: a torn tail */
+                                       "invalid block at byte %zu is followed by a valid block at byte %zu", at, later);
+            return STATUS_OK; /* no valid block follows: this is a torn tail */
         }
         const Status status = block_read(body, at, found, arg, failure);
         if (status != STATUS_OK)
--- a/packages/journal/src/block.h
+++ b/packages/journal/src/block.h
@@ -3,12 +3,12 @@
 
 #include "journal/record.h"
 
-/* Building the blocks of a journal; reading them is journal_read. Nothing here waits. */
+/* Construction of the blocks of a journal; journal_read parses them. No function here blocks. */
 
-/* Adds a whole block with this body; to grows on mem. */
+/* Appends a complete block with this body to *to, which grows on mem. */
 void block_add(void *mem, Bytes *to, Bytes body);
-/* Adds a record to a body, which grows on mem: the records of a block follow one another, each with
- * its length before it. */
+/* Appends a record to a body, which grows on mem. The body of a block is a sequence of records, each preceded by its
+ * length. */
 void record_add(void *mem, Bytes *body, const Record *record);
 
 #endif
--- a/packages/journal/src/hint.c
+++ b/packages/journal/src/hint.c
@@ -1,6 +1,6 @@
-/* The hint beside a journal: how many bytes of it were synced. A last block that is bad is a torn tail or damage; it is
- * damage when it was synced, which nothing in the file itself can tell. The hint is one block with one record: the
- * disk's id, the generation of the file, and the count. */
+/* The hint beside a journal: how many bytes of the journal were synced. An invalid last block is either a torn tail or
+ * damage; it is damage if it had been synced, which cannot be determined from the file itself. The hint is one block
+ * with one record: the disk id, the generation of the file, and the number of bytes. */
 #include <talloc.h>
 
 #include "block.h"
@@ -19,14 +19,14 @@
     Bytes body = {0}, block = {0};
     record_add(mem, &body, &record);
     block_add(mem, &block, body);
-    (void)file_hint_write(journal->file, block); /* without it the last block counts as one that may be torn */
+    (void)file_hint_write(journal->file, block); /* without a hint, an invalid last block counts as torn */
     talloc_free(mem);
 }
 
-/* What a hint says. */
+/* The state of reading a hint. */
 typedef struct Hint {
     const Journal *journal;
-    size_t synced;
+    size_t synced; /* synced size of the journal, in bytes; 0: the hint does not apply */
 } Hint;
 
 static void hint_take(void *arg, const Record *record)
--- a/packages/journal/src/inside.h
+++ b/packages/journal/src/inside.h
@@ -3,47 +3,48 @@
 
 #include "journal/journal.h"
 
-/* The state of a journal, shared by its sources: open.c opens it, journal.c writes it. */
+/* The state of a journal, shared by its sources: open.c opens a journal, journal.c writes it. */
 
-/* A queued write; owned by the task that waits for its sync. */
-typedef struct Waiting {
-    struct Waiting *next;
-    bool rewrite;       /* body is the whole file, in blocks; else records to be put in a block */
-    int64_t generation; /* of the file that a rewrite makes */
+/* A queued write; owned by the task that awaits its sync. */
+typedef struct QueuedWrite {
+    struct QueuedWrite *next;
+    bool rewrite;       /* body is the whole file, in blocks; otherwise it is records to be put into a block */
+    int64_t generation; /* of the file that a rewrite creates */
     Bytes body;
-    size_t records;
-    bool done; /* status is set */
+    size_t records; /* number of records in body */
+    bool done;      /* status is set */
     Status status;
-    Signal ended;
-} Waiting;
+    Signal ended; /* raised when done is set */
+} QueuedWrite;
 
-/* Invariants: first..last are queued in the order of the calls; once it is open only the writing task touches
- * the file. After a failed write nothing more is written but a whole new file: what the old one holds is not
- * known any more. */
+/* A journal. Invariants: the writes from first to last are queued in the order of the calls; once the journal is open,
+ * only the writing task accesses the file. After a failed write nothing is written except a complete new file, because
+ * the content of the old one is unknown. */
 struct Journal {
     Loop *loop;
     File *file;
-    uint64_t disk; /* id */
+    uint64_t disk; /* id of the disk */
     const char *node_name;
-    bool disk_durable;
-    int64_t generation; /* of the file that is in place: one more with each rewrite, so that a hint is known to be of
-                           this one; 0: written by a release that counts none, and has no hint */
-    int64_t generation_last; /* of the last rewrite that was queued */
-    int64_t hint_ms;         /* when the hint is to be written; INT64_MAX: it says what was synced */
-    Waiting *first, *last;
-    Signal asked; /* something was queued */
-    bool failed;
-    int64_t sync_since_ms; /* INT64_MAX: no write is under way */
+    bool disk_durable;       /* synced data survives a loss of power */
+    int64_t generation;      /* of the present file; incremented by each rewrite, so that a hint can be matched with its
+                                file; 0: the file was written by a release without generations, and has no hint */
+    int64_t generation_last; /* of the last queued rewrite */
+    int64_t hint_ms;         /* when the hint must be written; INT64_MAX: it is up to date */
+    QueuedWrite *first, *last;
+    Signal write_queued;   /* raised when a write is queued */
+    bool failed;           /* a write has failed, and no rewrite has succeeded since */
+    int64_t sync_since_ms; /* when the write in progress began; INT64_MAX: none is in progress */
     JournalCounts counts;
 };
 
-/* The first record of a file of that generation. */
+/* Returns the identity, the first record of a file of that generation. */
 Record journal_identity(const Journal *journal, int64_t generation);
-/* Waits. Writes down how much of the file was synced. */
+/* Blocks. Writes the hint: how much of the file was synced. */
 void hint_write(Journal *journal);
-/* Waits. How many bytes of the open file were synced by the hint; 0: there is none, or it is of another file. */
+/* Blocks. Returns how many bytes of the open file were synced according to the hint; 0: there is no hint, or it is for
+ * another file. */
 size_t hint_read(const Journal *journal);
-/* Spawns the writing task: the journal is open. */
+/* Spawns the writing task of an open journal. */
 void journal_run(Journal *journal);
 
 #endif
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -1,34 +1,34 @@
-/* Writing a journal: one task writes the queue; all that is queued when a write begins shares a sync. */
+/* Writing a journal: one task writes the queue, and all writes that are queued when it begins share one sync. */
 #include <talloc.h>
 
 #include "block.h"
 #include "inside.h"
 
-#define REWRITE_BLOCK_BYTES (1024 * 1024) /* bytes; a rewrite begins another block after this */
+#define REWRITE_BLOCK_BYTES (1024 * 1024) /* a rewrite begins another block after so many bytes */
 
 /* --- the writing task ------------------------------------------------------------------ */
 
-/* What is written together; body on mem. */
+/* The writes that share a sync; body is allocated on the mem of batch_dequeue. */
 typedef struct Batch {
-    Waiting *first;
+    QueuedWrite *first;
     Bytes body;
     size_t records;
     bool rewrite;
 } Batch;
 
-/* Whether the next of the queue goes into the batch too: a rewrite stands alone, and a block has a limit. */
-static bool shares_sync(const Batch *batch, const Waiting *next)
+/* Whether the next queued write joins the batch: a rewrite is always separate, and the size of a block is limited. */
+static bool shares_sync(const Batch *batch, const QueuedWrite *next)
 {
     return !batch->rewrite && !next->rewrite && batch->body.count + next->body.count < RECORD_MAX_BYTES;
 }
 
-/* Takes from the queue what shares the next sync: as much as a block holds, or one rewrite of any size. The first is
- * always taken: a rewrite that was left out would leave an empty file. */
-static Batch batch_take(Journal *journal, void *mem)
+/* Removes the writes that share the next sync from the queue: as many as fit into a block, or one rewrite of any size.
+ * The first one is always taken: omitting a rewrite would leave an empty file. */
+static Batch batch_dequeue(Journal *journal, void *mem)
 {
     Batch batch = {.first = journal->first, .rewrite = journal->first->rewrite};
-    Waiting *batch_last = batch.first;
-    for (Waiting *w = batch.first; w != NULL && (w == batch.first || shares_sync(&batch, w)); w = w->next) {
+    QueuedWrite *batch_last = batch.first;
+    for (QueuedWrite *w = batch.first; w != NULL && (w == batch.first || shares_sync(&batch, w)); w = w->next) {
         bytes_add(mem, &batch.body, w->body.data, w->body.count);
         batch.records += w->records;
         batch_last = w;
@@ -40,7 +40,7 @@
     return batch;
 }
 
-/* Waits. Replaces the file, or adds a block to it, and syncs it. */
+/* Blocks. Replaces the file, or appends a block to it, and syncs it. */
 static Status batch_sync(Journal *journal, void *mem, const Batch *batch)
 {
     if (batch->rewrite) {
@@ -53,7 +53,7 @@
         return status;
     }
     if (batch->body.count == 0)
-        return STATUS_OK; /* an empty write: only the wait for those before it */
+        return STATUS_OK; /* an empty write only waits for those before it */
     Bytes block = {0};
     block_add(mem, &block, batch->body);
     const Status status = file_append(journal->file, block);
@@ -63,10 +63,10 @@
     return status;
 }
 
-/* Waits. Writes the batch, and notes how long that took. */
+/* Blocks. Writes the batch, and records the duration. */
 static Status batch_write(Journal *journal, void *mem, const Batch *batch)
 {
-    if (journal->failed && !batch->rewrite) /* what the old file has is not known: only a rewrite helps */
+    if (journal->failed && !batch->rewrite) /* the content of the old file is unknown: a rewrite is needed */
         return STATUS_DISK_FAILED;
     const int64_t start_ms = loop_now_ms(journal->loop);
     journal->sync_since_ms = start_ms;
@@ -78,25 +78,25 @@
         journal->counts.worst_sync_ms = journal->counts.last_sync_ms;
     journal->failed = status != STATUS_OK;
     if (status != STATUS_OK)
-        journal->hint_ms = INT64_MAX; /* how much of the file is whole is not known */
+        journal->hint_ms = INT64_MAX; /* how much of the file is valid is unknown */
     else if (journal->disk_durable && journal->hint_ms == INT64_MAX)
         journal->hint_ms = loop_now_ms(journal->loop) + JOURNAL_HINT_MS;
     return status;
 }
 
-/* Ends the waits of the tasks. */
+/* Completes the writes of the batch. */
 static void batch_end(Journal *journal, const Batch *batch, Status status)
 {
-    for (Waiting *waiting = batch->first; waiting != NULL;) {
-        Waiting *next = waiting->next; /* the task frees it */
-        waiting->done = true;
-        waiting->status = status;
-        signal_raise(journal->loop, &waiting->ended);
-        waiting = next;
+    for (QueuedWrite *write = batch->first; write != NULL;) {
+        QueuedWrite *next = write->next; /* the waiting task frees it */
+        write->done = true;
+        write->status = status;
+        signal_raise(journal->loop, &write->ended);
+        write = next;
     }
 }
 
-/* Waits until something is queued. Meanwhile, or before it goes on, writes the hint when that is due. */
+/* Blocks until a write is queued. Writes the hint when it is due. */
 static void queue_await(Journal *journal)
 {
     for (;;) {
@@ -106,7 +106,7 @@
         }
         if (journal->first != NULL)
             return;
-        signal_wait(journal->loop, &journal->asked, journal->hint_ms);
+        signal_wait(journal->loop, &journal->write_queued, journal->hint_ms);
     }
 }
 
@@ -116,7 +116,7 @@
     for (;;) {
         queue_await(journal);
         void *mem = talloc_new(journal);
-        const Batch batch = batch_take(journal, mem);
+        const Batch batch = batch_dequeue(journal, mem);
         const Status status = batch_write(journal, mem, &batch);
         batch_end(journal, &batch, status);
         talloc_free(mem);
@@ -132,37 +132,37 @@
 
 /* --- the queue --------------------------------------------------------------------------- */
 
-/* Waits until what is queued is synced, and frees it. */
-static Status queue_up(Journal *journal, Waiting *waiting)
+/* Queues the write. Blocks until it is synced, and frees it. */
+static Status write_enqueue(Journal *journal, QueuedWrite *write)
 {
-    if (journal->failed && !waiting->rewrite) {
-        talloc_free(waiting);
+    if (journal->failed && !write->rewrite) {
+        talloc_free(write);
         return STATUS_DISK_FAILED;
     }
     if (journal->last != NULL)
-        journal->last->next = waiting;
+        journal->last->next = write;
     else
-        journal->first = waiting;
-    journal->last = waiting;
-    signal_raise(journal->loop, &journal->asked);
-    while (!waiting->done)
-        signal_wait(journal->loop, &waiting->ended, INT64_MAX);
-    const Status status = waiting->status;
-    talloc_free(waiting);
+        journal->first = write;
+    journal->last = write;
+    signal_raise(journal->loop, &journal->write_queued);
+    while (!write->done)
+        signal_wait(journal->loop, &write->ended, INT64_MAX);
+    const Status status = write->status;
+    talloc_free(write);
     return status;
 }
 
 Status journal_write(Journal *journal, const Record *records, size_t count)
 {
-    Waiting *waiting = talloc_zero(journal, Waiting);
+    QueuedWrite *write = talloc_zero(journal, QueuedWrite);
     for (size_t i = 0; i < count; i++)
-        record_add(waiting, &waiting->body, &records[i]);
-    waiting->records = count;
-    if (waiting->body.count >= RECORD_MAX_BYTES) { /* no block holds it: it could not be read again */
-        talloc_free(waiting);
+        record_add(write, &write->body, &records[i]);
+    write->records = count;
+    if (write->body.count >= RECORD_MAX_BYTES) { /* too large for a block: it could not be read again */
+        talloc_free(write);
         return STATUS_TOO_LARGE;
     }
-    return queue_up(journal, waiting);
+    return write_enqueue(journal, write);
 }
 
 Record journal_identity(const Journal *journal, int64_t generation)
@@ -177,24 +177,24 @@
 
 Status journal_rewrite(Journal *journal, const Record *records, size_t count)
 {
-    Waiting *waiting = talloc_zero(journal, Waiting);
-    waiting->rewrite = true;
-    waiting->records = count;
-    /* the body is a whole file, in small blocks, so that no record makes one too large */
+    QueuedWrite *write = talloc_zero(journal, QueuedWrite);
+    write->rewrite = true;
+    write->records = count;
+    /* the body is a complete file, in small blocks, so that no record makes a block too large */
     Bytes body = {0};
-    waiting->generation = ++journal->generation_last;
-    const Record first = journal_identity(journal, waiting->generation);
-    record_add(waiting, &body, &first);
+    write->generation = ++journal->generation_last;
+    const Record first = journal_identity(journal, write->generation);
+    record_add(write, &body, &first);
     for (size_t i = 0; i < count; i++) {
-        record_add(waiting, &body, &records[i]);
+        record_add(write, &body, &records[i]);
         if (body.count > REWRITE_BLOCK_BYTES) {
-            block_add(waiting, &waiting->body, body);
+            block_add(write, &write->body, body);
             body.count = 0;
         }
     }
     if (body.count > 0)
-        block_add(waiting, &waiting->body, body);
-    return queue_up(journal, waiting);
+        block_add(write, &write->body, body);
+    return write_enqueue(journal, write);
 }
 
 /* --- getters ------------------------------------------------------------------------------- */
--- a/packages/journal/src/open.c
+++ b/packages/journal/src/open.c
@@ -1,4 +1,4 @@
-/* Opening a journal: the file is made or read, a torn tail is cut off, and what can't be read is refused. */
+/* Opening a journal: creates or reads the file, truncates a torn tail, and refuses a file that cannot be read. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -6,16 +6,16 @@
 #include "block.h"
 #include "inside.h"
 
-/* A journal that is being read. */
+/* The state of reading a journal. */
 typedef struct Opening {
     Journal *journal;
     JournalFn found;
     void *arg;
-    size_t records;
-    Failure failure; /* what is wrong with the identity */
+    size_t records;  /* number of records read so far */
+    Failure failure; /* an error in the identity */
 } Opening;
 
-/* Checks the identity, which comes first; hands all other records to found. */
+/* Checks the identity, which is the first record; passes all other records to found. */
 static void open_record(void *arg, const Record *record)
 {
     Opening *opening = arg;
@@ -24,10 +24,11 @@
         if (record->kind != RECORD_IDENTITY)
             failure_set(&opening->failure, STATUS_JOURNAL_CORRUPT, "the first record is not the identity");
         else if (record->term > JOURNAL_VERSION)
-            failure_set(&opening->failure, STATUS_JOURNAL_FORMAT, "format %" PRIu64 ", this release reads up to %d",
-                        record->term, JOURNAL_VERSION);
+            failure_set(&opening->failure, STATUS_JOURNAL_FORMAT,
+                        "journal format %" PRIu64 "; this release reads formats up to %d", record->term,
+                        JOURNAL_VERSION);
         else if (strcmp(record->name, journal->node_name) != 0)
-            failure_set(&opening->failure, STATUS_JOURNAL_FOREIGN, "this is the journal of node %s, not of %s",
+            failure_set(&opening->failure, STATUS_JOURNAL_FOREIGN, "the journal belongs to node %s, not to node %s",
                         record->name, journal->node_name);
         journal->disk = record->index;
         journal->generation = journal->generation_last = record->at_ms;
@@ -38,7 +39,7 @@
         opening->found(opening->arg, record);
 }
 
-/* Waits. Makes a journal on mem and opens its file. */
+/* Blocks. Allocates a journal on mem and opens its file. */
 static Status file_take(Loop *loop, void *mem, const JournalSettings *settings, Journal **out, Failure *failure)
 {
     Journal *journal = talloc_zero(mem, Journal);
@@ -50,8 +51,8 @@
     return file_open(loop, journal, settings->path, &journal->file, failure);
 }
 
-/* Waits. Replaces the file; a disk that refuses writes is tried again for JOURNAL_OPEN_MS. */
-static Status replace_try(Journal *journal, Bytes content)
+/* Blocks. Replaces the file; if the disk refuses that, retries for JOURNAL_OPEN_MS. */
+static Status replace_with_retry(Journal *journal, Bytes content)
 {
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
@@ -60,8 +61,8 @@
     return status;
 }
 
-/* Waits. Reads the file, likewise. */
-static Status read_try(Journal *journal, void *mem, Bytes *content)
+/* Blocks. Reads the file; if the disk refuses that, retries for JOURNAL_OPEN_MS. */
+static Status read_with_retry(Journal *journal, void *mem, Bytes *content)
 {
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
@@ -70,13 +71,13 @@
     return status;
 }
 
-/* Waits. Reads the file and hands its records over; its torn tail is cut off. */
-static Status content_take(Journal *journal, const char *path, Opening *opening, Failure *failure)
+/* Blocks. Reads the file, passes its records to the reader, and truncates a torn tail. */
+static Status content_read(Journal *journal, const char *path, Opening *opening, Failure *failure)
 {
     void *mem = talloc_new(journal);
     Bytes content = {0};
     size_t good_count = 0;
-    Status status = read_try(journal, mem, &content);
+    Status status = read_with_retry(journal, mem, &content);
     if (status != STATUS_OK)
         failure_set(failure, status, "cannot read %s", path);
     else
@@ -84,16 +85,17 @@
     if (status == STATUS_OK && opening->failure.status != STATUS_OK)
         status = failure_set(failure, opening->failure.status, "%s", opening->failure.text);
     if (status == STATUS_OK && good_count == 0 &&
-        content.count > 0) /* the first block is written in one step: it can't be torn */
-        status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds no journal", path);
+        content.count > 0) /* the first block is written atomically, so it cannot be torn */
+        status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s is not a journal", path);
     const size_t synced = status == STATUS_OK && journal->disk_durable ? hint_read(journal) : 0;
     if (status == STATUS_OK && good_count < synced)
-        status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s is whole up to byte %zu, and was synced up to %zu",
-                             path, good_count, synced);
+        status =
+            failure_set(failure, STATUS_JOURNAL_CORRUPT,
+                        "%s is valid up to byte %zu only, but was synced up to byte %zu", path, good_count, synced);
     if (status == STATUS_OK && good_count < content.count) {
-        status = replace_try(journal, (Bytes){content.data, good_count, 0});
+        status = replace_with_retry(journal, (Bytes){content.data, good_count, 0});
         if (status != STATUS_OK)
-            failure_set(failure, status, "cannot cut the torn tail of %s", path);
+            failure_set(failure, status, "cannot truncate the torn tail of %s", path);
     }
     journal->counts.bytes = good_count;
     journal->counts.torn_bytes = content.count - good_count;
@@ -101,7 +103,7 @@
     return status;
 }
 
-/* Waits. A new disk id, in a file that holds nothing else. */
+/* Blocks. Draws a new disk id, and replaces the file by one that contains the identity only. */
 static Status identity_write(Journal *journal, const char *path, Failure *failure)
 {
     void *mem = talloc_new(journal);
@@ -111,7 +113,7 @@
     const Record first = journal_identity(journal, journal->generation);
     record_add(mem, &body, &first);
     block_add(mem, &block, body);
-    const Status status = replace_try(journal, block);
+    const Status status = replace_with_retry(journal, block);
     journal->counts.bytes = block.count;
     talloc_free(mem);
     return status == STATUS_OK ? status : failure_set(failure, status, "cannot write %s", path);
@@ -125,7 +127,7 @@
     if (status != STATUS_OK)
         return status;
     Opening opening = {journal, found, arg, 0, {0}};
-    status = content_take(journal, settings->path, &opening, failure);
+    status = content_read(journal, settings->path, &opening, failure);
     if (status == STATUS_OK && opening.records == 0)
         status = identity_write(journal, settings->path, failure);
     if (status != STATUS_OK)
@@ -135,13 +137,14 @@
     return STATUS_OK;
 }
 
-/* Waits. A copy beside the file for whoever looks into the fault: it may fail, nothing rests on it. */
-static void keep_bad(Journal *journal, const char *path)
+/* Blocks. Saves a copy of the corrupt file beside it for an investigation of the fault. A failure has no consequences.
+ */
+static void corrupt_copy_save(Journal *journal, const char *path)
 {
     void *mem = talloc_new(journal);
     Bytes content = {0};
     File *beside;
-    if (read_try(journal, mem, &content) == STATUS_OK && content.count <= JOURNAL_BAD_BYTES &&
+    if (read_with_retry(journal, mem, &content) == STATUS_OK && content.count <= JOURNAL_BAD_BYTES &&
         file_open(journal->loop, journal, talloc_asprintf(mem, "%s.bad", path), &beside, NULL) == STATUS_OK)
         (void)file_replace(beside, content);
     talloc_free(mem);
@@ -153,7 +156,7 @@
     Status status = file_take(loop, mem, settings, &journal, failure);
     if (status != STATUS_OK)
         return status;
-    keep_bad(journal, settings->path);
+    corrupt_copy_save(journal, settings->path);
     journal->counts.begun_anew = true;
     status = identity_write(journal, settings->path, failure);
     if (status != STATUS_OK)
--- a/packages/journal/src/record.c
+++ b/packages/journal/src/record.c
@@ -1,4 +1,4 @@
-/* The table of the record of a journal. */
+/* The shape table of a journal's record. */
 #include "journal/record.h"
 
 SHAPE_TABLE(Record, RECORD_FIELDS)
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -1,5 +1,5 @@
-/* The journal on a simulated disk: what is read back after kills, losses of power and failures of the disk, and
- * which files are refused, cut off or replaced. */
+/* Tests of the journal on a simulated disk: what is read back after kills, losses of power and disk failures, and which
+ * files are refused, truncated or replaced. */
 #include "journal_fixture.h"
 
 /* --- what is read back -------------------------------------------------------------------- */
@@ -8,53 +8,53 @@
 {
     const Fixture *fixture = *state;
     written(fixture);
-    Seen seen = reopened(fixture, "core1");
+    JournalRun seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
     assert_int_equal(seen.last_index, 20);
-    /* rewritten in the middle: the first half is one record, the rest follows it */
+    /* with a rewrite half-way: the first half becomes one record, and the rest follows it */
     assert_int_equal(run(fixture->world, fixture->machine, "core1", 10, true).status, STATUS_OK);
     seen = reopened(fixture, "core1");
     assert_int_equal(seen.entries, 6);
     assert_int_equal(seen.last_index, 30);
 }
 
-/* Zeroes after the end, as a file system may leave them. */
+/* A tail of zeroes, as a file system may leave it after a crash, is truncated. */
 static void zeroed_tail_is_cut_off(void **state)
 {
     const Fixture *fixture = *state;
     const uint8_t zeroes[100] = {0};
     bytes_add(fixture->world, written(fixture), zeroes, sizeof(zeroes));
-    const Seen seen = reopened(fixture, "core1");
+    const JournalRun seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
 }
 
-/* --- what is refused, and what is begun in its place ---------------------------------------- */
+/* --- refused files and their replacement ---------------------------------------- */
 
 static void foreign_node_is_refused(void **state)
 {
     const Fixture *fixture = *state;
     written(fixture);
-    const Seen seen = reopened(fixture, "core2");
+    const JournalRun seen = reopened(fixture, "core2");
     assert_int_equal(seen.status, STATUS_JOURNAL_FOREIGN);
     assert_non_null(strstr(seen.failure.text, "core1"));
-    assert_int_equal(reopened(fixture, "core1").entries, 20); /* the file stays */
+    assert_int_equal(reopened(fixture, "core1").entries, 20); /* the file is unchanged */
 }
 
-/* A bit in the middle: the failure says where. */
+/* A flipped bit in the middle of the file is refused, and the failure gives its position. */
 static void flipped_bit_is_refused(void **state)
 {
     const Fixture *fixture = *state;
     Bytes *file = written(fixture);
     file->data[file->count / 2] ^= 4;
-    const Seen seen = reopened(fixture, "core1");
+    const JournalRun seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_JOURNAL_CORRUPT);
     assert_non_null(strstr(seen.failure.text, "at byte"));
 }
 
-/* Every byte of a small journal flipped, one at a time: never a crash, never a silently shorter log unless it is the
- * last block that was hit. */
+/* Each byte of a small journal is changed, one at a time. There must never be a crash, and never a silently shorter log
+ * unless the change is in the last block. */
 static void each_flipped_byte_is_noticed(void **state)
 {
     const Fixture *fixture = *state;
@@ -63,11 +63,11 @@
     run(world, machine, "core1", 6, false);
     const Bytes whole = bytes_copy(world, *sim_disk_content(world, machine, PATH));
     size_t corrupt = 0, torn = 0;
-    const size_t block = whole.count / 7; /* the identity and six entries of like size */
+    const size_t block = whole.count / 7; /* the identity and six entries of about the same size */
     for (size_t at = 0; at < whole.count; at++) {
         Bytes copy = bytes_copy(world, whole);
         copy.data[at] ^= 0x41;
-        Seen seen = {0};
+        JournalRun seen = {0};
         Failure failure = {0};
         size_t good;
         const Status status = journal_read(copy, on_record, &seen, &good, &failure);
@@ -84,7 +84,7 @@
     assert_true(torn > 50 && corrupt > 200);
 }
 
-/* The identity record of a later release. */
+/* A journal with the identity record of a later release is refused. */
 static void later_format_is_refused(void **state)
 {
     const Fixture *fixture = *state;
@@ -112,25 +112,25 @@
 
 static void begin_main(void *arg)
 {
-    Seen *seen = arg;
+    JournalRun *seen = arg;
     const JournalSettings settings = settings_of(seen);
     seen->status = journal_recreate(seen->loop, seen->loop, &settings, &seen->journal, &seen->failure);
 }
 
 static void begin_start(void *arg, Loop *loop)
 {
-    ((Seen *)arg)->loop = loop;
+    ((JournalRun *)arg)->loop = loop;
     loop_spawn(loop, "begin", begin_main, arg);
 }
 
-/* Some other file, and one that lost its beginning: refused, never taken for an empty disk. What is begun in its place
- * has another id, says so ever after, and keeps a copy. */
+/* A file that is not a journal, and a journal that lost its beginning, are refused and never taken for an empty disk.
+ * The replacement has another disk id, records permanently that it is one, and keeps a copy of the corrupt file. */
 static void broken_file_gives_way_to_new_disk(void **state)
 {
     const Fixture *fixture = *state;
     SimWorld *world = fixture->world;
     const int machine = fixture->machine;
-    Seen seen = run(world, machine, "core1", 4, false);
+    JournalRun seen = run(world, machine, "core1", 4, false);
     const Bytes whole = bytes_copy(world, *sim_disk_content(world, machine, PATH));
     Bytes *file = sim_disk_content(world, machine, PATH);
     file->count = 0;
@@ -142,7 +142,7 @@
     bytes_add(world, file, whole.data + 20, whole.count - 20);
     seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.status, STATUS_JOURNAL_CORRUPT);
-    Seen anew = {.node = "core1"};
+    JournalRun anew = {.node = "core1"};
     sim_start(world, machine, begin_start, &anew);
     sim_run_until(world, sim_now_ms(world) + 1000);
     assert_int_equal(anew.status, STATUS_OK);
@@ -151,7 +151,7 @@
     sim_kill(world, machine);
     assert_int_equal(sim_disk_content(world, machine, PATH ".bad")->count, whole.count - 20);
     for (int life = 0; life < 2; life++) {
-        Seen again = {.node = "core1", .writes = 2, .rewrite = life == 0};
+        JournalRun again = {.node = "core1", .writes = 2, .rewrite = life == 0};
         sim_start(world, machine, start, &again);
         sim_run_until(world, sim_now_ms(world) + 1000);
         assert_int_equal(again.status, STATUS_OK);
@@ -172,13 +172,13 @@
     sim_disk_fail(world, machine, true);
     assert_int_equal(run(world, machine, "core1", 3, false).status, STATUS_DISK_FAILED);
     sim_disk_fail(world, machine, false);
-    const Seen seen = run(world, machine, "core1", 0, false);
+    const JournalRun seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.status, STATUS_OK);
     assert_true(seen.entries >= 3);
 }
 
-/* What a restarted process reads may be in the system's memory alone: the last process died before its sync. Whatever
- * was read once must outlast a loss of power. */
+/* What a restarted process reads may be in the operating system's cache only, if the last process died before its sync.
+ * Whatever was read once must survive a loss of power. */
 static void read_is_synced(void **state)
 {
     (void)state;
@@ -187,11 +187,11 @@
         SimWorld *world = sim_world_new(NULL, seed);
         const int machine = sim_machine(world);
         run(world, machine, "core1", 3, false);
-        /* a fourth write begins; the process dies before its sync */
+        /* a fourth write begins, and the process dies before its sync */
         sim_disk_slow(world, machine, 60000);
         run(world, machine, "core1", 1, false);
         sim_disk_slow(world, machine, 3);
-        Seen seen = {.node = "core1"};
+        JournalRun seen = {.node = "core1"};
         sim_start(world, machine, start, &seen);
         sim_run_until(world, sim_now_ms(world) + 1000);
         assert_int_equal(seen.status, STATUS_OK);
@@ -199,17 +199,17 @@
         assert_true(reported >= 3);
         unsynced += reported == 4;
         sim_power_off(world, machine);
-        const Seen again = run(world, machine, "core1", 0, false);
+        const JournalRun again = run(world, machine, "core1", 0, false);
         assert_int_equal(again.status, STATUS_OK);
         assert_true(again.last_index >= reported);
         talloc_free(world);
     }
-    print_message("%d of 60 found a record whole that was never synced\n", unsynced);
+    print_message("%d of 60 runs read a complete record that was never synced\n", unsynced);
     assert_true(unsynced > 0);
 }
 
-/* A loss of power, or a kill, at each step of a rewrite: the old file or the new one, whole, and never the old one once
- * the rewrite has returned. */
+/* A loss of power, or a kill, at each step of a rewrite leaves either the old file or the new one, complete, and never
+ * the old one after the rewrite has returned. */
 static void rewrite_leaves_old_or_new_whole(void **state)
 {
     (void)state;
@@ -220,7 +220,9 @@
             const int machine = sim_machine(world);
             run(world, machine, "core1", 6, false);
             sim_disk_slow(world, machine, 100);
-            Seen seen = {.node = "core1", .writes = 2, .rewrite = true}; /* 7, rewrite to 7 alone, 8 */
+            JournalRun seen = {.node = "core1",
+                               .writes = 2,
+                               .rewrite = true}; /* writes entry 7, rewrites the file to entry 7 only, writes entry 8 */
             sim_start(world, machine, start, &seen);
             sim_run_until(world, sim_now_ms(world) + 110 + at_ms);
             const uint64_t rewrites = seen.journal != NULL ? journal_counts(seen.journal)->rewrites : 0;
@@ -229,22 +231,23 @@
             else
                 sim_power_off(world, machine);
             sim_disk_slow(world, machine, 3);
-            const Seen again = run(world, machine, "core1", 0, false);
+            const JournalRun again = run(world, machine, "core1", 0, false);
             assert_int_equal(again.status, STATUS_OK);
             const bool old = again.entries >= 6;
             assert_true(old ? again.last_index == again.entries : again.entries <= 2 && again.last_index >= 7);
             assert_false(old && rewrites > 0 && seen.last_index >= 8);
             olds += old;
             updates += !old;
-            /* a left-over file of the rewrite is in nobody's way */
+            /* a leftover file of the rewrite does no harm */
             assert_int_equal(run(world, machine, "core1", 4, true).status, STATUS_OK);
             talloc_free(world);
         }
-    print_message("%d came back with the old file, %d with the new one\n", olds, updates);
+    print_message("%d runs recovered the old file, %d the new one\n", olds, updates);
     assert_true(olds > 20 && updates > 20);
 }
 
-/* Full in the middle of an append: what was synced before is kept, and writes go on once there is room. */
+/* The disk fills up in the middle of an append: synced entries are kept, and writes succeed again once there is space.
+ */
 static void full_disk_keeps_what_was_synced(void **state)
 {
     (void)state;
@@ -253,7 +256,7 @@
     run(world, machine, "core1", 10, false);
     sim_disk_capacity(world, machine, sim_disk_used(world, machine) + 50);
     assert_int_equal(run(world, machine, "core1", 1, false).status, STATUS_DISK_FAILED);
-    const Seen seen = run(world, machine, "core1", 0, false);
+    const JournalRun seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.entries, 10);
     sim_disk_capacity(world, machine, 0);
     assert_int_equal(run(world, machine, "core1", 1, false).status, STATUS_OK);
--- a/packages/journal/test/journal_fixture.h
+++ b/packages/journal/test/journal_fixture.h
@@ -1,7 +1,7 @@
 #ifndef JOURNAL_TEST_JOURNAL_FIXTURE_H
 #define JOURNAL_TEST_JOURNAL_FIXTURE_H
 
-/* What the tests of the journal share: lives of a process that opens it on a simulated disk, and writes to it. */
+/* Shared by the tests of the journal: runs of a process that opens a journal on a simulated disk and writes to it. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -40,36 +40,36 @@
     return 0;
 }
 
-/* One life of a process: it opens the journal, and writes to it. */
-typedef struct Seen {
+/* One run of a process that opens the journal and writes to it: its parameters and its results. */
+typedef struct JournalRun {
     Loop *loop;
-    const char *node; /* the name that it opens the journal with */
-    size_t writes;    /* entries of 50 bytes, one write each */
-    bool rewrite;     /* half-way, the whole file is rewritten to the last entry */
-    bool disk_loses;  /* its disk may lose what it synced, by its settings */
+    const char *node; /* name of the node with which the journal is opened */
+    size_t writes;    /* number of entries of 50 bytes, one write each */
+    bool rewrite;     /* half-way, the file is rewritten to the last entry only */
+    bool disk_loses;  /* according to the settings, the disk may lose synced data */
     Journal *journal;
     Status status; /* of the open, or of the last write */
     Failure failure;
-    size_t entries, last_index; /* read; the last index read or written */
-} Seen;
+    size_t entries, last_index; /* number of entries read; the last index read or written */
+} JournalRun;
 
 static inline void on_record(void *arg, const Record *record)
 {
-    Seen *seen = arg;
+    JournalRun *seen = arg;
     if (record->kind == RECORD_ENTRY) {
         seen->entries++;
         seen->last_index = (size_t)record->index;
     }
 }
 
-static inline JournalSettings settings_of(const Seen *seen)
+static inline JournalSettings settings_of(const JournalRun *seen)
 {
     return (JournalSettings){.path = PATH, .node_name = seen->node, .disk_durable = !seen->disk_loses};
 }
 
 static inline void open_main(void *arg)
 {
-    Seen *seen = arg;
+    JournalRun *seen = arg;
     const JournalSettings settings = settings_of(seen);
     seen->status = journal_open(seen->loop, seen->loop, &settings, on_record, seen, &seen->journal, &seen->failure);
     if (seen->status != STATUS_OK)
@@ -84,21 +84,21 @@
         seen->last_index++;
         seen->status = journal_write(seen->journal, &record, 1);
         if (seen->rewrite && i == seen->writes / 2)
-            (void)journal_rewrite(seen->journal, &record, 1); /* a disk that refused says so at the next write */
+            (void)journal_rewrite(seen->journal, &record, 1); /* a failure shows at the next write */
     }
 }
 
 static inline void start(void *arg, Loop *loop)
 {
-    Seen *seen = arg;
+    JournalRun *seen = arg;
     seen->loop = loop;
     loop_spawn(loop, "open", open_main, seen);
 }
 
-/* Lives for so long in virtual time, then is killed. */
-static inline Seen run_for(SimWorld *world, int machine, const Seen *wanted, int64_t for_ms)
+/* Runs the process for for_ms of virtual time, then kills it. */
+static inline JournalRun run_for(SimWorld *world, int machine, const JournalRun *wanted, int64_t for_ms)
 {
-    Seen *seen = talloc_memdup(world, wanted, sizeof(*wanted));
+    JournalRun *seen = talloc_memdup(world, wanted, sizeof(*wanted));
     sim_start(world, machine, start, seen);
     sim_run_until(world, sim_now_ms(world) + for_ms);
     sim_kill(world, machine);
@@ -107,20 +107,20 @@
     return *seen;
 }
 
-/* Lives for five seconds. */
-static inline Seen run(SimWorld *world, int machine, const char *node, size_t writes, bool rewrite)
+/* Runs the process for five seconds, then kills it. */
+static inline JournalRun run(SimWorld *world, int machine, const char *node, size_t writes, bool rewrite)
 {
-    return run_for(world, machine, &(Seen){.node = node, .writes = writes, .rewrite = rewrite}, 5000);
+    return run_for(world, machine, &(JournalRun){.node = node, .writes = writes, .rewrite = rewrite}, 5000);
 }
 
-/* Writes 20 entries as core1; the file. */
+/* Writes 20 entries as core1. Returns the file. */
 static inline Bytes *written(const Fixture *fixture)
 {
     assert_int_equal(run(fixture->world, fixture->machine, "core1", 20, false).status, STATUS_OK);
     return sim_disk_content(fixture->world, fixture->machine, PATH);
 }
 
-static inline Seen reopened(const Fixture *fixture, const char *node)
+static inline JournalRun reopened(const Fixture *fixture, const char *node)
 {
     return run(fixture->world, fixture->machine, node, 0, false);
 }
--- a/packages/journal/test/journal_hint.c
+++ b/packages/journal/test/journal_hint.c
@@ -1,15 +1,15 @@
-/* A last block that is bad: a torn tail is cut off, what the hint says to have been synced is damage. */
+/* Tests of an invalid last block: a torn tail is truncated, but what was synced according to the hint is damage. */
 #include "journal_fixture.h"
 
-/* The beginning of a block after what was synced, of any length. */
+/* A partial block of any length after the synced ones is truncated. */
 static void torn_tail_is_cut_off(void **state)
 {
     const Fixture *fixture = *state;
     Bytes *file = written(fixture);
-    const size_t count = file->count, block = count / 21; /* the identity and 20 entries of like size */
+    const size_t count = file->count, block = count / 21; /* the identity and 20 entries of about the same size */
     for (size_t torn = 1; torn < block; torn++) {
         bytes_add(fixture->world, file, file->data + count - block, torn);
-        const Seen seen = reopened(fixture, "core1");
+        const JournalRun seen = reopened(fixture, "core1");
         assert_int_equal(seen.status, STATUS_OK);
         assert_int_equal(seen.entries, 20);
         file = sim_disk_content(fixture->world, fixture->machine, PATH);
@@ -17,19 +17,19 @@
     }
 }
 
-/* A block that was written less than JOURNAL_HINT_MS before the end may be a torn one. */
+/* A block that was written less than JOURNAL_HINT_MS before the end counts as possibly torn. */
 static void last_block_may_be_torn(void **state)
 {
     const Fixture *fixture = *state;
     written(fixture);
-    run_for(fixture->world, fixture->machine, &(Seen){.node = "core1", .writes = 1}, JOURNAL_HINT_MS / 2);
+    run_for(fixture->world, fixture->machine, &(JournalRun){.node = "core1", .writes = 1}, JOURNAL_HINT_MS / 2);
     sim_disk_content(fixture->world, fixture->machine, PATH)->count -= 5;
-    const Seen seen = reopened(fixture, "core1");
+    const JournalRun seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
 }
 
-/* The last block cut at any length, or with any byte flipped, once it is known to have been synced. */
+/* The last block, truncated at any length or with any byte changed, is refused once it is known to have been synced. */
 static void damaged_last_block_is_refused(void **state)
 {
     const Fixture *fixture = *state;
@@ -45,14 +45,14 @@
                 file->data[at] ^= 0x41;
             assert_int_equal(reopened(fixture, "core1").status, STATUS_JOURNAL_CORRUPT);
         }
-    /* where disks may lose what they synced it is a torn tail */
-    const Seen seen =
-        run_for(fixture->world, fixture->machine, &(Seen){.node = "core1", .disk_loses = true}, JOURNAL_HINT_MS / 2);
+    /* if disks may lose synced data, it is a torn tail */
+    const JournalRun seen = run_for(fixture->world, fixture->machine,
+                                    &(JournalRun){.node = "core1", .disk_loses = true}, JOURNAL_HINT_MS / 2);
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 19);
 }
 
-/* A hint that is missing, torn, of another disk or of the file before a rewrite says nothing. */
+/* A hint that is empty, truncated, damaged, or of the file before a rewrite is ignored. */
 static void hint_may_be_anything(void **state)
 {
     const Fixture *fixture = *state;
@@ -73,7 +73,7 @@
         bytes_add(world, file, cut.data, cut.count);
         assert_int_equal(reopened(fixture, "core1").status, STATUS_OK);
     }
-    /* rewritten, it is shorter; the hint that comes back is of the longer one */
+    /* after a rewrite the file is shorter; the restored hint belongs to the longer file */
     assert_int_equal(run(world, machine, "core1", 2, true).status, STATUS_OK);
     Bytes *stale = sim_disk_content(world, machine, HINT_PATH);
     stale->count = 0;
@@ -82,13 +82,14 @@
     assert_int_equal(reopened(fixture, "core1").status, STATUS_OK);
 }
 
+/* A process that writes and rewrites its journal continuously. */
 typedef struct Rewriting {
     Loop *loop;
     Journal *journal;
     Status opened;
 } Rewriting;
 
-#define REWRITE_REST_MS 100 /* ms; between rewrites: each is queued behind a write */
+#define REWRITE_REST_MS 100 /* interval between rewrites, in ms: each is queued behind a write */
 
 static Record entry_one(void)
 {
@@ -104,13 +105,13 @@
         (void)journal_write(rewriting->journal, &record, 1);
 }
 
-/* Opens the journal; entries are written all the time, and it is rewritten to one of them again and again. */
+/* Opens the journal, and rewrites it to one entry repeatedly while another task writes entries continuously. */
 static void rewriting_main(void *arg)
 {
     Rewriting *rewriting = arg;
     const JournalSettings settings = {.path = PATH, .node_name = "core1", .disk_durable = true};
     const Record record = entry_one();
-    Seen seen = {0};
+    JournalRun seen = {0};
     rewriting->opened =
         journal_open(rewriting->loop, rewriting->loop, &settings, on_record, &seen, &rewriting->journal, NULL);
     if (rewriting->opened != STATUS_OK)
@@ -129,8 +130,9 @@
     loop_spawn(loop, "rewriting", rewriting_main, rewriting);
 }
 
-/* A loss of power at any time of writes and rewrites: what the hint says is never of another file. (Explorer, precise
- * seed 165: the hint had the generation of a rewrite that was queued, and the length of the file before it.) */
+/* After a loss of power at any time during writes and rewrites, the hint never describes another file. Guards against a
+ * hint with the generation of a queued rewrite and the length of the file before it (found by the explorer, precise
+ * seed 165). */
 static void power_lost_at_a_rewrite(void **state)
 {
     const Fixture *fixture = *state;
--- a/packages/journal/test/journal_large.c
+++ b/packages/journal/test/journal_large.c
@@ -1,4 +1,4 @@
-/* A rewrite of the journal that is larger than the most that one block may hold, on a simulated disk. */
+/* Test of a rewrite of the journal, on a simulated disk, that is larger than the maximum size of a block. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,21 +13,22 @@
 
 #define PATH "data/journal"
 #define RECORD_COUNT 70
-#define PAYLOAD_BYTES ((size_t)1024 * 1024) /* so that all of them are more than RECORD_MAX_BYTES */
-#define FIRST_BYTE 1                        /* of the first record's payload; counted up with each record */
+#define PAYLOAD_BYTES ((size_t)1024 * 1024) /* so that all records together exceed RECORD_MAX_BYTES */
+#define FIRST_BYTE 1                        /* fills the first record's payload; incremented for each record */
 
-/* --- one life of a process -------------------------------------------------------------- */
+/* --- one run of a process -------------------------------------------------------------- */
 
-typedef struct Life {
+/* One run of a process that opens the journal and may rewrite it. */
+typedef struct ProcessRun {
     Loop *loop;
-    bool rewrite; /* the whole file is rewritten to the records */
+    bool rewrite; /* the whole file is rewritten to all records */
     Journal *journal;
     Status opened, rewritten;
     uint64_t disk;
-    size_t entries; /* that the open handed over, in order and whole */
-} Life;
+    size_t entries; /* number of entries that were read in order and complete */
+} ProcessRun;
 
-/* Whether this is the entry that was written at this place. */
+/* Whether this is the entry that was written at this position. */
 static bool is_entry(const Record *record, size_t at)
 {
     if (record->kind != RECORD_ENTRY || record->index != at + 1 || record->payload.count != PAYLOAD_BYTES)
@@ -38,11 +39,11 @@
 
 static void on_record(void *arg, const Record *record)
 {
-    Life *life = arg;
-    life->entries += is_entry(record, life->entries);
+    ProcessRun *process = arg;
+    process->entries += is_entry(record, process->entries);
 }
 
-/* Waits. Rewrites the journal to all records. */
+/* Blocks. Rewrites the journal to all records. */
 static Status rewrite_all(Journal *journal, void *mem)
 {
     Record *records = talloc_zero_array(mem, Record, RECORD_COUNT);
@@ -57,49 +58,50 @@
     return status;
 }
 
-static void life_main(void *arg)
+static void process_main(void *arg)
 {
-    Life *life = arg;
+    ProcessRun *process = arg;
     Failure failure = {0};
     const JournalSettings settings = {.path = PATH, .node_name = "core1", .disk_durable = true};
-    life->opened = journal_open(life->loop, life->loop, &settings, on_record, life, &life->journal, &failure);
-    if (life->opened != STATUS_OK)
+    process->opened =
+        journal_open(process->loop, process->loop, &settings, on_record, process, &process->journal, &failure);
+    if (process->opened != STATUS_OK)
         return;
-    life->disk = journal_disk(life->journal);
-    if (life->rewrite)
-        life->rewritten = rewrite_all(life->journal, life->loop);
+    process->disk = journal_disk(process->journal);
+    if (process->rewrite)
+        process->rewritten = rewrite_all(process->journal, process->loop);
 }
 
 static void start(void *arg, Loop *loop)
 {
-    Life *life = arg;
-    life->loop = loop;
-    loop_spawn(loop, "life", life_main, life);
+    ProcessRun *process = arg;
+    process->loop = loop;
+    loop_spawn(loop, "process", process_main, process);
 }
 
-/* Lives for a virtual second, then is killed. */
-static Life live(SimWorld *world, int machine, bool rewrite)
+/* Runs the process for a second of virtual time, then kills it. */
+static ProcessRun live(SimWorld *world, int machine, bool rewrite)
 {
-    /* what is neither opened nor rewritten by then is no success */
-    Life life = {.rewrite = rewrite, .opened = STATUS_DISK_FAILED, .rewritten = STATUS_DISK_FAILED};
-    sim_start(world, machine, start, &life);
+    /* an open or rewrite that has not returned by then counts as failed */
+    ProcessRun process = {.rewrite = rewrite, .opened = STATUS_DISK_FAILED, .rewritten = STATUS_DISK_FAILED};
+    sim_start(world, machine, start, &process);
     sim_run_until(world, sim_now_ms(world) + 1000);
     sim_kill(world, machine);
-    return life;
+    return process;
 }
 
 /* --- the case ------------------------------------------------------------------------------ */
 
-/* A rewrite that returned OK is read back whole, and the disk is still the same. */
+/* A rewrite that returned OK is read back completely, and the disk id is unchanged. */
 static void large_rewrite_is_read_back(void **state)
 {
     (void)state;
     SimWorld *world = sim_world_new(NULL, 1);
     const int machine = sim_machine(world);
-    const Life writer = live(world, machine, true);
+    const ProcessRun writer = live(world, machine, true);
     assert_int_equal(writer.opened, STATUS_OK);
     assert_int_equal(writer.rewritten, STATUS_OK);
-    const Life reader = live(world, machine, false);
+    const ProcessRun reader = live(world, machine, false);
     assert_int_equal(reader.opened, STATUS_OK);
     assert_int_equal(reader.entries, RECORD_COUNT);
     assert_true(reader.disk == writer.disk);
