--- a/packages/heartbeat/src/liveset.c
+++ b/packages/heartbeat/src/liveset.c
@@ -11,8 +11,8 @@
 
 /* Invariant: the rows are owned by the map, so that a reset frees all of them. */
 struct Liveset {
-    Map *rows;              /* maps a worker's name to its LiveRow */
-    int64_t first_until_ms; /* for unknown workers: a lease of an earlier leader may be valid until then */
+    Map *rows;                /* maps a worker's name to its LiveRow */
+    int64_t unknown_until_ms; /* for unknown workers: a lease of an earlier leader may be valid until then */
 };
 
 Liveset *liveset_new(void *mem)
@@ -23,13 +23,13 @@
 }
 
 /* Returns the row of a worker, which is created if there is none. */
-static LiveRow *row_of(Liveset *liveset, const char *name)
+static LiveRow *row_get_or_add(Liveset *liveset, const char *name)
 {
     LiveRow *row = map_get(liveset->rows, name);
     if (row == NULL) {
         row = talloc_zero(liveset->rows, LiveRow);
         row->name = talloc_strdup(row, name);
-        row->until_ms = liveset->first_until_ms;
+        row->until_ms = liveset->unknown_until_ms;
         row->heard_ms = INT64_MIN;
         map_set(liveset->rows, name, row);
     }
@@ -40,15 +40,15 @@
 {
     talloc_free(liveset->rows);
     liveset->rows = map_new(liveset);
-    liveset->first_until_ms = until_ms;
+    liveset->unknown_until_ms = until_ms;
     for (size_t i = 0; i < count; i++)
-        row_of(liveset, workers[i]);
+        row_get_or_add(liveset, workers[i]);
 }
 
 Status liveset_heartbeat(Liveset *liveset, const HeartbeatAsk *heartbeat, int64_t now_ms, int64_t lease_ms,
                          bool *list_counts)
 {
-    LiveRow *row = row_of(liveset, heartbeat->worker.name);
+    LiveRow *row = row_get_or_add(liveset, heartbeat->worker.name);
     *list_counts = false;
     /* an older incarnation is a second process, or the same one after its clock jumped back: it is accepted once the
      * lease of the newer one has expired */
@@ -85,17 +85,17 @@
 
 void liveset_asked(Liveset *liveset, const char *worker, int64_t now_ms)
 {
-    arrivals_asked(&row_of(liveset, worker)->heartbeats, now_ms);
+    arrivals_asked(&row_get_or_add(liveset, worker)->heartbeats, now_ms);
 }
 
 void liveset_answered(Liveset *liveset, const char *worker, int64_t now_ms)
 {
-    arrivals_answered(&row_of(liveset, worker)->heartbeats, now_ms);
+    arrivals_answered(&row_get_or_add(liveset, worker)->heartbeats, now_ms);
 }
 
 void liveset_losing(Liveset *liveset, const char *worker, bool losing)
 {
-    row_of(liveset, worker)->losing = losing;
+    row_get_or_add(liveset, worker)->losing = losing;
 }
 
 const LiveRow *liveset_find(const Liveset *liveset, const char *name)
--- a/packages/heartbeat/src/orphans.c
+++ b/packages/heartbeat/src/orphans.c
@@ -53,7 +53,7 @@
 }
 
 /* Returns the row of a task on a worker, which is created if there is none. */
-static Orphan *orphan_of(Orphans *orphans, const char *worker, const char *job, uint64_t task)
+static Orphan *orphan_get_or_add(Orphans *orphans, const char *worker, const char *job, uint64_t task)
 {
     OrphanList *list = map_get(orphans->workers, worker);
     if (list == NULL) {
@@ -92,7 +92,7 @@
 void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t attempt,
                  int64_t until_ms)
 {
-    Orphan *orphan = orphan_of(orphans, worker, job->spec.id, task_number(task));
+    Orphan *orphan = orphan_get_or_add(orphans, worker, job->spec.id, task_number(task));
     orphan_set_job(orphan, &job->spec, job->spec.steps[task->step].resources);
     orphan->attempt = attempt;
     orphan->until_ms = until_ms;
@@ -123,7 +123,7 @@
     const JobSpec *spec;
     if (placed_here(table, heartbeat, attempt, &spec, &resources))
         return;
-    Orphan *orphan = orphan_of(orphans, heartbeat->worker.name, attempt->job, attempt->task);
+    Orphan *orphan = orphan_get_or_add(orphans, heartbeat->worker.name, attempt->job, attempt->task);
     orphan->listed = true;
     if (attempt->attempt > orphan->attempt)
         orphan->attempt = attempt->attempt;
--- a/packages/journal/include/journal/journal.h
+++ b/packages/journal/include/journal/journal.h
@@ -43,15 +43,16 @@
     bool disk_durable; /* synced data survives a loss of power, so that a missing block means damage */
 } JournalSettings;
 
-/* Parses bytes as a journal. found may be NULL. good_count (out): the number of bytes in valid blocks. JOURNAL_CORRUPT:
- * an invalid block before a valid one, or a record that does not parse; failure (out) gives its position. */
-Status journal_read(Bytes content, JournalFn found, void *arg, size_t *good_count, Failure *failure);
+/* Parses bytes as a journal. on_record may be NULL. valid_bytes (out): the number of bytes in valid blocks.
+ * JOURNAL_CORRUPT: an invalid block before a valid one, or a record that does not parse; failure (out) gives its
+ * position. */
+Status journal_read(Bytes content, JournalFn on_record, void *arg, size_t *valid_bytes, Failure *failure);
 
-/* Blocks. Opens the file, or creates it with a new disk id, and passes its records to found. The journal is allocated
- * on mem. JOURNAL_CORRUPT: the file is corrupt or, if the disk keeps what it syncs, less of it is valid than was synced
- * JOURNAL_HINT_MS before the last process ended; JOURNAL_FOREIGN: it was created for a node of another name;
+/* Blocks. Opens the file, or creates it with a new disk id, and passes its records to on_record. The journal is
+ * allocated on mem. JOURNAL_CORRUPT: the file is corrupt or, if the disk keeps what it syncs, less of it is valid than
+ * was synced JOURNAL_HINT_MS before the last process ended; JOURNAL_FOREIGN: it was created for a node of another name;
  * JOURNAL_FORMAT: it was written by a later release; DISK_FAILED: the disk refused access for JOURNAL_OPEN_MS. */
-Status journal_open(Loop *loop, void *mem, const JournalSettings *settings, JournalFn found, void *arg,
+Status journal_open(Loop *loop, void *mem, const JournalSettings *settings, JournalFn on_record, void *arg,
                     Journal **journal, Failure *failure);
 /* Blocks. Atomically replaces a corrupt journal by an empty one with a new disk id. The old file, if it has at most
  * JOURNAL_BAD_BYTES, is kept beside it as PATH.bad for an investigation of the fault. */
--- a/packages/journal/src/block.c
+++ b/packages/journal/src/block.c
@@ -56,8 +56,8 @@
     talloc_free(scratch);
 }
 
-/* Passes the records of a block that starts at byte at to found. */
-static Status block_read(Bytes body, size_t at, JournalFn found, void *arg, Failure *failure)
+/* Passes the records of a block that starts at byte at to on_record. */
+static Status block_read(Bytes body, size_t at, JournalFn on_record, void *arg, Failure *failure)
 {
     for (size_t k = 0; k < body.count;) {
         const uint32_t count = body.count - k >= 4 ? get32(body.data + k) : UINT32_MAX;
@@ -72,18 +72,18 @@
             return failure_set(failure, STATUS_JOURNAL_CORRUPT, "record does not parse at byte %zu",
                                at + BLOCK_HEAD + k);
         }
-        if (found != NULL)
-            found(arg, &record);
+        if (on_record != NULL)
+            on_record(arg, &record);
         talloc_free(mem);
         k += 4 + count;
     }
     return STATUS_OK;
 }
 
-Status journal_read(Bytes content, JournalFn found, void *arg, size_t *good_count, Failure *failure)
+Status journal_read(Bytes content, JournalFn on_record, void *arg, size_t *valid_bytes, Failure *failure)
 {
     size_t at = 0;
-    *good_count = 0;
+    *valid_bytes = 0;
     while (at < content.count) {
         Bytes body;
         if (!block_at(content, at, &body)) {
@@ -93,11 +93,11 @@
                                        "invalid block at byte %zu is followed by a valid block at byte %zu", at, later);
             return STATUS_OK; /* no valid block follows: this is a torn tail */
         }
-        const Status status = block_read(body, at, found, arg, failure);
+        const Status status = block_read(body, at, on_record, arg, failure);
         if (status != STATUS_OK)
             return status;
         at += BLOCK_HEAD + body.count;
-        *good_count = at;
+        *valid_bytes = at;
     }
     return STATUS_OK;
 }
--- a/packages/journal/src/hint.c
+++ b/packages/journal/src/hint.c
@@ -29,7 +29,7 @@
     size_t synced; /* synced size of the journal, in bytes; 0: the hint does not apply */
 } Hint;
 
-static void hint_take(void *arg, const Record *record)
+static void hint_record_read(void *arg, const Record *record)
 {
     Hint *hint = arg;
     const bool of_this = record->kind == RECORD_SYNCED && record->index == hint->journal->disk &&
@@ -42,9 +42,9 @@
     void *mem = talloc_new(NULL);
     Hint hint = {journal, 0};
     Bytes content;
-    size_t good_count;
+    size_t valid_bytes;
     if (journal->generation == 0 || file_hint_read(journal->file, mem, &content) != STATUS_OK ||
-        journal_read(content, hint_take, &hint, &good_count, NULL) != STATUS_OK)
+        journal_read(content, hint_record_read, &hint, &valid_bytes, NULL) != STATUS_OK)
         hint.synced = 0;
     talloc_free(mem);
     return hint.synced;
--- a/packages/journal/src/open.c
+++ b/packages/journal/src/open.c
@@ -9,13 +9,13 @@
 /* The state of reading a journal. */
 typedef struct Opening {
     Journal *journal;
-    JournalFn found;
+    JournalFn on_record;
     void *arg;
     size_t records;  /* number of records read so far */
     Failure failure; /* an error in the identity */
 } Opening;
 
-/* Checks the identity, which is the first record; passes all other records to found. */
+/* Checks the identity, which is the first record; passes all other records to on_record. */
 static void open_record(void *arg, const Record *record)
 {
     Opening *opening = arg;
@@ -36,11 +36,11 @@
         return;
     }
     if (opening->failure.status == STATUS_OK && record->kind != RECORD_IDENTITY)
-        opening->found(opening->arg, record);
+        opening->on_record(opening->arg, record);
 }
 
 /* Blocks. Allocates a journal on mem and opens its file. */
-static Status file_take(Loop *loop, void *mem, const JournalSettings *settings, Journal **out, Failure *failure)
+static Status journal_allocate(Loop *loop, void *mem, const JournalSettings *settings, Journal **out, Failure *failure)
 {
     Journal *journal = talloc_zero(mem, Journal);
     journal->loop = loop;
@@ -76,29 +76,29 @@
 {
     void *mem = talloc_new(journal);
     Bytes content = {0};
-    size_t good_count = 0;
+    size_t valid_bytes = 0;
     Status status = read_with_retry(journal, mem, &content);
     if (status != STATUS_OK)
         failure_set(failure, status, "cannot read %s", path);
     else
-        status = journal_read(content, open_record, opening, &good_count, failure);
+        status = journal_read(content, open_record, opening, &valid_bytes, failure);
     if (status == STATUS_OK && opening->failure.status != STATUS_OK)
         status = failure_set(failure, opening->failure.status, "%s", opening->failure.text);
-    if (status == STATUS_OK && good_count == 0 &&
+    if (status == STATUS_OK && valid_bytes == 0 &&
         content.count > 0) /* the first block is written atomically, so it cannot be torn */
         status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s is not a journal", path);
     const size_t synced = status == STATUS_OK && journal->disk_durable ? hint_read(journal) : 0;
-    if (status == STATUS_OK && good_count < synced)
+    if (status == STATUS_OK && valid_bytes < synced)
         status =
             failure_set(failure, STATUS_JOURNAL_CORRUPT,
-                        "%s is valid up to byte %zu only, but was synced up to byte %zu", path, good_count, synced);
-    if (status == STATUS_OK && good_count < content.count) {
-        status = replace_with_retry(journal, (Bytes){content.data, good_count, 0});
+                        "%s is valid up to byte %zu only, but was synced up to byte %zu", path, valid_bytes, synced);
+    if (status == STATUS_OK && valid_bytes < content.count) {
+        status = replace_with_retry(journal, (Bytes){content.data, valid_bytes, 0});
         if (status != STATUS_OK)
             failure_set(failure, status, "cannot truncate the torn tail of %s", path);
     }
-    journal->counts.bytes = good_count;
-    journal->counts.torn_bytes = content.count - good_count;
+    journal->counts.bytes = valid_bytes;
+    journal->counts.torn_bytes = content.count - valid_bytes;
     talloc_free(mem);
     return status;
 }
@@ -119,14 +119,14 @@
     return status == STATUS_OK ? status : failure_set(failure, status, "cannot write %s", path);
 }
 
-Status journal_open(Loop *loop, void *mem, const JournalSettings *settings, JournalFn found, void *arg, Journal **out,
-                    Failure *failure)
+Status journal_open(Loop *loop, void *mem, const JournalSettings *settings, JournalFn on_record, void *arg,
+                    Journal **out, Failure *failure)
 {
     Journal *journal;
-    Status status = file_take(loop, mem, settings, &journal, failure);
+    Status status = journal_allocate(loop, mem, settings, &journal, failure);
     if (status != STATUS_OK)
         return status;
-    Opening opening = {journal, found, arg, 0, {0}};
+    Opening opening = {journal, on_record, arg, 0, {0}};
     status = content_read(journal, settings->path, &opening, failure);
     if (status == STATUS_OK && opening.records == 0)
         status = identity_write(journal, settings->path, failure);
@@ -153,7 +153,7 @@
 Status journal_recreate(Loop *loop, void *mem, const JournalSettings *settings, Journal **out, Failure *failure)
 {
     Journal *journal;
-    Status status = file_take(loop, mem, settings, &journal, failure);
+    Status status = journal_allocate(loop, mem, settings, &journal, failure);
     if (status != STATUS_OK)
         return status;
     corrupt_copy_save(journal, settings->path);
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -7,14 +7,14 @@
 static void records_are_read_back(void **state)
 {
     const Fixture *fixture = *state;
-    written(fixture);
-    JournalRun seen = reopened(fixture, "core1");
+    write_entries(fixture);
+    JournalRun seen = reopen(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
     assert_int_equal(seen.last_index, 20);
     /* with a rewrite half-way: the first half becomes one record, and the rest follows it */
     assert_int_equal(run(fixture->world, fixture->machine, "core1", 10, true).status, STATUS_OK);
-    seen = reopened(fixture, "core1");
+    seen = reopen(fixture, "core1");
     assert_int_equal(seen.entries, 6);
     assert_int_equal(seen.last_index, 30);
 }
@@ -24,8 +24,8 @@
 {
     const Fixture *fixture = *state;
     const uint8_t zeroes[100] = {0};
-    bytes_add(fixture->world, written(fixture), zeroes, sizeof(zeroes));
-    const JournalRun seen = reopened(fixture, "core1");
+    bytes_add(fixture->world, write_entries(fixture), zeroes, sizeof(zeroes));
+    const JournalRun seen = reopen(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
 }
@@ -35,20 +35,20 @@
 static void foreign_node_is_refused(void **state)
 {
     const Fixture *fixture = *state;
-    written(fixture);
-    const JournalRun seen = reopened(fixture, "core2");
+    write_entries(fixture);
+    const JournalRun seen = reopen(fixture, "core2");
     assert_int_equal(seen.status, STATUS_JOURNAL_FOREIGN);
     assert_non_null(strstr(seen.failure.text, "core1"));
-    assert_int_equal(reopened(fixture, "core1").entries, 20); /* the file is unchanged */
+    assert_int_equal(reopen(fixture, "core1").entries, 20); /* the file is unchanged */
 }
 
 /* A flipped bit in the middle of the file is refused, and the failure gives its position. */
 static void flipped_bit_is_refused(void **state)
 {
     const Fixture *fixture = *state;
-    Bytes *file = written(fixture);
+    Bytes *file = write_entries(fixture);
     file->data[file->count / 2] ^= 4;
-    const JournalRun seen = reopened(fixture, "core1");
+    const JournalRun seen = reopen(fixture, "core1");
     assert_int_equal(seen.status, STATUS_JOURNAL_CORRUPT);
     assert_non_null(strstr(seen.failure.text, "at byte"));
 }
@@ -107,7 +107,7 @@
     Bytes *file = sim_disk_content(fixture->world, fixture->machine, PATH);
     file->count = 0;
     bytes_add(mem, file, block.data, block.count);
-    assert_int_equal(reopened(fixture, "core1").status, STATUS_JOURNAL_FORMAT);
+    assert_int_equal(reopen(fixture, "core1").status, STATUS_JOURNAL_FORMAT);
 }
 
 static void begin_main(void *arg)
--- a/packages/journal/test/journal_fixture.h
+++ b/packages/journal/test/journal_fixture.h
@@ -114,13 +114,13 @@
 }
 
 /* Writes 20 entries as core1. Returns the file. */
-static inline Bytes *written(const Fixture *fixture)
+static inline Bytes *write_entries(const Fixture *fixture)
 {
     assert_int_equal(run(fixture->world, fixture->machine, "core1", 20, false).status, STATUS_OK);
     return sim_disk_content(fixture->world, fixture->machine, PATH);
 }
 
-static inline JournalRun reopened(const Fixture *fixture, const char *node)
+static inline JournalRun reopen(const Fixture *fixture, const char *node)
 {
     return run(fixture->world, fixture->machine, node, 0, false);
 }
--- a/packages/journal/test/journal_hint.c
+++ b/packages/journal/test/journal_hint.c
@@ -5,11 +5,11 @@
 static void torn_tail_is_cut_off(void **state)
 {
     const Fixture *fixture = *state;
-    Bytes *file = written(fixture);
+    Bytes *file = write_entries(fixture);
     const size_t count = file->count, block = count / 21; /* the identity and 20 entries of about the same size */
     for (size_t torn = 1; torn < block; torn++) {
         bytes_add(fixture->world, file, file->data + count - block, torn);
-        const JournalRun seen = reopened(fixture, "core1");
+        const JournalRun seen = reopen(fixture, "core1");
         assert_int_equal(seen.status, STATUS_OK);
         assert_int_equal(seen.entries, 20);
         file = sim_disk_content(fixture->world, fixture->machine, PATH);
@@ -21,10 +21,10 @@
 static void last_block_may_be_torn(void **state)
 {
     const Fixture *fixture = *state;
-    written(fixture);
+    write_entries(fixture);
     run_for(fixture->world, fixture->machine, &(JournalRun){.node = "core1", .writes = 1}, JOURNAL_HINT_MS / 2);
     sim_disk_content(fixture->world, fixture->machine, PATH)->count -= 5;
-    const JournalRun seen = reopened(fixture, "core1");
+    const JournalRun seen = reopen(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
 }
@@ -33,7 +33,7 @@
 static void damaged_last_block_is_refused(void **state)
 {
     const Fixture *fixture = *state;
-    Bytes *file = written(fixture);
+    Bytes *file = write_entries(fixture);
     const size_t count = file->count, block = count / 21;
     const Bytes whole = bytes_copy(fixture->world, *file);
     for (size_t at = count - block; at < count; at++)
@@ -43,7 +43,7 @@
             bytes_add(fixture->world, file, whole.data, cut == 1 ? at : count);
             if (cut == 0)
                 file->data[at] ^= 0x41;
-            assert_int_equal(reopened(fixture, "core1").status, STATUS_JOURNAL_CORRUPT);
+            assert_int_equal(reopen(fixture, "core1").status, STATUS_JOURNAL_CORRUPT);
         }
     /* if disks may lose synced data, it is a torn tail */
     const JournalRun seen = run_for(fixture->world, fixture->machine,
@@ -58,7 +58,7 @@
     const Fixture *fixture = *state;
     SimWorld *world = fixture->world;
     const int machine = fixture->machine;
-    Bytes *file = written(fixture);
+    Bytes *file = write_entries(fixture);
     file->count -= 5;
     const Bytes cut = bytes_copy(world, *file), hint = bytes_copy(world, *sim_disk_content(world, machine, HINT_PATH));
     assert_true(hint.count > 0);
@@ -71,7 +71,7 @@
         file = sim_disk_content(world, machine, PATH);
         file->count = 0;
         bytes_add(world, file, cut.data, cut.count);
-        assert_int_equal(reopened(fixture, "core1").status, STATUS_OK);
+        assert_int_equal(reopen(fixture, "core1").status, STATUS_OK);
     }
     /* after a rewrite the file is shorter; the restored hint belongs to the longer file */
     assert_int_equal(run(world, machine, "core1", 2, true).status, STATUS_OK);
@@ -79,7 +79,7 @@
     stale->count = 0;
     bytes_add(world, stale, hint.data, hint.count);
     assert_true(sim_disk_content(world, machine, PATH)->count < cut.count);
-    assert_int_equal(reopened(fixture, "core1").status, STATUS_OK);
+    assert_int_equal(reopen(fixture, "core1").status, STATUS_OK);
 }
 
 /* A process that writes and rewrites its journal continuously. */
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -137,7 +137,8 @@
 
 /* --- clocks ------------------------------------------------------------------------- */
 
-/* The log's clock, in ms since the cluster was founded. It never goes back, and stands still while no node runs. */
+/* The log's clock, in ms since the cluster was founded. It never falls below the latest time stamp in the
+ * log, and stands still while no node runs. */
 int64_t replication_clock_ms(const Replication *replication);
 /* The median of the voters' wall clocks, advanced by this node's own clock, in ms since 1970. */
 int64_t replication_wall_ms(const Replication *replication);
--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -17,8 +17,9 @@
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     replication->other_histories++;
-    if (replication->other_notified_ms == 0 || now_ms - replication->other_notified_ms >= HISTORY_NOTIFIED_MS) {
-        replication->other_notified_ms = now_ms;
+    if (replication->history_conflict_logged_ms == 0 ||
+        now_ms - replication->history_conflict_logged_ms >= HISTORY_NOTIFIED_MS) {
+        replication->history_conflict_logged_ms = now_ms;
         recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
                        "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
                        status_word(STATUS_OTHER_HISTORY), index, replication->commit_index);
@@ -27,7 +28,7 @@
 }
 
 /* Drops the entries after index. If some of them were delivered, the state machine is reloaded from the snapshot. */
-static void trim(Replication *replication, uint64_t index)
+static void entries_drop(Replication *replication, uint64_t index)
 {
     INVARIANT(LOG_ORDER, index >= replication->log->base_index);
     log_trim(replication->log, index);
@@ -67,7 +68,7 @@
     if (entry->index <= replication->commit_index && replication->settings.disks_keep)
         return history_conflict_refuse(replication, entry->index);
     if (entry->index <= log_last_index(log)) {
-        trim(replication, entry->index - 1);
+        entries_drop(replication, entry->index - 1);
         if (entry->index - 1 < effect->trimmed_to)
             effect->trimmed_to = entry->index - 1;
         effect->reread = true;
--- a/packages/replication/src/clock.c
+++ b/packages/replication/src/clock.c
@@ -1,5 +1,5 @@
-/* The log's clock and the wall clock. The log's clock is monotonic and advances only while a leader or follower runs;
- * the wall clock is the median of the voters' wall clocks. */
+/* The log's clock and the wall clock. The log's clock never falls below the latest time stamp in the log, and advances
+ * only while a leader or follower runs; the wall clock is the median of the voters' wall clocks. */
 #include "clock.h"
 #include "state.h"
 
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -5,7 +5,7 @@
 #include "snapshot.h"
 #include "state.h"
 
-Record *replication_records(Replication *replication, void *mem, size_t *count)
+Record *journal_records(Replication *replication, void *mem, size_t *count)
 {
     const Log *log = replication->log;
     Record *records = talloc_zero_array(mem, Record, (unsigned)(log->count + 3));
@@ -30,7 +30,7 @@
 {
     void *mem = talloc_new(replication);
     size_t count;
-    const Record *records = replication_records(replication, mem, &count);
+    const Record *records = journal_records(replication, mem, &count);
     replication->queued_index = log_last_index(replication->log);
     const Status status = journal_rewrite(replication->journal, records, count);
     talloc_free(mem);
@@ -92,7 +92,7 @@
     }
 }
 
-void disk_start(Replication *replication)
+void disk_retry_start(Replication *replication)
 {
     loop_spawn(replication->loop, "disk", disk_retry_main, replication);
 }
--- a/packages/replication/src/disk.h
+++ b/packages/replication/src/disk.h
@@ -11,11 +11,11 @@
 /* Logs that this node's disk refused a write; once, until it accepts writes again. */
 void disk_failed_log(Replication *replication);
 /* Spawns the task that retries a failed disk. */
-void disk_start(Replication *replication);
+void disk_retry_start(Replication *replication);
 /* Spawns the task that rewrites the journal after a snapshot was made. */
 void disk_compact(Replication *replication);
 /* Returns the records of a complete journal, that of the cluster first; the array is allocated on mem, its payloads are
  * owned by the log. */
-Record *replication_records(Replication *replication, void *mem, size_t *count);
+Record *journal_records(Replication *replication, void *mem, size_t *count);
 
 #endif
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -26,7 +26,7 @@
 
 /* Returns the answer with the newest view; NULL: no voter has answered. any_restarted (out): one of the voters that
  * answered has restarted. */
-static const VoterAnswer *last_view_of(const Poll *poll, bool *any_restarted)
+static const VoterAnswer *newest_view_answer(const Poll *poll, bool *any_restarted)
 {
     const VoterAnswer *newest = NULL;
     *any_restarted = false;
@@ -49,7 +49,7 @@
 static bool view_allowed(Replication *replication, const Poll *poll, bool *repair)
 {
     bool any_restarted;
-    const VoterAnswer *newest = last_view_of(poll, &any_restarted);
+    const VoterAnswer *newest = newest_view_answer(poll, &any_restarted);
     *repair = any_restarted && !replication->settings.disks_keep && newest != NULL && newest->configuration_term != 0;
     if (!*repair)
         return true;
@@ -58,13 +58,13 @@
         if (last_view_includes(newest, replication->voters[i]) && !poll_reached(poll->status[i]))
             heard_all = false;
     if (heard_all) {
-        replication->restarted_since_ms = 0;
+        replication->last_view_wait_since_ms = 0;
         return true;
     }
     const int64_t now_ms = loop_now_ms(replication->loop);
-    if (replication->restarted_since_ms == 0)
-        replication->restarted_since_ms = now_ms;
-    return now_ms - replication->restarted_since_ms >= RESTARTED_WAIT_MS;
+    if (replication->last_view_wait_since_ms == 0)
+        replication->last_view_wait_since_ms = now_ms;
+    return now_ms - replication->last_view_wait_since_ms >= RESTARTED_WAIT_MS;
 }
 
 /* Summary of the voters' answers in the pre-vote. */
@@ -82,18 +82,18 @@
     Prevote prevote = {0};
     /* voters whose disks lost synced data have lost promises; the members that followed a leader still know its
      * term */
-    election->highest = replication->lock.promised;
-    if (members_leader_term(replication->settings.members) > election->highest)
-        election->highest = members_leader_term(replication->settings.members);
+    election->highest_term = replication->lock.promised;
+    if (members_leader_term(replication->settings.members) > election->highest_term)
+        election->highest_term = members_leader_term(replication->settings.members);
     /* a learner follows only a term at least as high as the one it has promised */
-    if (replication->promised_highest > election->highest)
-        election->highest = replication->promised_highest;
+    if (replication->promised_highest > election->highest_term)
+        election->highest_term = replication->promised_highest;
     for (int i = 0; i < VOTER_MOST; i++)
         if (poll_reached(poll->status[i])) {
             prevote.count++;
             prevote.removed |= poll->status[i] == STATUS_NO_VOTER;
-            if (poll->answers[i].promised > election->highest)
-                election->highest = poll->answers[i].promised;
+            if (poll->answers[i].promised > election->highest_term)
+                election->highest_term = poll->answers[i].promised;
             const bool other = poll->answers[i].held && poll->answers[i].holder != replication->disk;
             prevote.unleased += !other;
             prevote.ahead |= other && poll->answers[i].promised > replication->lock.promised;
@@ -114,7 +114,7 @@
         leader_step_down(replication, VOTER_LOST_REST_MS);
         return STATUS_NO_VOTER;
     }
-    /* no other node has the lease if a majority has not granted it to another; but a candidate that already has a
+    /* if a majority has granted the lease to no other node, no other node has it; but a candidate that already has a
      * promise of a higher term takes precedence */
     const bool held = election->new_holder && prevote.count >= replication_majority(replication) &&
                       (prevote.unleased < replication_majority(replication) || prevote.ahead);
@@ -198,7 +198,7 @@
 Status election_promises(Election *election)
 {
     Replication *replication = election->replication;
-    election->term = term_next(election->highest, replication->disk);
+    election->term = term_next(election->highest_term, replication->disk);
     Poll *poll = poll_voters(replication, election->term, election->skip);
     /* a lease that ended before this request was sent was not held without interruption */
     const int64_t held_until_ms = lock_lease_until(&replication->lease);
--- a/packages/replication/src/election.h
+++ b/packages/replication/src/election.h
@@ -15,7 +15,7 @@
     const bool *skip;              /* voters that are not polled, by place */
     bool new_holder;               /* this node has no lease that is carried over into the new term */
     bool repair;                   /* committed changes may have been lost (see TermRecord) */
-    uint64_t highest;              /* the highest term that any voter or member knows */
+    uint64_t highest_term;         /* the highest term that any voter or member knows */
     uint64_t term;                 /* the new term */
     int best;                      /* place of the voter with the best log; -1: no voter promised */
     bool in_view[VOTER_MOST];      /* by place: the voters that promised and are not far behind */
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -34,7 +34,7 @@
     members_set_empty(replication->settings.members, false);
     void *mem = talloc_new(replication);
     size_t count;
-    const Record *records = replication_records(replication, mem, &count);
+    const Record *records = journal_records(replication, mem, &count);
     const Status status = journal_write(replication->journal, records, 1); /* only the record of the cluster */
     talloc_free(mem);
     return status;
@@ -62,7 +62,7 @@
 /* The task that founds a cluster by votes. The empty controller that knows of no lower disk id than its own is the
  * candidate. With the votes of a majority of the seeds it founds the cluster as its only voter, and then adds the other
  * voters as the leader. */
-static void votes_main(void *arg)
+static void found_by_votes_main(void *arg)
 {
     Replication *replication = arg;
     Members *members = replication->settings.members;
@@ -140,7 +140,7 @@
 }
 
 /* Blocks. Offers the cluster to the other two controllers. */
-static void offer(Replication *replication, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
+static void cluster_offer(Replication *replication, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
 {
     for (int i = 0; i < VOTER_FIRST; i++) {
         const Member *member = members_find_disk(replication->settings.members, disks[i]);
@@ -159,7 +159,7 @@
 
 /* The task that founds a cluster by three disks: the controller with the lowest disk id founds the cluster and offers
  * it to the other two. */
-static void three_main(void *arg)
+static void found_by_three_main(void *arg)
 {
     Replication *replication = arg;
     uint64_t before[VOTER_FIRST] = {0};
@@ -174,7 +174,7 @@
                 members_leader_id(replication->settings.members)[0] != '\0')
                 return;
             if (disks[0] == replication_disk(replication))
-                offer(replication, disks, rpc_cluster(replication->settings.rpc));
+                cluster_offer(replication, disks, rpc_cluster(replication->settings.rpc));
             continue;
         }
         if (rpc_cluster(replication->settings.rpc) != 0 || !three_empty(replication, disks)) {
@@ -191,7 +191,7 @@
         const uint64_t cluster = loop_random(replication->loop) | 1;
         if (found_with_disks(replication, cluster, disks, VOTER_FIRST) == STATUS_OK) {
             founded_log(replication, cluster);
-            offer(replication, disks, cluster);
+            cluster_offer(replication, disks, cluster);
         }
     }
 }
@@ -200,9 +200,9 @@
 {
     members_set_voter(replication->settings.members, replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES);
     if (replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES && !replication_founded(replication))
-        loop_spawn(replication->loop, "votes", votes_main, replication);
+        loop_spawn(replication->loop, "votes", found_by_votes_main, replication);
     if (replication->settings.founds != REPLICATION_FOUNDS_BY_THREE)
         return;
     rpc_handle(replication->settings.rpc, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, replication);
-    loop_spawn(replication->loop, "found", three_main, replication);
+    loop_spawn(replication->loop, "found", found_by_three_main, replication);
 }
--- a/packages/replication/src/install_snapshot.c
+++ b/packages/replication/src/install_snapshot.c
@@ -154,7 +154,7 @@
         cluster_join(replication);
     void *mem = talloc_new(replication);
     size_t record_count;
-    const Record *records = replication_records(replication, mem, &record_count);
+    const Record *records = journal_records(replication, mem, &record_count);
     status = journal_rewrite(replication->journal, records, record_count);
     talloc_free(mem);
     if (status == STATUS_OK)
--- a/packages/replication/src/learners.c
+++ b/packages/replication/src/learners.c
@@ -63,7 +63,7 @@
     const int64_t now_ms = loop_now_ms(replication->loop);
     return replication->learners[learner].disk != 0 && peer->match_index > 0 && peer->refuses_since_ms == INT64_MAX &&
            peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(replication->log) && peer->renewed_ms != INT64_MIN &&
-           now_ms - peer->renewed_ms < 2 * LOCK_RENEW_MS && peer->append_took_ms < VOTER_SLOW_MS;
+           now_ms - peer->renewed_ms < 2 * LOCK_RENEW_MS && peer->append_duration_ms < VOTER_SLOW_MS;
 }
 
 bool learner_steady(const Replication *replication, size_t learner)
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -49,21 +49,21 @@
 
 int64_t lease_grant_ms(const Replication *replication)
 {
-    const int64_t grant_ms = LOCK_GRANT_LEAST_MS + GRANT_PAUSE_FACTOR * replication->pause_us / US_PER_MS;
+    const int64_t grant_ms = LOCK_GRANT_LEAST_MS + GRANT_PAUSE_FACTOR * replication->recent_pause_us / US_PER_MS;
     return grant_ms < LOCK_GRANT_MS && !replication->settings.longest_grant ? grant_ms : LOCK_GRANT_MS;
 }
 
 void lease_pause_record(Replication *replication, int64_t pause_ms)
 {
     const int64_t most_ms = (LOCK_GRANT_MS - LOCK_GRANT_LEAST_MS) / GRANT_PAUSE_FACTOR;
-    const int64_t pause_us = (pause_ms < most_ms ? pause_ms : most_ms) * US_PER_MS;
-    if (pause_us > replication->pause_us)
-        replication->pause_us = pause_us;
+    const int64_t recent_pause_us = (pause_ms < most_ms ? pause_ms : most_ms) * US_PER_MS;
+    if (recent_pause_us > replication->recent_pause_us)
+        replication->recent_pause_us = recent_pause_us;
 }
 
 void lease_pause_decay(Replication *replication)
 {
-    replication->pause_us -= replication->pause_us / PAUSE_DECAY_DIVISOR;
+    replication->recent_pause_us -= replication->recent_pause_us / PAUSE_DECAY_DIVISOR;
 }
 
 /* The renewal interval, in ms: a short grant has as many renewals as a long one. */
--- a/packages/replication/src/leave.c
+++ b/packages/replication/src/leave.c
@@ -28,9 +28,9 @@
     }
 }
 
-/* Blocks until a vote that may just have been given to this learner is known here. The entry that makes it a voter may
- * still be in transit; once the leader knows that the learner is leaving, it gives it no vote, so the learner receives
- * such an entry within a few renewals of the lease. */
+/* Blocks, for VOTE_SETTLE_MS at most, until a vote that may just have been given to this learner is known here. The
+ * entry that makes it a voter may still be in transit; once the leader knows that the learner is leaving, it gives it
+ * no vote, so the learner receives such an entry within a few renewals of the lease. */
 static void pending_vote_await(const Replication *replication, int64_t until_ms)
 {
     const int64_t settled_ms = loop_now_ms(replication->loop) + VOTE_SETTLE_MS;
--- a/packages/replication/src/log.c
+++ b/packages/replication/src/log.c
@@ -6,7 +6,7 @@
 
 #include "base/invariant.h"
 
-#define LOG_CAPACITY_FIRST 256 /* number of entries for which memory is allocated first */
+#define LOG_CAPACITY_INITIAL 256 /* number of entries for which memory is allocated first */
 
 Log *log_new(void *mem)
 {
@@ -41,7 +41,7 @@
 {
     INVARIANT(LOG_ORDER, entry->index == log_last_index(log) + 1);
     if (log->count == log->capacity) {
-        log->capacity = log->capacity ? log->capacity * 2 : LOG_CAPACITY_FIRST;
+        log->capacity = log->capacity ? log->capacity * 2 : LOG_CAPACITY_INITIAL;
         log->entries = talloc_realloc(log, log->entries, Record, (unsigned)log->capacity);
         log->owners = talloc_realloc(log, log->owners, void *, (unsigned)log->capacity);
     }
--- a/packages/replication/src/new_term.c
+++ b/packages/replication/src/new_term.c
@@ -60,7 +60,7 @@
         lease_pause_record(replication, LOCK_GRANT_MS); /* the delay of renewals is not known yet */
     }
     replication->has_lease = true;
-    replication->restarted_since_ms = 0;
+    replication->last_view_wait_since_ms = 0;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->voters[i] != 0)
             renewal_start(replication, i);
@@ -147,7 +147,7 @@
 }
 
 /* Begins to lead, once the first entry is committed. */
-static void lead_begin(const Election *election)
+static void leadership_begin(const Election *election)
 {
     Replication *replication = election->replication;
     INVARIANT(LEADS_COMMITTED, replication->commit_index >= replication->term_entry_index);
@@ -155,7 +155,7 @@
         replication->settings.opened(replication->settings.opened_arg, election->term, election->new_holder,
                                      replication->last_view.repair);
     replication->phase = REPLICATION_LEADING;
-    replication->changed_ms = loop_now_ms(replication->loop);
+    replication->view_changed_ms = loop_now_ms(replication->loop);
     replication->view_changes++;
     members_set_leader(replication->settings.members, election->term, members_self(replication->settings.members)->id);
     if (election->new_holder)
@@ -189,6 +189,6 @@
     first_entry_append(&election);
     status = first_entry_await(&election);
     if (status == STATUS_OK)
-        lead_begin(&election);
+        leadership_begin(&election);
     return status;
 }
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -9,10 +9,10 @@
 #include "voter_list.h"
 
 /* The argument of the task for one voter. */
-typedef struct PollPart {
+typedef struct PollTask {
     Poll *poll;
     int voter; /* its place */
-} PollPart;
+} PollTask;
 
 void poll_unref(Poll *poll)
 {
@@ -22,7 +22,7 @@
 
 static void poll_main(void *arg)
 {
-    const PollPart part = *(PollPart *)arg;
+    const PollTask part = *(PollTask *)arg;
     Poll *poll = part.poll;
     Replication *replication = poll->replication;
     talloc_free(arg);
@@ -64,8 +64,8 @@
         poll->disks[i] = replication->voters[i];
         poll->references++;
         poll->pending++;
-        PollPart *part = talloc_zero(replication, PollPart);
-        *part = (PollPart){poll, i};
+        PollTask *part = talloc_zero(replication, PollTask);
+        *part = (PollTask){poll, i};
         loop_spawn(replication->loop, "poll", poll_main, part);
     }
 }
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -119,7 +119,7 @@
     return pending;
 }
 
-static void voters_main(void *arg)
+static void reconfigure_main(void *arg)
 {
     Replication *replication = arg;
     while (!loop_stopping(replication->loop)) {
@@ -133,5 +133,5 @@
 
 void reconfiguration_start(Replication *replication)
 {
-    loop_spawn(replication->loop, "voters", voters_main, replication);
+    loop_spawn(replication->loop, "voters", reconfigure_main, replication);
 }
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -58,8 +58,8 @@
             leader_step_down(replication, 0);
             return;
         }
-        replication->slow_times =
-            loop_now_ms(replication->loop) - start_ms > VOTER_SLOW_MS ? replication->slow_times + 1 : 0;
+        replication->slow_count =
+            loop_now_ms(replication->loop) - start_ms > VOTER_SLOW_MS ? replication->slow_count + 1 : 0;
         replication->synced_index = up_to;
         leader_commit_advance(replication);
     }
@@ -113,8 +113,8 @@
 static void append_time_record(Peer *peer, int64_t took_ms)
 {
     peer->append_since_ms = INT64_MAX;
-    peer->append_took_ms = took_ms;
-    peer->slow_times = took_ms > VOTER_SLOW_MS ? peer->slow_times + 1 : 0;
+    peer->append_duration_ms = took_ms;
+    peer->slow_count = took_ms > VOTER_SLOW_MS ? peer->slow_count + 1 : 0;
 }
 
 /* Blocks. Sends one append, which may be empty, and processes the answer. */
@@ -157,7 +157,7 @@
 /* Whether the peer is a learner whose last append was slow: it is measured again even if there are no new entries. */
 static bool slow_learner(const PeerTask *task)
 {
-    return task->slot >= VOTER_MOST && task->replication->peers[task->slot].append_took_ms >= VOTER_SLOW_MS;
+    return task->slot >= VOTER_MOST && task->replication->peers[task->slot].append_duration_ms >= VOTER_SLOW_MS;
 }
 
 /* The task that replicates to one other voter, in the view or not, or to one learner. */
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -72,7 +72,7 @@
         replication->named_successor = replication->lock.promise_certain;
         leader_release_lease(replication, replication->lock.promise_certain ? replication->disk : 0);
     }
-    replication_watch(replication);
-    disk_start(replication);
+    replication_watch_start(replication);
+    disk_retry_start(replication);
     reconfiguration_start(replication);
 }
--- a/packages/replication/src/send_snapshot.c
+++ b/packages/replication/src/send_snapshot.c
@@ -33,7 +33,7 @@
 }
 
 /* Whether there is another piece to send after this answer; if so, sets ask->from to its beginning. */
-static bool goes_on(InstallSnapshotAsk *ask, Status status, const VoterAnswer *answer, size_t sent)
+static bool next_piece_choose(InstallSnapshotAsk *ask, Status status, const VoterAnswer *answer, size_t sent)
 {
     if (ask->total == 0)
         return false;
@@ -74,7 +74,7 @@
     do {
         answer = (VoterAnswer){0};
         status = piece_send(replication, task, address, &ask, whole, &answer);
-    } while (!peer_task_over(task) && goes_on(&ask, status, &answer, ask.snapshot.payload.count));
+    } while (!peer_task_over(task) && next_piece_choose(&ask, status, &answer, ask.snapshot.payload.count));
     if (!peer_task_over(task)) {
         if (status == STATUS_OK) {
             peer->match_index = index;
--- a/packages/replication/src/snapshot.c
+++ b/packages/replication/src/snapshot.c
@@ -24,22 +24,23 @@
 /* Whether the state was too large for a snapshot at the last attempt. */
 static bool state_too_large(const Replication *replication)
 {
-    return replication->too_large_bytes > 0 && replication->tried_index == replication->log->base_index;
+    return replication->too_large_bytes > 0 && replication->measured_index == replication->log->base_index;
 }
 
 /* An upper bound of the size of the state, in bytes: its last measured size plus the size of all later entries. */
-static size_t state_most_bytes(const Replication *replication)
+static size_t state_size_bound(const Replication *replication)
 {
     const Log *log = replication->log;
     if (!state_too_large(replication))
         return log->snapshot.payload.count + log->bytes;
-    const size_t since = log->bytes > replication->tried_log_bytes ? log->bytes - replication->tried_log_bytes : 0;
+    const size_t since =
+        log->bytes > replication->measured_log_bytes ? log->bytes - replication->measured_log_bytes : 0;
     return replication->too_large_bytes + since;
 }
 
 Status replication_admit(Replication *replication, size_t bytes)
 {
-    if (state_most_bytes(replication) + bytes <= STATE_FULL_BYTES)
+    if (state_size_bound(replication) + bytes <= STATE_FULL_BYTES)
         return STATUS_OK;
     /* the state may have become smaller since: most entries replace or remove data */
     const int64_t now_ms = loop_now_ms(replication->loop);
@@ -47,7 +48,7 @@
         replication->size_measured_ms = now_ms;
         replication_compact_maybe(replication, true);
     }
-    return state_most_bytes(replication) + bytes <= STATE_FULL_BYTES ? STATUS_OK : STATUS_STATE_FULL;
+    return state_size_bound(replication) + bytes <= STATE_FULL_BYTES ? STATUS_OK : STATUS_STATE_FULL;
 }
 
 /* Whether the log is long enough for a snapshot. Both the number of entries and their size are bounded, since the log
@@ -59,7 +60,7 @@
     const size_t most =
         replication->settings.snapshot_entries > 0 ? replication->settings.snapshot_entries : LOG_SNAPSHOT_ENTRIES;
     if (state_too_large(replication)) /* retried once the log has grown by the size of the state */
-        return log->bytes >= replication->tried_log_bytes + replication->too_large_bytes;
+        return log->bytes >= replication->measured_log_bytes + replication->too_large_bytes;
     const size_t bytes =
         log->snapshot.payload.count > LOG_SNAPSHOT_BYTES ? log->snapshot.payload.count : LOG_SNAPSHOT_BYTES;
     return log->count >= most || log->bytes >= bytes;
@@ -105,8 +106,8 @@
     const Record record = snapshot_make(replication, mem);
     const bool too_large = record.payload.count > SNAPSHOT_MAX_BYTES;
     replication->too_large_bytes = too_large ? record.payload.count : 0;
-    replication->tried_log_bytes = log->bytes;
-    replication->tried_index = log->base_index;
+    replication->measured_log_bytes = log->bytes;
+    replication->measured_index = log->base_index;
     if (too_large) {
         recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                        "%s: a state of %zu bytes can't be a snapshot", status_word(STATUS_TOO_LARGE),
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -19,11 +19,11 @@
 typedef struct Peer {
     /* replication */
     uint64_t match_index, next_index;
-    int64_t append_since_ms;  /* when the unanswered append was sent; INT64_MAX: there is none */
-    int64_t append_took_ms;   /* duration of the last answered append, in ms */
-    int slow_times;           /* number of consecutive appends that took longer than VOTER_SLOW_MS */
-    int64_t refuses_since_ms; /* since when its disk has refused every append; INT64_MAX: it accepts them */
-    bool reinstall;           /* its log cannot be made to match by appends: it needs the snapshot */
+    int64_t append_since_ms;    /* when the unanswered append was sent; INT64_MAX: there is none */
+    int64_t append_duration_ms; /* duration of the last answered append, in ms */
+    int slow_count;             /* number of consecutive appends that took longer than VOTER_SLOW_MS */
+    int64_t refuses_since_ms;   /* since when its disk has refused every append; INT64_MAX: it accepts them */
+    bool reinstall;             /* its log cannot be made to match by appends: it needs the snapshot */
     /* lease and contact rounds (contact.h) */
     int64_t renewed_ms; /* when the last request that it granted was sent; INT64_MIN: none was granted */
     int64_t grant_ms;   /* duration of that grant, in ms */
@@ -86,8 +86,8 @@
     bool disk_failure_logged; /* the failure has been logged; cleared when the disk accepts writes again */
     /* The last attempt to make a snapshot: the size of the state if it was too large for one (else 0), and the total
      * size of the entries and the base index of the log at that time. */
-    size_t too_large_bytes, tried_log_bytes;
-    uint64_t tried_index;
+    size_t too_large_bytes, measured_log_bytes;
+    uint64_t measured_index;
     int64_t size_measured_ms; /* when the size of a full state was last measured */
 
     /* --- the log ---
@@ -121,7 +121,7 @@
     uint64_t verified_index; /* entries up to this index are known to match the log of the promised term's leader */
     IncomingSnapshot *incoming_snapshot; /* a snapshot that is being received in pieces; NULL: none */
     uint64_t other_histories;            /* number of refused requests to drop committed entries */
-    int64_t other_notified_ms;           /* when such a request was last logged */
+    int64_t history_conflict_logged_ms;  /* when such a request was last logged */
     Signal released;                     /* raised when the leader has released its lease */
     bool named_successor;                /* the leader that did so named this node to be the next leader */
 
@@ -142,14 +142,15 @@
     uint64_t term;                  /* the term that this node leads, stands for, or led last */
     uint64_t promised_highest;      /* the highest promised term that any peer has reported */
     LockLease lease;                /* the grants of the lease by each voter */
-    int64_t pause_us;       /* decaying maximum of the delays of renewals and the pauses of this process (lease.c) */
-    bool has_lease;         /* the lease was won and not released; also set during a reelection */
-    bool reelecting;        /* the election under way is held by the leader itself, whose lease remains valid */
-    int64_t won_ms;         /* when this node last won the lease without already holding it */
-    size_t elections_lost;  /* number of elections lost in a row */
-    int64_t lost_logged_ms; /* when a lost election was last logged */
-    int64_t no_election_until_ms; /* earliest time at which this node stands for election again */
-    int64_t restarted_since_ms; /* since when elections have waited for members of the last view; 0: they do not wait */
+    int64_t recent_pause_us; /* decaying maximum of the delays of renewals and the pauses of this process (lease.c) */
+    bool has_lease;          /* the lease was won and not released; also set during a reelection */
+    bool reelecting;         /* the election under way is held by the leader itself, whose lease remains valid */
+    int64_t won_ms;          /* when this node last won the lease without already holding it */
+    size_t elections_lost;   /* number of elections lost in a row */
+    int64_t lost_logged_ms;  /* when a lost election was last logged */
+    int64_t no_election_until_ms;    /* earliest time at which this node stands for election again */
+    int64_t last_view_wait_since_ms; /* since when elections have waited for members of the last view; 0: they do not
+                                        wait */
     int64_t
         better_connected_since_ms; /* since when a voter has reached many more members than this leader; 0: none has */
 
@@ -157,11 +158,11 @@
      * Invariant: synced_index <= queued_index while this node leads. */
     uint64_t term_entry_index; /* of the newest TERM entry that this leader appended */
     bool in_view[VOTER_MOST];  /* by place: the voters that each commit waits for */
-    int64_t changed_ms;        /* when the view last changed */
+    int64_t view_changed_ms;   /* when the view last changed */
     uint64_t view_changes;     /* number of view changes since the start of the process; for status */
     Peer peers[SLOTS_MAX];     /* by slot */
     uint64_t synced_index;     /* the leader's own journal has synced entries up to this index */
-    int slow_times;            /* number of consecutive local syncs that took longer than VOTER_SLOW_MS */
+    int slow_count;            /* number of consecutive local syncs that took longer than VOTER_SLOW_MS */
     Signal log_grew;           /* raised when an entry is appended to the log */
 
     /* --- the leader: learners and changes of membership --- */
--- a/packages/replication/src/step_down.c
+++ b/packages/replication/src/step_down.c
@@ -51,7 +51,7 @@
             now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
             continue;
         if (which == SUCCESSOR_FAST_DISK &&
-            (peer->sync_ms > VOTER_SLOW_MS / 2 || peer->append_took_ms > VOTER_SLOW_MS / 2 ||
+            (peer->sync_ms > VOTER_SLOW_MS / 2 || peer->append_duration_ms > VOTER_SLOW_MS / 2 ||
              (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS / 2)))
             continue;
         if (best == NULL || peer->match_index > best->match_index) {
--- a/packages/replication/src/view_change.c
+++ b/packages/replication/src/view_change.c
@@ -37,7 +37,7 @@
 void view_change(Replication *replication, const bool in_view[VOTER_MOST])
 {
     view_entry_add(replication, in_view, false);
-    replication->changed_ms = loop_now_ms(replication->loop);
+    replication->view_changed_ms = loop_now_ms(replication->loop);
     replication->view_changes++;
     signal_raise(replication->loop, &replication->log_grew);
 }
@@ -60,9 +60,9 @@
         return "its controller leaves";
     if (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS)
         return "does not sync in time";
-    if (peer->slow_times >= VOTER_SLOW_TIMES)
+    if (peer->slow_count >= VOTER_SLOW_TIMES)
         return "slow";
-    return !near && now_ms - replication->changed_ms > VOTER_LATE_MS ? "far behind" : NULL;
+    return !near && now_ms - replication->view_changed_ms > VOTER_LATE_MS ? "far behind" : NULL;
 }
 
 /* Whether the voter at the place has nearly all of the log, answers in time, and was out of the view long enough. */
@@ -73,7 +73,8 @@
     return (member == NULL || !member->record.leaving) && now_ms - peer->answered_ms <= LOCK_RENEW_MS * 2 &&
            peer->append_since_ms == INT64_MAX && peer->match_index > 0 &&
            peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(replication->log) &&
-           peer->append_took_ms < VOTER_SLOW_MS / 2 && peer->sync_ms < VOTER_SLOW_MS / 2 && now_ms >= peer->rejoin_ms &&
+           peer->append_duration_ms < VOTER_SLOW_MS / 2 && peer->sync_ms < VOTER_SLOW_MS / 2 &&
+           now_ms >= peer->rejoin_ms &&
            !voter_disk_replaced(replication, replication->voters[place], REPLACEMENT_ANY_ADDRESS);
 }
 
@@ -108,14 +109,14 @@
         next->changed = true;
         next->count--;
         peer->rejoin_ms = now_ms + VOTER_REST_MS;
-        peer->slow_times = 0;
+        peer->slow_count = 0;
         log_event(replication->settings.recorder, LOG_VOTER_OUT, now_ms,
                   &(LogFields){.peer_disk = replication->voters[place], .text = why});
         return;
     }
     /* a voter that restarted while in the view needs another TERM entry, whose delivery clears its restarted flag. For
      * a voter that has just been added, the flag is up to date only after a renewal */
-    next->changed |= peer->restarted && now_ms - replication->changed_ms > 2 * LOCK_RENEW_MS;
+    next->changed |= peer->restarted && now_ms - replication->view_changed_ms > 2 * LOCK_RENEW_MS;
 }
 
 /* Whether the peer has promised a higher term than this one and therefore refuses everything in this term. The peer may
@@ -123,7 +124,8 @@
  * again before the effect of the previous one shows. */
 static bool peer_promised_higher(const Replication *replication, int slot, int64_t now_ms)
 {
-    return replication->peers[slot].promised > replication->term && now_ms - replication->changed_ms > LOCK_RENEW_MS;
+    return replication->peers[slot].promised > replication->term &&
+           now_ms - replication->view_changed_ms > LOCK_RENEW_MS;
 }
 
 /* Whether a learner that answers refuses everything in this term. */
--- a/packages/replication/src/voter_list.c
+++ b/packages/replication/src/voter_list.c
@@ -80,7 +80,7 @@
 }
 
 /* Makes a copy of the record the last view. */
-static void last_set(Replication *replication, const TermRecord *record)
+static void last_view_set(Replication *replication, const TermRecord *record)
 {
     talloc_free(replication->last_view_mem);
     replication->last_view_mem = talloc_new(replication);
@@ -165,7 +165,7 @@
     if (memcmp(before, replication->voters, sizeof(before)) != 0)
         voters_changed_log(replication);
     if (reread.last_found) {
-        last_set(replication, &reread.last);
+        last_view_set(replication, &reread.last);
         replication->last_view.repair &= !reread.repaired;
     }
     talloc_free(reread.mem);
--- a/packages/replication/src/voters.c
+++ b/packages/replication/src/voters.c
@@ -8,7 +8,7 @@
 
 /* How long a voter may be silent before it is replaced by a ready learner, in ms: a fraction of the time within which a
  * lost voter must be replaced, but no less than the longest possible lease. */
-static int64_t silent_most_ms(const Replication *replication, const Member *member)
+static int64_t silence_limit_ms(const Replication *replication, const Member *member)
 {
     if (member != NULL && member->record.leaving)
         return 2 * LOCK_RENEW_MS;
@@ -32,16 +32,16 @@
         return true;
     const Member *member = members_find_disk(replication->settings.members, disk);
     const int64_t refuses_ms = replication->peers[place].refuses_since_ms;
-    if (refuses_ms != INT64_MAX && loop_now_ms(replication->loop) - refuses_ms > silent_most_ms(replication, member))
+    if (refuses_ms != INT64_MAX && loop_now_ms(replication->loop) - refuses_ms > silence_limit_ms(replication, member))
         return true; /* it answers and grants leases, but its disk stores nothing new */
     int64_t heard_ms = member != NULL ? member->seen_ms : replication->won_ms;
     if (replication->peers[place].answered_ms > heard_ms)
         heard_ms = replication->peers[place].answered_ms;
-    return loop_now_ms(replication->loop) - heard_ms > silent_most_ms(replication, member);
+    return loop_now_ms(replication->loop) - heard_ms > silence_limit_ms(replication, member);
 }
 
 /* The part of MemberState that applies to voters and learners alike. */
-static MemberState state_of(const Replication *replication, uint64_t disk)
+static MemberState member_state_of(const Replication *replication, uint64_t disk)
 {
     const Member *member = members_find_disk(replication->settings.members, disk);
     const bool self = disk == replication->disk;
@@ -66,7 +66,7 @@
         if (replication->voters[i] == 0)
             continue;
         MemberState *voter = &input->voters[input->now.voter_count];
-        *voter = state_of(replication, replication->voters[i]);
+        *voter = member_state_of(replication, replication->voters[i]);
         voter->live = voter_live(replication, i) && (voter->self || replication->peers[i].contact >= contact);
         voter->lost = voter_lost(replication, i);
         voter->disk_lost =
@@ -77,7 +77,7 @@
         if (replication->learners[i].disk == 0)
             continue;
         MemberState *learner = &input->learners[input->now.learner_count];
-        *learner = state_of(replication, replication->learners[i].disk);
+        *learner = member_state_of(replication, replication->learners[i].disk);
         learner->ready = learner_ready(replication, i) && replication->peers[VOTER_MOST + i].contact >= contact;
         learner->steady = learner_steady(replication, i);
         input->slots[input->now.learner_count++] = i;
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -68,7 +68,7 @@
     if (since_ms != INT64_MAX && now_ms - since_ms > APPEND_TIMEOUT_MS)
         return true;
     const bool late = since_ms != INT64_MAX && now_ms - since_ms > VOTER_LATE_MS;
-    return (late || replication->slow_times >= VOTER_SLOW_TIMES) &&
+    return (late || replication->slow_count >= VOTER_SLOW_TIMES) &&
            successor_choose(replication, SUCCESSOR_FAST_DISK) != 0;
 }
 
@@ -80,7 +80,7 @@
         log_event(replication->settings.recorder, LOG_LEADER_LEASE_LAPSED, now_ms, &(LogFields){0});
         leader_step_down(replication, 0);
     } else if (own_disk_slow(replication, now_ms)) {
-        replication->slow_times = 0;
+        replication->slow_count = 0;
         log_event(replication->settings.recorder, LOG_DISK_SLOW, now_ms, &(LogFields){0});
         leader_step_down(replication, 0);
     } else if (better_connected_voter(replication)) {
@@ -168,7 +168,7 @@
     }
 }
 
-void replication_watch(Replication *replication)
+void replication_watch_start(Replication *replication)
 {
     loop_spawn(replication->loop, "watch", watch_main, replication);
 }
--- a/packages/replication/src/watch.h
+++ b/packages/replication/src/watch.h
@@ -5,6 +5,6 @@
 
 /* Spawns the task that checks the lease, the disk and the view while this node leads, and that stands for election
  * while this node is a voter and knows no leader. */
-void replication_watch(Replication *replication);
+void replication_watch_start(Replication *replication);
 
 #endif
--- a/packages/replication/test/commit.c
+++ b/packages/replication/test/commit.c
@@ -24,20 +24,20 @@
     Replication *replication;
 } Leader;
 
-static void nothing(void *arg, const Record *change, ChangeResult *result)
+static void deliver_nothing(void *arg, const Record *change, ChangeResult *result)
 {
     (void)arg;
     (void)change;
     (void)result;
 }
 
-static void begin(void *arg, Loop *loop)
+static void leader_begin(void *arg, Loop *loop)
 {
     Leader *leader = arg;
     Replication *replication = talloc_zero(loop, Replication);
     leader->replication = replication;
     replication->loop = loop;
-    replication->settings.state.deliver = nothing;
+    replication->settings.state.deliver = deliver_nothing;
     replication->list = talloc_zero(replication, VoterList);
     replication->log = log_new(replication);
     replication->disk = 1;
@@ -64,7 +64,7 @@
 {
     Leader *leader = talloc_zero(NULL, Leader);
     leader->world = sim_world_new(leader, 1);
-    sim_start(leader->world, sim_machine(leader->world), begin, leader);
+    sim_start(leader->world, sim_machine(leader->world), leader_begin, leader);
     *state = leader;
     return 0;
 }
@@ -76,7 +76,7 @@
 }
 
 /* Lets each of the other voters have synced up to its index. Returns the resulting commit index. */
-static uint64_t committed(Replication *replication, const uint64_t synced[VOTERS - 1])
+static uint64_t commit_index_after(Replication *replication, const uint64_t synced[VOTERS - 1])
 {
     for (int i = 1; i < VOTERS; i++)
         replication->peers[i].match_index = synced[i - 1];
@@ -89,9 +89,9 @@
 static void entries_of_earlier_terms_wait(void **state)
 {
     Replication *replication = ((Leader *)*state)->replication;
-    assert_int_equal(committed(replication, (uint64_t[]){EARLIER, EARLIER, EARLIER, EARLIER}), 0);
-    assert_int_equal(committed(replication, (uint64_t[]){EARLIER + 1, EARLIER, EARLIER, EARLIER}), 0);
-    assert_int_equal(committed(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, EARLIER + 1, EARLIER + 1}),
+    assert_int_equal(commit_index_after(replication, (uint64_t[]){EARLIER, EARLIER, EARLIER, EARLIER}), 0);
+    assert_int_equal(commit_index_after(replication, (uint64_t[]){EARLIER + 1, EARLIER, EARLIER, EARLIER}), 0);
+    assert_int_equal(commit_index_after(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, EARLIER + 1, EARLIER + 1}),
                      EARLIER + 1);
 }
 
@@ -99,9 +99,10 @@
 static void all_in_the_view_count(void **state)
 {
     Replication *replication = ((Leader *)*state)->replication;
-    assert_int_equal(committed(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, EARLIER + 1, EARLIER}), 0);
+    assert_int_equal(commit_index_after(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, EARLIER + 1, EARLIER}), 0);
     replication->in_view[VOTERS - 1] = false;
-    assert_int_equal(committed(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, EARLIER + 1, EARLIER}), EARLIER + 1);
+    assert_int_equal(commit_index_after(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, EARLIER + 1, EARLIER}),
+                     EARLIER + 1);
 }
 
 /* A commit waits for a majority of the voters, even if the view is smaller. */
@@ -109,8 +110,8 @@
 {
     Replication *replication = ((Leader *)*state)->replication;
     replication->in_view[2] = replication->in_view[3] = replication->in_view[4] = false;
-    assert_int_equal(committed(replication, (uint64_t[]){EARLIER + 1, 0, 0, 0}), 0);
-    assert_int_equal(committed(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, 0, 0}), EARLIER + 1);
+    assert_int_equal(commit_index_after(replication, (uint64_t[]){EARLIER + 1, 0, 0, 0}), 0);
+    assert_int_equal(commit_index_after(replication, (uint64_t[]){EARLIER + 1, EARLIER + 1, 0, 0}), EARLIER + 1);
 }
 
 int main(void)
--- a/packages/replication/test/membership.c
+++ b/packages/replication/test/membership.c
@@ -12,7 +12,7 @@
 #include "replication/membership.h"
 
 #define LEARNERS 2
-#define STEPS_MOST 24 /* limit of changes in a row; more are taken for an endless sequence */
+#define STEPS_MAX 24 /* limit of changes in a row; more are taken for an endless sequence */
 
 static const char *const ZONES[] = {"a", "b", "c"};
 
@@ -22,7 +22,7 @@
     size_t voter_count, learner_count, wanted;
 } Model;
 
-static Membership now_of(const Model *model)
+static Membership membership_of(const Model *model)
 {
     return (Membership){model->voters, model->voter_count, model->learners, model->learner_count, model->wanted};
 }
@@ -42,7 +42,7 @@
 }
 
 /* The minimum number of disks on which an acknowledged change is synced, by the rule that a leader follows. */
-static size_t copies_of(const Model *model)
+static size_t min_copies(const Model *model)
 {
     const size_t majority = lock_majority(model->voter_count > VOTER_FIRST ? model->voter_count : VOTER_FIRST);
     const size_t asked = model->wanted / 2 + 1;
@@ -51,16 +51,16 @@
 
 /* Applies changes until none is due. After each change the voters must tolerate at least as many losses as before, and
  * acknowledged changes must be on at least as many disks. */
-static void settle(Model *model)
+static void apply_all_changes(Model *model)
 {
-    for (int step = 0; step < STEPS_MOST; step++) {
-        const Membership now = now_of(model);
+    for (int step = 0; step < STEPS_MAX; step++) {
+        const Membership now = membership_of(model);
         const MembershipChange change = membership_next(&now);
         if (change.step == MEMBERSHIP_KEEP)
             return;
         const int before = membership_losses_tolerated(model->voters, model->voter_count);
         const int disks_before = membership_disk_losses_tolerated(model->voters, model->voter_count);
-        const size_t copies = copies_of(model);
+        const size_t copies = min_copies(model);
         if (change.step == MEMBERSHIP_REMOVE)
             assert_false(model->voters[change.index].self);
         else
@@ -70,9 +70,9 @@
         assert_in_range(model->voter_count, 1, VOTER_MOST);
         assert_true(membership_losses_tolerated(model->voters, model->voter_count) >= before);
         assert_true(membership_disk_losses_tolerated(model->voters, model->voter_count) >= disks_before);
-        assert_true(copies_of(model) >= copies);
+        assert_true(min_copies(model) >= copies);
     }
-    fail_msg("a change is still due after %d changes", STEPS_MOST);
+    fail_msg("a change is still due after %d changes", STEPS_MAX);
 }
 
 #define KINDS 5
@@ -114,7 +114,7 @@
                 for (unsigned kinds = 0; kinds < power(KINDS, voters); kinds++) {
                     Model model = model_of(voters, kinds, learners, wanted);
                     if (membership_losses_tolerated(model.voters, model.voter_count) >= 0)
-                        settle(&model);
+                        apply_all_changes(&model);
                 }
 }
 
@@ -133,7 +133,7 @@
                 model.voters[lost].live = kind == 2;
                 model.voters[lost].leaving = kind == 2;
                 const uint64_t disk = model.voters[lost].disk;
-                settle(&model);
+                apply_all_changes(&model);
                 assert_int_equal(model.voter_count, wanted);
                 assert_int_equal(membership_losses_tolerated(model.voters, model.voter_count), (int)wanted / 2);
                 for (size_t i = 0; i < model.voter_count; i++)
@@ -174,13 +174,13 @@
 {
     (void)state;
     Model model = model_of(3, 1, 1, 3);
-    Membership now = now_of(&model);
+    Membership now = membership_of(&model);
     assert_int_equal(membership_next(&now).step, MEMBERSHIP_ADD);
-    settle(&model);
+    apply_all_changes(&model);
     assert_int_equal(model.voter_count, 4);
     model.voters[0].self = false;
     model.voters[1].self = true;
-    settle(&model);
+    apply_all_changes(&model);
     assert_int_equal(model.voter_count, 3);
     for (size_t i = 0; i < model.voter_count; i++)
         assert_false(model.voters[i].leaving);
@@ -197,10 +197,10 @@
     model.voters[2].zone = "b";
     model.learners[0].zone = "c";
     model.learners[0].steady = false;
-    Membership now = now_of(&model);
+    Membership now = membership_of(&model);
     assert_int_equal(membership_next(&now).step, MEMBERSHIP_KEEP);
     model.learners[0].steady = true;
-    settle(&model);
+    apply_all_changes(&model);
     assert_int_equal(model.voter_count, 3);
     for (size_t i = 0; i < model.voter_count; i++)
         assert_true(model.voters[i].disk != 2);
--- a/packages/replication/test/old_disk.h
+++ b/packages/replication/test/old_disk.h
@@ -9,18 +9,18 @@
 #define PATH "data/journal"
 #define FIXTURES "packages/replication/test/fixtures"
 #define CONTROLLERS 4
-#define FILE_MOST 4096 /* limit of the size of a fixture, in bytes */
+#define FIXTURE_MAX_BYTES 4096 /* limit of the size of a fixture, in bytes */
 
 /* Reads the fixture of this name; allocated on mem. */
 static inline Bytes fixture(void *mem, const char *name)
 {
-    Bytes bytes = {talloc_size(mem, FILE_MOST), 0, FILE_MOST};
+    Bytes bytes = {talloc_size(mem, FIXTURE_MAX_BYTES), 0, FIXTURE_MAX_BYTES};
     FILE *file = fopen(talloc_asprintf(mem, FIXTURES "/%s", name), "rb");
     if (file == NULL)
         fail_msg("cannot open %s/%s; run the test from the root of the source tree", FIXTURES, name);
-    bytes.count = fread(bytes.data, 1, FILE_MOST, file);
+    bytes.count = fread(bytes.data, 1, FIXTURE_MAX_BYTES, file);
     fclose(file);
-    assert_in_range(bytes.count, 1, FILE_MOST - 1);
+    assert_in_range(bytes.count, 1, FIXTURE_MAX_BYTES - 1);
     return bytes;
 }
 
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -466,7 +466,7 @@
           "(anywhere == 1 || !zone_has_copy(plan, plan->takers[taker].zone))", "(anywhere < 2 || !zone_has_copy(plan, plan->takers[taker].zone))",
           "carrier_is_lost|_carries", "test", "repair_copies"),
     Guard("last-block-told", "a last block that was synced is no torn tail", "packages/journal/src/open.c",
-          "if (status == STATUS_OK && good_count < synced)", "if (status == STATUS_OK && good_count < synced && synced == 1)",
+          "if (status == STATUS_OK && valid_bytes < synced)", "if (status == STATUS_OK && valid_bytes < synced && synced == 1)",
           "flipped|cut", "test", "last_block"),
     Guard("hint-of-this-file", "a hint counts for the file that it was written for", "packages/journal/src/hint.c",
           "record->at_ms == hint->journal->generation;", "record->at_ms >= 0;", "hint_may_be_anything", "test", "journal_hint"),
