--- a/examples/counter.c
+++ b/examples/counter.c
@@ -70,7 +70,7 @@
     bool list_counts;
     (void)mem;
     out->term = replication_led_term(counter->replication);
-    if (!replication_leased(counter->replication))
+    if (!replication_lease_valid(counter->replication))
         return STATUS_NOT_LEADER;
     out->lease_ms = AGENT_LEASE_MS;
     return liveset_heartbeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_LEASE_MS, &list_counts);
@@ -114,8 +114,8 @@
     (void)term;
     (void)repair;
     if (new_holder) /* no process counts as lost before every lease of the last holder has lapsed */
-        liveset_reset(counter->liveset, replication_won_ms(counter->replication) + AGENT_LEASE_MS + LEASE_SLACK_MS,
-                      NULL, 0);
+        liveset_reset(counter->liveset,
+                      replication_lease_won_ms(counter->replication) + AGENT_LEASE_MS + LEASE_SLACK_MS, NULL, 0);
 }
 
 /* --- ordered delivery ------------------------------------------------------------- */
@@ -146,7 +146,7 @@
                                           .state = {counter, deliver, save, load},
                                           .opened = on_opened,
                                           .opened_arg = counter,
-                                          .founds = REPLICATION_FOUNDS_BY_THREE};
+                                          .founds = FOUNDING_BY_THREE_DISKS};
     counter->liveset = liveset_new(counter);
     counter->replication = replication_new(counter, &settings);
     if (replication_open_disk(counter->replication, talloc_asprintf(counter, "%s/journal", counter->folder),
--- a/packages/agent/src/answer.c
+++ b/packages/agent/src/answer.c
@@ -57,7 +57,7 @@
     int64_t left_ms = lease_left_ms(&agent->lease, now_ms);
     if (left_ms > agent->settings->bounds.worker_lease_ms)
         left_ms = agent->settings->bounds.worker_lease_ms;
-    const int64_t passed_ms = lease_passed_ms(left_ms);
+    const int64_t passed_ms = lease_delegated_ms(left_ms);
     if (passed_ms > 0 && now_ms + lease_claim_ms(passed_ms) > agent->worker_lease_until_ms)
         agent->worker_lease_until_ms = now_ms + lease_claim_ms(passed_ms);
     return passed_ms;
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -107,7 +107,7 @@
 static void answer_apply(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask,
                          const HeartbeatAnswer *answer)
 {
-    if (!lease_answered(&agent->lease, answer->term, heartbeat->sent_ms, answer->lease_ms)) {
+    if (!lease_renewed(&agent->lease, answer->term, heartbeat->sent_ms, answer->lease_ms)) {
         recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
                        "a heartbeat was answered under old term %" PRIu64, term_counter(answer->term));
         return;
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -19,9 +19,9 @@
     size_t references, pending;
     Signal answer_arrived;
     bool none_known;                   /* Every member asked so far has answered that it knows no holder */
-    uint64_t answered[VOTER_MOST * 4]; /* The disks of the controllers that have answered so */
+    uint64_t answered[VOTERS_MAX * 4]; /* The disks of the controllers that have answered so */
     size_t answered_count;
-    uint64_t voters[VOTER_MOST]; /* The disks of the voters, as a controller named them */
+    uint64_t voters[VOTERS_MAX]; /* The disks of the voters, as a controller named them */
     size_t voter_count;          /* 0: no controller has named them */
 } Poll;
 
@@ -42,7 +42,7 @@
 /* Records the voters that a controller names; the poll fails if two controllers name different ones. */
 static void voters_record(Poll *poll, const KnowAnswer *answer)
 {
-    if (answer->voters_count == 0 || answer->voters_count > VOTER_MOST)
+    if (answer->voters_count == 0 || answer->voters_count > VOTERS_MAX)
         return;
     const bool answered_before = poll->voter_count > 0;
     if (answered_before && poll->voter_count != answer->voters_count)
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -166,13 +166,13 @@
     bool all = attempt_updates_idle(controller);
     for (size_t i = 0; i < count && all; i++) {
         const LiveRow *row = liveset_find(controller->liveset, workers[i]->name);
-        all = workers[i]->excluded || (row != NULL && row->heard_ms != INT64_MIN && row->settled);
+        all = workers[i]->excluded || (row != NULL && row->last_heartbeat_ms != INT64_MIN && row->settled);
     }
     const LiveRow **rows;
     const size_t row_count = liveset_rows(controller->liveset, mem, &rows);
     size_t reported = 0, agents = 0;
     for (size_t i = 0; i < row_count; i++)
-        reported += rows[i]->heard_ms != INT64_MIN && rows[i]->settled;
+        reported += rows[i]->last_heartbeat_ms != INT64_MIN && rows[i]->settled;
     const MemberTable *members = members_table(controller->members);
     for (size_t i = 0; i < members->count; i++)
         agents += members->rows[i].record.role == ROLE_AGENT && !members->rows[i].record.leaving;
@@ -199,7 +199,7 @@
 
 static PreviousWorkerState previous_worker_state(const LiveRow *row, int64_t now_ms)
 {
-    if (row == NULL || row->heard_ms == INT64_MIN)
+    if (row == NULL || row->last_heartbeat_ms == INT64_MIN)
         return (PreviousWorkerState){0};
     return (PreviousWorkerState){now_ms > row->until_ms, row->leaving};
 }
@@ -219,7 +219,7 @@
     const HeartbeatAsk *heartbeat = request;
     HeartbeatAnswer *out = answer;
     out->term = replication_led_term(controller->replication);
-    if (!replication_leased(controller->replication))
+    if (!replication_lease_valid(controller->replication))
         return STATUS_NOT_LEADER;
     if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
         return STATUS_BAD_FIELD;
@@ -235,7 +235,7 @@
     worker_changes_log(controller, liveset_find(controller->liveset, heartbeat->worker.name), previous, now_ms);
     if (liveset_find(controller->liveset, heartbeat->worker.name)->number == heartbeat->number)
         orphans_heartbeat(controller->orphans, controller->table, heartbeat, now_ms);
-    liveset_asked(controller->liveset, heartbeat->worker.name, now_ms);
+    liveset_heartbeat_waiting(controller->liveset, heartbeat->worker.name, now_ms);
     if (was_ready != live_row_ready(liveset_find(controller->liveset, heartbeat->worker.name), now_ms))
         scheduler_notify(controller->scheduler);
     running_attempts_record(controller, heartbeat);
@@ -245,9 +245,9 @@
     if (heartbeat->wait_ms > 0)
         orders_answer(controller, mem, heartbeat,
                       heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
-    liveset_answered(controller->liveset, heartbeat->worker.name, loop_now_ms(controller->loop));
+    liveset_heartbeat_answered(controller->liveset, heartbeat->worker.name, loop_now_ms(controller->loop));
     /* This node may have lost leadership while it waited; the lease must not be relied on then. */
-    if (!replication_leased(controller->replication))
+    if (!replication_lease_valid(controller->replication))
         return STATUS_NOT_LEADER;
     out->term = replication_led_term(controller->replication);
     out->lease_ms = lease_ms;
@@ -308,11 +308,11 @@
     Controller *controller = arg;
     KnowAnswer *out = answer;
     (void)request;
-    uint64_t voters[VOTER_MOST];
-    out->knows = replication_knows_holder(controller->replication);
+    uint64_t voters[VOTERS_MAX];
+    out->knows = replication_knows_leader(controller->replication);
     out->term = members_leader_term(controller->members);
     out->voters_count = replication_voters(controller->replication, voters);
-    out->voters = talloc_array(mem, DiskId, VOTER_MOST);
+    out->voters = talloc_array(mem, DiskId, VOTERS_MAX);
     for (size_t i = 0; i < out->voters_count; i++)
         out->voters[i].disk = voters[i];
     return STATUS_OK;
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -88,8 +88,8 @@
             alert_raise(controller, ALERT_DISK_REFUSES, member->record.name);
     }
     char losses_text[LOSSES_TEXT_BYTES];
-    snprintf(losses_text, sizeof(losses_text), "%d of %d", replication.losses_borne, replication.losses_asked);
-    if (replication.losses_borne < replication.losses_asked)
+    snprintf(losses_text, sizeof(losses_text), "%d of %d", replication.losses_tolerated, replication.losses_configured);
+    if (replication.losses_tolerated < replication.losses_configured)
         alert_raise(controller, ALERT_LOSSES_FEW, losses_text);
 }
 
@@ -102,9 +102,10 @@
     for (size_t i = 0; i < count; i++) {
         const LiveRow *row = liveset_find(controller->liveset, workers[i]->name);
         const int64_t until_ms =
-            row != NULL ? row->until_ms : replication_won_ms(controller->replication) + controller_claim_ms(controller);
+            row != NULL ? row->until_ms
+                        : replication_lease_won_ms(controller->replication) + controller_claim_ms(controller);
         const bool lapsed = now_ms > until_ms + LOST_AFTER_MS;
-        const bool silent = row != NULL && row->heard_ms != INT64_MIN && !row->worker_live;
+        const bool silent = row != NULL && row->last_heartbeat_ms != INT64_MIN && !row->worker_live;
         if (!workers[i]->excluded && (lapsed || silent) && !(row != NULL && row->leaving))
             alert_raise_with_todo(controller, ALERT_WORKER_LOST, workers[i]->name,
                                   lapsed ? alert_todo(ALERT_WORKER_LOST) : WORKER_SILENT_TODO);
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -104,7 +104,7 @@
  * updates. */
 static void running_updates_retry(Controller *controller, const Batch *batch)
 {
-    for (size_t i = 0; i < batch->list.updates_count && replication_leased(controller->replication); i++)
+    for (size_t i = 0; i < batch->list.updates_count && replication_lease_valid(controller->replication); i++)
         if (batch->list.updates[i].word == ATTEMPT_RUNNING)
             attempt_updates_commit_later(controller, &batch->list.updates[i]);
 }
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -88,14 +88,14 @@
                                                       .rpc = controller->rpc,
                                                       .recorder = controller->recorder,
                                                       .state = table_state(controller->table),
-                                                      .opened = log_opened,
-                                                      .opened_arg = controller,
+                                                      .term_opened = log_opened,
+                                                      .term_opened_arg = controller,
                                                       .losses = (int)settings->bounds.losses,
-                                                      .founds = (ReplicationFounds)settings->bounds.founds,
+                                                      .founding_mode = (FoundingMode)settings->bounds.founds,
                                                       .longest_grant =
                                                           !feature_on(&settings->bounds, FEATURE_ADAPTIVE_GRANT),
-                                                      .disks_keep = settings->bounds.disks_keep != 0,
-                                                      .voter_back_ms = settings->bounds.voter_back_ms};
+                                                      .disks_durable = settings->bounds.disks_keep != 0,
+                                                      .voter_replacement_ms = settings->bounds.voter_back_ms};
     controller->replication = replication_new(controller, &replication_settings);
 }
 
--- a/packages/controller/src/http.c
+++ b/packages/controller/src/http.c
@@ -36,8 +36,8 @@
     show_metric(task, "journalSyncs", (int64_t)replication.journal.syncs);
     show_metric(task, "journalRewrites", (int64_t)replication.journal.rewrites);
     show_metric(task, "journalTornBytes", (int64_t)replication.journal.torn_bytes);
-    show_metric(task, "otherHistories", (int64_t)replication.other_histories);
-    show_metric(task, "journalBegunAnew", replication.journal.begun_anew);
+    show_metric(task, "otherHistories", (int64_t)replication.history_conflicts);
+    show_metric(task, "journalBegunAnew", replication.journal.recreated);
     show_metric(task, "lastSyncMs", replication.journal.last_sync_ms);
     show_metric(task, "worstSyncMs", replication.journal.worst_sync_ms);
     show_metric(task, "sight", (int64_t)members_reach(controller->members));
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -26,8 +26,8 @@
     orphans_reset(controller->orphans);
     scheduler_reset(controller->scheduler);
     /* No worker counts as lost before all leases that the previous leader granted have expired. */
-    liveset_reset(controller->liveset, replication_won_ms(controller->replication) + controller_claim_ms(controller),
-                  names, count);
+    liveset_reset(controller->liveset,
+                  replication_lease_won_ms(controller->replication) + controller_claim_ms(controller), names, count);
     talloc_free(mem);
 }
 
@@ -57,7 +57,7 @@
 static void on_attempt_left(void *arg, const Job *job, const JobTask *task)
 {
     const Controller *controller = arg;
-    if (replication_leased(controller->replication))
+    if (replication_lease_valid(controller->replication))
         orphans_add(controller->orphans, task->worker, job, task, task->attempt,
                     loop_now_ms(controller->loop) + ORDER_GONE_MS);
 }
@@ -71,7 +71,7 @@
             .job = update->job, .task = update->task, .attempt = update->attempt, .text = update->saved};
         if (update->word == ATTEMPT_RUNNING)
             continue; /* Heartbeats have delivered its checkpoint, and perhaps a newer one */
-        if (replication_leased(controller->replication))
+        if (replication_lease_valid(controller->replication))
             checkpoint_record(controller->scheduler, &saved);
         orphans_end(controller->orphans, update);
     }
@@ -86,7 +86,7 @@
     if (body != NULL && change->change == CHANGE_ATTEMPTS)
         attempts_apply(controller, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
-        liveset_losing(controller->liveset, ((const WorkerLost *)body)->worker, false);
+        liveset_set_loss_pending(controller->liveset, ((const WorkerLost *)body)->worker, false);
 }
 
 void log_events_watch(Controller *controller)
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -79,7 +79,7 @@
 {
     const LiveRow *row = liveset_find(controller->liveset, heartbeat->worker.name);
     return replication_leading(controller->replication) && !controller->repairing && row != NULL &&
-           row->incarnation == heartbeat->incarnation && !row->losing &&
+           row->incarnation == heartbeat->incarnation && !row->loss_pending &&
            (table_orders(controller->table, heartbeat->worker.name) != heartbeat->have ||
             replication_led_term(controller->replication) != heartbeat->have_term);
 }
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -219,7 +219,7 @@
             continue;
         }
         if (status == STATUS_OK)
-            status = replication_offer(controller->replication, item->change, payload_to_submit(mem, item));
+            status = replication_submit_async(controller->replication, item->change, payload_to_submit(mem, item));
         talloc_free(mem);
         if (status != STATUS_OK || number != controller->repair_number)
             return false;
@@ -258,7 +258,8 @@
     const size_t item_count = collection->count;
     const bool ordered = missing_items_submit(collection, number, &submitted);
     collection_release(collection);
-    if (!ordered || replication_repaired(controller->replication) != STATUS_OK || number != controller->repair_number)
+    if (!ordered || replication_mark_repaired(controller->replication) != STATUS_OK ||
+        number != controller->repair_number)
         return false;
     repair_finish(controller, submitted, item_count);
     return true;
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -19,7 +19,7 @@
 static int64_t won_ms(void *arg)
 {
     const Controller *controller = arg;
-    return replication_won_ms(controller->replication);
+    return replication_lease_won_ms(controller->replication);
 }
 
 static QueueClock clock_now(void *arg)
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -63,8 +63,8 @@
 static json_object *show_losses(const ReplicationStatus *replication)
 {
     json_object *losses = json_object_new_object();
-    json_object_object_add(losses, "borne", json_number(replication->losses_borne));
-    json_object_object_add(losses, "asked", json_number(replication->losses_asked));
+    json_object_object_add(losses, "borne", json_number(replication->losses_tolerated));
+    json_object_object_add(losses, "asked", json_number(replication->losses_configured));
     return losses;
 }
 
@@ -221,9 +221,9 @@
     json_object_object_add(log, "syncs", json_number((int64_t)replication.journal.syncs));
     json_object_object_add(log, "records", json_number((int64_t)replication.journal.records));
     json_object_object_add(log, "rewrites", json_number((int64_t)replication.journal.rewrites));
-    json_object_object_add(log, "otherHistories", json_number((int64_t)replication.other_histories));
+    json_object_object_add(log, "otherHistories", json_number((int64_t)replication.history_conflicts));
     json_object_object_add(log, "tornBytes", json_number((int64_t)replication.journal.torn_bytes));
-    json_object_object_add(log, "begunAnew", json_object_new_boolean(replication.journal.begun_anew));
+    json_object_object_add(log, "begunAnew", json_object_new_boolean(replication.journal.recreated));
     json_object_object_add(log, "worstSyncMs", json_number(replication.journal.worst_sync_ms));
     json_object_object_add(body, "log", log);
     json_object_object_add(body, "seats", show_voters(controller, &replication));
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -14,7 +14,7 @@
 #include "report.h"
 
 /* What is committed never changes, and every state is that of the one history. */
-static void check_committed(Explore *explore, Node *node, const ReplicationWindow *window)
+static void check_committed(Explore *explore, Node *node, const ReplicationInspection *window)
 {
     if (window->commit_index < node->commit_seen)
         explore_break(explore, RULE_COMMITTED_CHANGED, "%s had committed %" PRIu64 ", now %" PRIu64, node->name,
@@ -31,7 +31,7 @@
         explore_break(explore, RULE_STATE_OTHER, "of %s after %" PRIu64, node->name, window->delivered_index);
 }
 
-static void check_promise(Explore *explore, Node *node, const ReplicationWindow *window)
+static void check_promise(Explore *explore, Node *node, const ReplicationInspection *window)
 {
     if (window->promised < node->promised_seen)
         explore_break(explore, RULE_PROMISE_FELL, "of %s", node->name);
@@ -68,7 +68,7 @@
     explore_say(explore, "%s leads view %" PRIu64, node->name, term_counter(term));
 }
 
-static bool same_voters(const History *history, const ReplicationWindow *window)
+static bool same_voters(const History *history, const ReplicationInspection *window)
 {
     size_t same = 0;
     for (size_t i = 0; i < window->voter_count; i++)
@@ -78,20 +78,20 @@
 }
 
 /* Configurations of voters in the log that are not committed. */
-static size_t lists_pending(const ReplicationWindow *window)
+static size_t lists_pending(const ReplicationInspection *window)
 {
     size_t count = 0;
     for (uint64_t i = window->commit_index + 1; i <= log_last_index(window->log); i++) {
         const Record *entry = log_at(window->log, i);
         uint64_t voters[REPLICATION_VOTERS_MAX];
         size_t voter_count;
-        count += entry != NULL && replication_window_list(entry, voters, &voter_count);
+        count += entry != NULL && replication_entry_voters(entry, voters, &voter_count);
     }
     return count;
 }
 
 /* A leader has all that was committed, and the newest configuration of voters. */
-static void check_leader(Explore *explore, Node *node, const ReplicationWindow *window)
+static void check_leader(Explore *explore, Node *node, const ReplicationInspection *window)
 {
     const History *history = &explore->history;
     if (window->term != node->led_term)
@@ -139,8 +139,8 @@
         Node *node = &explore->nodes[i];
         if (!node->up || !sim_alive(explore->world, node->machine))
             continue;
-        ReplicationWindow window;
-        replication_window(node->replication, &window);
+        ReplicationInspection window;
+        replication_inspect(node->replication, &window);
         check_promise(explore, node, &window);
         check_committed(explore, node, &window);
         moment_observe(explore, node, &window);
--- a/packages/explore/src/history.c
+++ b/packages/explore/src/history.c
@@ -59,14 +59,14 @@
  * this very step has appended that one, the commit came before it or after it; either way its disks meet each majority
  * of both configurations, which differ in one voter (seed 20847 of the plans at moments: counted among the three of the
  * new one, in the step that ordered it). */
-static size_t voters_counted(const Node *node, const ReplicationWindow *window)
+static size_t voters_counted(const Node *node, const ReplicationInspection *window)
 {
     const bool ordered = window->list_index > node->list_before && window->list_index > window->commit_index;
     return ordered && node->voters_before > 0 && node->voters_before < window->voter_count ? node->voters_before
                                                                                            : window->voter_count;
 }
 
-static void commit_one(Explore *explore, const Node *node, const ReplicationWindow *window, uint64_t index)
+static void commit_one(Explore *explore, const Node *node, const ReplicationInspection *window, uint64_t index)
 {
     History *history = &explore->history;
     const Item *held = node->model != NULL ? disk_item(node->model, index) : NULL;
@@ -94,7 +94,7 @@
         explore->result->committed++;
 }
 
-void history_follow(Explore *explore, const Node *node, const ReplicationWindow *window)
+void history_follow(Explore *explore, const Node *node, const ReplicationInspection *window)
 {
     while (explore->history.items.count < window->commit_index && explore->result->rule == RULE_NONE)
         commit_one(explore, node, window, explore->history.items.count + 1);
--- a/packages/explore/src/history.h
+++ b/packages/explore/src/history.h
@@ -8,6 +8,6 @@
 /* Null: nothing is committed there yet. */
 const Item *history_item(const History *history, uint64_t index);
 /* Adds what the node has committed beyond the history, and checks each new item. */
-void history_follow(Explore *explore, const Node *node, const ReplicationWindow *window);
+void history_follow(Explore *explore, const Node *node, const ReplicationInspection *window);
 
 #endif
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -27,7 +27,7 @@
     if (entry->change >= REPLICATION_CHANGE_FIRST && entry->payload.count >= sizeof(item.number))
         memcpy(&item.number, entry->payload.data, sizeof(item.number));
     uint64_t voters[REPLICATION_VOTERS_MAX];
-    if (replication_window_list(entry, voters, &item.voter_count))
+    if (replication_entry_voters(entry, voters, &item.voter_count))
         item.voters = talloc_memdup(mem, voters, sizeof(voters));
     return item;
 }
--- a/packages/explore/src/moment.c
+++ b/packages/explore/src/moment.c
@@ -48,7 +48,7 @@
         }
 }
 
-void moment_observe(Explore *explore, Node *node, const ReplicationWindow *window)
+void moment_observe(Explore *explore, Node *node, const ReplicationInspection *window)
 {
     if (window->phase == REPLICATION_ELECTING && node->phase_before != REPLICATION_ELECTING)
         moment_raise(explore, MOMENT_ELECTION);
--- a/packages/explore/src/moment.h
+++ b/packages/explore/src/moment.h
@@ -10,6 +10,6 @@
 /* Such a step has just happened. */
 void moment_raise(Explore *explore, Moment moment);
 /* Raises the moments of what a running node has just done. */
-void moment_observe(Explore *explore, Node *node, const ReplicationWindow *window);
+void moment_observe(Explore *explore, Node *node, const ReplicationInspection *window);
 
 #endif
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -75,16 +75,16 @@
 static Status boot(Node *node, Loop *loop, Failure *failure)
 {
     const Explore *explore = node->explore;
-    const ReplicationFounds first = explore->plan->by_votes ? REPLICATION_FOUNDS_BY_VOTES : REPLICATION_FOUNDS_BY_THREE;
+    const FoundingMode first = explore->plan->by_votes ? FOUNDING_BY_VOTES : FOUNDING_BY_THREE_DISKS;
     node->rpc = rpc_new(loop, loop, node->recorder);
     const ReplicationSettings how = {.loop = loop,
                                      .rpc = node->rpc,
                                      .recorder = node->recorder,
                                      .state = {&node->chain, deliver, save, load},
                                      .losses = explore->plan->losses,
-                                     .founds = node->founds ? first : REPLICATION_FOUNDS_NEVER,
-                                     .disks_keep = true,
-                                     .voter_back_ms = explore->plan->voter_back_ms,
+                                     .founding_mode = node->founds ? first : FOUNDING_NEVER,
+                                     .disks_durable = true,
+                                     .voter_replacement_ms = explore->plan->voter_back_ms,
                                      .snapshot_entries = explore->plan->snapshot};
     node->founds = false;
     node->replication = replication_new(loop, &how);
@@ -299,8 +299,8 @@
         const Node *other = &explore->nodes[i];
         if (!other->up)
             continue;
-        ReplicationWindow window;
-        replication_window(other->replication, &window);
+        ReplicationInspection window;
+        replication_inspect(other->replication, &window);
         if (window.list_index > explore->history.list_index && !bears(explore, node, window.voters, window.voter_count))
             return false;
     }
--- a/packages/explore/src/state.h
+++ b/packages/explore/src/state.h
@@ -7,7 +7,7 @@
 
 #include "explore/explore.h"
 #include "sim/world.h"
-#include "replication/window.h"
+#include "replication/inspection.h"
 
 #define NODES_MAX 24   /* count; machines in one run */
 #define DISKS_MAX 96   /* count; disks that ever existed, wiped ones included */
--- a/packages/heartbeat/src/liveset.c
+++ b/packages/heartbeat/src/liveset.c
@@ -1,4 +1,4 @@
-/* The leader's live set: a row for each worker, kept up by heartbeats. */
+/* The leader's live set: one row for each worker, updated by heartbeats. */
 #include "heartbeat/liveset.h"
 
 #include <talloc.h>
@@ -7,12 +7,12 @@
 #include "base/map.h"
 #include "heartbeat/lease.h"
 
-#define READY_HEARTBEATS 3 /* count; a worker silent for so many heartbeats gets no new work */
+#define READY_HEARTBEATS 3 /* a worker that is silent for so many heartbeat intervals gets no new work */
 
-/* Invariant: rows are owned by the map, so a reset frees them together. */
+/* Invariant: the rows are owned by the map, so that a reset frees all of them. */
 struct Liveset {
-    Map *rows;              /* worker's name to LiveRow */
-    int64_t first_until_ms; /* of workers not heard of: a lease of an earlier leader may run until then */
+    Map *rows;                /* maps a worker's name to its LiveRow */
+    int64_t unknown_until_ms; /* for unknown workers: a lease of an earlier leader may be valid until then */
 };
 
 Liveset *liveset_new(void *mem)
@@ -22,15 +22,15 @@
     return liveset;
 }
 
-/* The row of a worker, created when it has none. */
-static LiveRow *row_of(Liveset *liveset, const char *name)
+/* Returns the row of a worker, which is created if there is none. */
+static LiveRow *row_get_or_add(Liveset *liveset, const char *name)
 {
     LiveRow *row = map_get(liveset->rows, name);
     if (row == NULL) {
         row = talloc_zero(liveset->rows, LiveRow);
         row->name = talloc_strdup(row, name);
-        row->until_ms = liveset->first_until_ms;
-        row->heard_ms = INT64_MIN;
+        row->until_ms = liveset->unknown_until_ms;
+        row->last_heartbeat_ms = INT64_MIN;
         map_set(liveset->rows, name, row);
     }
     return row;
@@ -40,22 +40,22 @@
 {
     talloc_free(liveset->rows);
     liveset->rows = map_new(liveset);
-    liveset->first_until_ms = until_ms;
+    liveset->unknown_until_ms = until_ms;
     for (size_t i = 0; i < count; i++)
-        row_of(liveset, workers[i]);
+        row_get_or_add(liveset, workers[i]);
 }
 
 Status liveset_heartbeat(Liveset *liveset, const HeartbeatAsk *heartbeat, int64_t now_ms, int64_t lease_ms,
                          bool *list_counts)
 {
-    LiveRow *row = row_of(liveset, heartbeat->worker.name);
+    LiveRow *row = row_get_or_add(liveset, heartbeat->worker.name);
     *list_counts = false;
-    /* an older incarnation is a second process, or the same after its clock jumped back: it is
-     * taken once the newer one's lease has lapsed */
+    /* an older incarnation is a second process, or the same one after its clock jumped back: it is accepted once the
+     * lease of the newer one has expired */
     if (heartbeat->incarnation < row->incarnation && now_ms < row->until_ms)
         return STATUS_DUPLICATE_WORKER;
     if (heartbeat->incarnation != row->incarnation) {
-        /* a new agent: until_ms stays, for the earlier one's lease runs until it lapses */
+        /* a new agent: until_ms is kept, because the earlier agent's lease is valid until then */
         row->incarnation = heartbeat->incarnation;
         row->number = 0;
         row->joined_ms = now_ms;
@@ -63,13 +63,13 @@
     const int64_t until_ms = now_ms + lease_claim_ms(lease_ms);
     if (until_ms > row->until_ms)
         row->until_ms = until_ms;
-    row->heard_ms = now_ms;
+    row->last_heartbeat_ms = now_ms;
     if (heartbeat->number > row->number) {
         row->number = heartbeat->number;
         row->worker_live = heartbeat->worker_live;
         row->leaving = heartbeat->leaving;
         row->settled = heartbeat->settled;
-        row->others = heartbeat->others;
+        row->other_usage = heartbeat->others;
         row->leave_until_ms = heartbeat->leaving && heartbeat->leave_ms > 0 ? now_ms + heartbeat->leave_ms : 0;
         *list_counts = heartbeat->settled;
     }
@@ -83,19 +83,19 @@
         row->number = number;
 }
 
-void liveset_asked(Liveset *liveset, const char *worker, int64_t now_ms)
+void liveset_heartbeat_waiting(Liveset *liveset, const char *worker, int64_t now_ms)
 {
-    arrivals_asked(&row_of(liveset, worker)->heartbeats, now_ms);
+    arrivals_asked(&row_get_or_add(liveset, worker)->heartbeats, now_ms);
 }
 
-void liveset_answered(Liveset *liveset, const char *worker, int64_t now_ms)
+void liveset_heartbeat_answered(Liveset *liveset, const char *worker, int64_t now_ms)
 {
-    arrivals_answered(&row_of(liveset, worker)->heartbeats, now_ms);
+    arrivals_answered(&row_get_or_add(liveset, worker)->heartbeats, now_ms);
 }
 
-void liveset_losing(Liveset *liveset, const char *worker, bool losing)
+void liveset_set_loss_pending(Liveset *liveset, const char *worker, bool losing)
 {
-    row_of(liveset, worker)->losing = losing;
+    row_get_or_add(liveset, worker)->loss_pending = losing;
 }
 
 const LiveRow *liveset_find(const Liveset *liveset, const char *name)
@@ -105,9 +105,9 @@
 
 bool live_row_ready(const LiveRow *row, int64_t now_ms)
 {
-    return row->heard_ms != INT64_MIN && now_ms < row->until_ms &&
-           now_ms - row->heard_ms < READY_HEARTBEATS * HEARTBEAT_MS && row->worker_live && !row->leaving &&
-           row->settled && !row->losing;
+    return row->last_heartbeat_ms != INT64_MIN && now_ms < row->until_ms &&
+           now_ms - row->last_heartbeat_ms < READY_HEARTBEATS * HEARTBEAT_MS && row->worker_live && !row->leaving &&
+           row->settled && !row->loss_pending;
 }
 
 bool live_row_overdue(const LiveRow *row, int64_t now_ms)
--- a/packages/replication/src/clock.c
+++ b/packages/replication/src/clock.c
@@ -1,5 +1,5 @@
-/* Two clocks. The log's clock never goes back and passes only while the clock of a leader or a
- * follower passes; the wall clock is the median of the voters' wall clocks. */
+/* The log's clock and the wall clock. The log's clock never falls below the latest time stamp in the log, and advances
+ * only while a leader or follower runs; the wall clock is the median of the voters' wall clocks. */
 #include "clock.h"
 #include "state.h"
 
@@ -31,15 +31,16 @@
                                    : loop_wall_ms(replication->loop);
 }
 
-/* Sets the median of the voters' wall clocks as an offset to the own clock; of an even number the lower middle one, so
- * that nothing comes before it is due. While some voters are silent the last median is kept. */
-void wall_take(Replication *replication)
+/* Stores the median of the voters' wall clocks as an offset to this loop's clock. Of an even number of clocks, the
+ * lower of the two middle ones is used, so that timers never fire early. While some voters are silent, the previous
+ * median is kept. */
+void wall_clock_update(Replication *replication)
 {
-    int64_t offsets[VOTER_MOST];
+    int64_t offsets[VOTERS_MAX];
     int count = 0;
     const int64_t now_ms = loop_now_ms(replication->loop);
     offsets[count++] = loop_wall_ms(replication->loop) - now_ms;
-    for (int i = 0; i < VOTER_MOST; i++)
+    for (int i = 0; i < VOTERS_MAX; i++)
         if (replication->voters[i] != 0 && replication->voters[i] != replication->disk &&
             replication->peers[i].wall_at_ms != 0 && now_ms - replication->peers[i].wall_at_ms < LOCK_GRANT_MS)
             offsets[count++] = replication->peers[i].wall_ms - replication->peers[i].wall_at_ms;
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/founding.c
@@ -1,5 +1,5 @@
-/* Founding: how empty disks become a new cluster, by the votes of the seeds or by three disks that see
- * each other. */
+/* Founding: empty disks become a new cluster, either by the votes of the seeds or by three disks that see each other.
+ */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -8,10 +8,10 @@
 #include "state.h"
 #include "voter_list.h"
 
-#define FOUND_CHECK_MS 200 /* ms; how often an empty controller checks whether three see each other */
-#define VOTE_CHECK_PART 6  /* an empty controller counts the seeds' votes so often in VOTE_WAIT_MS */
+#define FOUND_CHECK_MS 200 /* interval at which an empty controller checks for three disks, in ms */
+#define VOTE_CHECK_PART 6  /* number of times that the seeds' votes are counted in VOTE_WAIT_MS */
 
-/* Asks an empty controller to become part of the cluster with these voters. */
+/* A request that an empty controller become part of the cluster with these voters. */
 #define FOUND_ASK_FIELDS(X) \
     X(U64, cluster, 0)      \
     X(LST, voters, DiskId)
@@ -28,23 +28,23 @@
     if (replication->cluster != 0)
         return replication->cluster == cluster ? STATUS_OK : STATUS_STRANGER;
     replication->cluster = cluster;
-    voters_founded(replication, voters);
-    replication_reread(replication);
+    voter_list_set_initial(replication, voters);
+    voters_reload(replication);
     rpc_set_cluster(replication->settings.rpc, cluster);
     members_set_empty(replication->settings.members, false);
     void *mem = talloc_new(replication);
     size_t count;
-    const Record *records = replication_records(replication, mem, &count);
-    const Status status = journal_write(replication->journal, records, 1); /* the cluster's record */
+    const Record *records = journal_records(replication, mem, &count);
+    const Status status = journal_write(replication->journal, records, 1); /* only the record of the cluster */
     talloc_free(mem);
     return status;
 }
 
-/* Waits for the disk. Founds or joins the cluster with these voters. */
-static Status found_now(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
+/* Blocks on disk I/O. Founds or joins the cluster that has these voters. */
+static Status found_with_disks(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
 {
     void *mem = talloc_new(replication);
-    const Status status = replication_found(replication, cluster, voters_of(replication, mem, disks, count));
+    const Status status = replication_found(replication, cluster, voter_list_new(replication, mem, disks, count));
     talloc_free(mem);
     return status;
 }
@@ -57,16 +57,17 @@
               &(LogFields){.text = name});
 }
 
-/* --- by the seeds' votes --------------------------------------------------------- */
+/* --- founding by the seeds' votes --------------------------------------------------------- */
 
-/* The empty controller that has heard of no lower disk id than its own stands as the founder. With the votes of a
- * majority of the seeds it founds the cluster as its only voter, and then adds the others as its leader. */
-static void votes_main(void *arg)
+/* The task that founds a cluster by votes. The empty controller that knows of no lower disk id than its own is the
+ * candidate. With the votes of a majority of the seeds it founds the cluster as its only voter, and then adds the other
+ * voters as the leader. */
+static void found_by_votes_main(void *arg)
 {
     Replication *replication = arg;
     Members *members = replication->settings.members;
     const int64_t from_ms = loop_now_ms(replication->loop) + VOTE_WAIT_MS;
-    uint64_t proposal = 1; /* its number, see members_request_votes */
+    uint64_t proposal = 1; /* number of the proposal, see members_request_votes */
     bool stands = false;
     while (!loop_stopping(replication->loop) && !replication_founded(replication) &&
            rpc_cluster(replication->settings.rpc) == 0) {
@@ -83,18 +84,18 @@
             if (granted < seeds / 2 + 1 || rpc_cluster(replication->settings.rpc) != 0)
                 continue;
             const uint64_t cluster = loop_random(replication->loop) | 1;
-            replication->named_successor = true; /* it need not wait its turn: there is no other voter */
-            if (found_now(replication, cluster, &replication->disk, 1) == STATUS_OK)
+            replication->named_successor = true; /* no election delay is needed: there is no other voter */
+            if (found_with_disks(replication, cluster, &replication->disk, 1) == STATUS_OK)
                 founded_log(replication, cluster);
         }
     }
 }
 
-/* --- by three disks --------------------------------------------------------------- */
+/* --- founding by three disks --------------------------------------------------------------- */
 
-/* The three empty disks in the order of their ids; false when there are not exactly three, or when any
- * member knows a cluster. */
-static bool three_empty(const Replication *replication, uint64_t disks[VOTER_FIRST])
+/* Writes the three empty disks in the order of their ids. Returns false if there are not exactly three, or if any
+ * member knows of a cluster. */
+static bool three_empty(const Replication *replication, uint64_t disks[VOTERS_INITIAL])
 {
     const MemberTable *table = members_table(replication->settings.members);
     const int64_t now_ms = loop_now_ms(replication->loop);
@@ -105,7 +106,7 @@
             return false;
         if (row->record.role != ROLE_CONTROLLER || member_quiet(row, now_ms))
             continue;
-        if (!row->record.empty || row->last_direct_contact_ms == INT64_MIN || count == VOTER_FIRST)
+        if (!row->record.empty || row->last_direct_contact_ms == INT64_MIN || count == VOTERS_INITIAL)
             return false;
         disks[count++] = row->record.disk;
     }
@@ -115,10 +116,10 @@
             disks[k] = disks[k - 1];
             disks[k - 1] = swap;
         }
-    return count == VOTER_FIRST;
+    return count == VOTERS_INITIAL;
 }
 
-/* Answers the offer to be one of three voters. */
+/* Handles MESSAGE_FOUND: the offer to be one of three voters. */
 static Status on_found(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
@@ -126,28 +127,28 @@
     (void)mem;
     const uint64_t known = rpc_cluster(replication->settings.rpc);
     Status status = STATUS_STRANGER;
-    uint64_t voters[VOTER_FIRST] = {0};
+    uint64_t voters[VOTERS_INITIAL] = {0};
     bool mine = false;
-    for (size_t i = 0; i < ask->voters_count && i < VOTER_FIRST; i++) {
+    for (size_t i = 0; i < ask->voters_count && i < VOTERS_INITIAL; i++) {
         voters[i] = ask->voters[i].disk;
         mine |= voters[i] == replication_disk(replication);
     }
-    if (ask->voters_count == VOTER_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
-        status = found_now(replication, ask->cluster, voters, VOTER_FIRST);
+    if (ask->voters_count == VOTERS_INITIAL && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
+        status = found_with_disks(replication, ask->cluster, voters, VOTERS_INITIAL);
     ((FoundAnswer *)answer)->cluster = rpc_cluster(replication->settings.rpc);
     return status;
 }
 
-/* Waits. Offers the cluster to the other two. */
-static void offer(Replication *replication, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
+/* Blocks. Offers the cluster to the other two controllers. */
+static void cluster_offer(Replication *replication, const uint64_t disks[VOTERS_INITIAL], uint64_t cluster)
 {
-    for (int i = 0; i < VOTER_FIRST; i++) {
+    for (int i = 0; i < VOTERS_INITIAL; i++) {
         const Member *member = members_find_disk(replication->settings.members, disks[i]);
         if (disks[i] == replication_disk(replication) || member == NULL || !member->record.empty)
             continue;
         void *mem = talloc_new(replication);
-        FoundAsk ask = {cluster, talloc_array(mem, DiskId, VOTER_FIRST), VOTER_FIRST};
-        for (int k = 0; k < VOTER_FIRST; k++)
+        FoundAsk ask = {cluster, talloc_array(mem, DiskId, VOTERS_INITIAL), VOTERS_INITIAL};
+        for (int k = 0; k < VOTERS_INITIAL; k++)
             ask.voters[k].disk = disks[k];
         FoundAnswer answer = {0};
         rpc_ask(replication->settings.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND,
@@ -156,23 +157,24 @@
     }
 }
 
-/* Of the three, the disk with the lowest id founds the cluster and offers it to the other two. */
-static void three_main(void *arg)
+/* The task that founds a cluster by three disks: the controller with the lowest disk id founds the cluster and offers
+ * it to the other two. */
+static void found_by_three_main(void *arg)
 {
     Replication *replication = arg;
-    uint64_t before[VOTER_FIRST] = {0};
+    uint64_t before[VOTERS_INITIAL] = {0};
     int64_t since_ms = 0;
     while (!loop_stopping(replication->loop)) {
         loop_sleep(replication->loop, FOUND_CHECK_MS);
-        uint64_t disks[VOTER_MOST];
+        uint64_t disks[VOTERS_MAX];
         const int64_t now_ms = loop_now_ms(replication->loop);
         if (replication_founded(replication)) {
-            /* until there is a first leader, the others may not have heard the offer */
-            if (replication_voters(replication, disks) != VOTER_FIRST ||
+            /* until there is a first leader, the others may not have received the offer */
+            if (replication_voters(replication, disks) != VOTERS_INITIAL ||
                 members_leader_id(replication->settings.members)[0] != '\0')
                 return;
             if (disks[0] == replication_disk(replication))
-                offer(replication, disks, rpc_cluster(replication->settings.rpc));
+                cluster_offer(replication, disks, rpc_cluster(replication->settings.rpc));
             continue;
         }
         if (rpc_cluster(replication->settings.rpc) != 0 || !three_empty(replication, disks)) {
@@ -187,20 +189,20 @@
         if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != replication_disk(replication))
             continue;
         const uint64_t cluster = loop_random(replication->loop) | 1;
-        if (found_now(replication, cluster, disks, VOTER_FIRST) == STATUS_OK) {
+        if (found_with_disks(replication, cluster, disks, VOTERS_INITIAL) == STATUS_OK) {
             founded_log(replication, cluster);
-            offer(replication, disks, cluster);
+            cluster_offer(replication, disks, cluster);
         }
     }
 }
 
 void replication_found_start(Replication *replication)
 {
-    members_set_voter(replication->settings.members, replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES);
-    if (replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES && !replication_founded(replication))
-        loop_spawn(replication->loop, "votes", votes_main, replication);
-    if (replication->settings.founds != REPLICATION_FOUNDS_BY_THREE)
+    members_set_voter(replication->settings.members, replication->settings.founding_mode == FOUNDING_BY_VOTES);
+    if (replication->settings.founding_mode == FOUNDING_BY_VOTES && !replication_founded(replication))
+        loop_spawn(replication->loop, "votes", found_by_votes_main, replication);
+    if (replication->settings.founding_mode != FOUNDING_BY_THREE_DISKS)
         return;
     rpc_handle(replication->settings.rpc, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, replication);
-    loop_spawn(replication->loop, "found", three_main, replication);
+    loop_spawn(replication->loop, "found", found_by_three_main, replication);
 }
--- a/packages/replication/src/window.c
+++ b/packages/replication/src/inspection.c
@@ -1,13 +1,13 @@
-/* What a checker of safety properties sees of the replicated log. */
-#include "replication/window.h"
+/* Read access to the state of the replicated log for checkers of safety properties. */
+#include "replication/inspection.h"
 
 #include <talloc.h>
 
 #include "state.h"
 
-void replication_window(const Replication *replication, ReplicationWindow *window)
+void replication_inspect(const Replication *replication, ReplicationInspection *window)
 {
-    *window = (ReplicationWindow){
+    *window = (ReplicationInspection){
         .phase = replication->phase,
         .has_lease = replication->has_lease,
         .term = replication->term,
@@ -20,7 +20,7 @@
     window->voter_count = replication_voters(replication, window->voters);
 }
 
-bool replication_window_list(const Record *entry, uint64_t voters[REPLICATION_VOTERS_MAX], size_t *count)
+bool replication_entry_voters(const Record *entry, uint64_t voters[REPLICATION_VOTERS_MAX], size_t *count)
 {
     if (entry->kind != RECORD_ENTRY || entry->change != REPLICATION_CHANGE_VOTERS)
         return false;
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -1,4 +1,5 @@
-/* Asking all voters at once, with one task for each, so that a silent one delays the poll by its time-out only. */
+/* Polls all voters concurrently, with one task for each, so that a silent voter delays the poll by no more than its
+ * timeout. */
 #include <talloc.h>
 
 #include "poll.h"
@@ -7,21 +8,21 @@
 #include "voter.h"
 #include "voter_list.h"
 
-/* The task for one voter. */
-typedef struct PollPart {
+/* The argument of the task for one voter. */
+typedef struct PollTask {
     Poll *poll;
     int voter; /* its place */
-} PollPart;
+} PollTask;
 
-void poll_leave(Poll *poll)
+void poll_unref(Poll *poll)
 {
-    if (--poll->users == 0)
+    if (--poll->references == 0)
         talloc_free(poll);
 }
 
 static void poll_main(void *arg)
 {
-    const PollPart part = *(PollPart *)arg;
+    const PollTask part = *(PollTask *)arg;
     Poll *poll = part.poll;
     Replication *replication = poll->replication;
     talloc_free(arg);
@@ -30,7 +31,7 @@
     poll->sent_ms[i] = loop_now_ms(replication->loop);
     if (poll->disks[i] == replication->disk) {
         const Status status = voter_propose(replication, &poll->ask);
-        voter_describe(replication, poll, &poll->answers[i]);
+        voter_answer_set(replication, poll, &poll->answers[i]);
         poll->status[i] = status;
     } else if (voter_address(replication, i, address)) {
         VoterAnswer answer = {0};
@@ -43,7 +44,7 @@
     }
     poll->pending--;
     signal_raise(replication->loop, &poll->ended);
-    poll_leave(poll);
+    poll_unref(poll);
 }
 
 bool poll_reached(Status status)
@@ -52,44 +53,44 @@
            status != STATUS_STRANGER && status != STATUS_INTERNAL && status != STATUS_OTHER_DISK;
 }
 
-/* Spawns a task for each voter that is asked. */
-static void poll_spawn(Poll *poll, const bool skip[VOTER_MOST])
+/* Spawns a task for each voter that is polled. */
+static void poll_spawn(Poll *poll, const bool skip[VOTERS_MAX])
 {
     Replication *replication = poll->replication;
-    for (int i = 0; i < VOTER_MOST; i++) {
+    for (int i = 0; i < VOTERS_MAX; i++) {
         poll->status[i] = STATUS_UNREACHABLE;
         if (skip[i] || replication->voters[i] == 0)
             continue;
         poll->disks[i] = replication->voters[i];
-        poll->users++;
+        poll->references++;
         poll->pending++;
-        PollPart *part = talloc_zero(replication, PollPart);
-        *part = (PollPart){poll, i};
+        PollTask *part = talloc_zero(replication, PollTask);
+        *part = (PollTask){poll, i};
         loop_spawn(replication->loop, "poll", poll_main, part);
     }
 }
 
-Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST])
+Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTERS_MAX])
 {
     Poll *poll = talloc_zero(replication, Poll);
     poll->replication = replication;
     poll->ask =
         (ProposeAsk){term, replication->disk, 0, log_last_term(replication->log), log_last_index(replication->log)};
-    poll->users = 1;
+    poll->references = 1;
     poll_spawn(poll, skip);
-    /* the wait for the own disk is bounded, too */
+    /* the wait for the local disk is bounded too */
     int64_t until_ms = loop_now_ms(replication->loop) + ASK_TIMEOUT_MS + ASK_TIMEOUT_MS / 4;
     const size_t needed = replication_majority(replication);
     bool majority = false;
     while (poll->pending > 0 && signal_wait(replication->loop, &poll->ended, until_ms)) {
         size_t heard = 0;
         bool restarted = false;
-        for (int i = 0; i < VOTER_MOST; i++) {
+        for (int i = 0; i < VOTERS_MAX; i++) {
             heard += poll_reached(poll->status[i]);
             restarted |= poll_reached(poll->status[i]) && poll->answers[i].restarted;
         }
         const int64_t grace_ms = loop_now_ms(replication->loop) + POLL_GRACE_MS;
-        if (!majority && heard >= needed && (!restarted || replication->settings.disks_keep) && grace_ms < until_ms)
+        if (!majority && heard >= needed && (!restarted || replication->settings.disks_durable) && grace_ms < until_ms)
             until_ms = grace_ms;
         majority |= heard >= needed;
     }
--- a/packages/replication/src/status.c
+++ b/packages/replication/src/status.c
@@ -1,4 +1,4 @@
-/* What status pages and log lines show of the replicated log. No decision uses it. */
+/* The status of the replicated log for status pages and log lines. No decision depends on it. */
 #include <string.h>
 
 #include "learners.h"
@@ -11,16 +11,16 @@
     *commit_index = replication->commit_index;
 }
 
-/* The learners, and how many losses are borne and asked for. */
+/* Sets the rows of the learners, and the numbers of losses that are tolerated and configured. */
 static void learners_status(const Replication *replication, ReplicationStatus *status)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     MembershipInput input;
     membership_gather(replication, 0, &input);
-    status->losses_borne = membership_losses_borne(input.voters, input.now.voter_count);
-    status->losses_asked = (int)(voters_wanted(replication) / 2);
+    status->losses_tolerated = membership_losses_tolerated(input.voters, input.now.voter_count);
+    status->losses_configured = (int)(voters_wanted(replication) / 2);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
-        const Peer *peer = &replication->peers[VOTER_MOST + i];
+        const Peer *peer = &replication->peers[VOTERS_MAX + i];
         if (replication->learners[i].disk == 0)
             continue;
         status->learners[status->learner_count++] =
@@ -32,11 +32,11 @@
     }
 }
 
-/* The voters, the own one included. */
+/* Sets the rows of the voters, including this node. */
 static void voters_status(const Replication *replication, ReplicationStatus *status)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    for (int i = 0; i < VOTER_MOST; i++) {
+    for (int i = 0; i < VOTERS_MAX; i++) {
         const Peer *peer = &replication->peers[i];
         const bool self = replication->voters[i] == replication->disk;
         if (replication->voters[i] == 0)
@@ -68,7 +68,7 @@
     status->base_index = replication->log->base_index;
     status->lease_left_ms = replication->has_lease && until_ms > now_ms ? until_ms - now_ms : 0;
     status->view_changes = replication->view_changes;
-    status->other_histories = replication->other_histories;
+    status->history_conflicts = replication->other_histories;
     status->journal = *journal_counts(replication->journal);
     voters_status(replication, status);
     learners_status(replication, status);
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -18,7 +18,7 @@
 static bool loss_undeclared(const Scheduler *scheduler, const char *worker)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker);
-    return worker_lease_ended(scheduler, worker) && (row == NULL || !row->losing);
+    return worker_lease_ended(scheduler, worker) && (row == NULL || !row->loss_pending);
 }
 
 void lost_workers_declare(Scheduler *scheduler, void *mem)
@@ -36,7 +36,7 @@
         const WorkerLost change = {names[i], UINT64_MAX};
         /* the worker may come back before this is committed: until then it must not get orders that are based on the
          * old state */
-        liveset_losing(scheduler->liveset, names[i], true);
+        liveset_set_loss_pending(scheduler->liveset, names[i], true);
         ChangeResult result;
         if (scheduler_submit(scheduler, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result) == STATUS_OK) {
             scheduler->counts.lost += result.number;
@@ -56,7 +56,8 @@
     for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
         const LiveRow *row = liveset_find(scheduler->liveset, worker);
         const int64_t won_ms = scheduler_won_ms(scheduler);
-        if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
+        if (row == NULL ||
+            now_ms - (row->last_heartbeat_ms > won_ms ? row->last_heartbeat_ms : won_ms) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
         const size_t count = table_tasks_on(scheduler->table, worker, &on);
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -17,7 +17,7 @@
     const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(scheduler->loop)) && !worker->excluded &&
                        !table_drained(scheduler->table, worker->zone) && !score_ejected(scheduler, worker->name);
     const Resources none = {0};
-    return ready ? resources_less(worker->resources, row->others) : none;
+    return ready ? resources_less(worker->resources, row->other_usage) : none;
 }
 
 /* Finds the workers' rows in the live set; null: the worker has not contacted this leader. Returns whether overdue
--- a/packages/scheduler/src/unconfirmed.c
+++ b/packages/scheduler/src/unconfirmed.c
@@ -52,7 +52,7 @@
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const Worker *worker = table_worker(pass->scheduler->table, pass->input.workers[i].name);
         const LiveRow *row = liveset_find(pass->scheduler->liveset, worker->name);
-        if (!worker->excluded && (row == NULL || row->heard_ms == INT64_MIN || !row->settled))
+        if (!worker->excluded && (row == NULL || row->last_heartbeat_ms == INT64_MIN || !row->settled))
             return false;
     }
     return true;
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -14,7 +14,7 @@
 }
 
 /* The voters, as the running controller with the highest commit index has them. */
-static size_t voters_now(const Fleet *fleet, uint64_t voters[VOTER_MOST])
+static size_t voters_now(const Fleet *fleet, uint64_t voters[VOTERS_MAX])
 {
     uint64_t furthest = 0;
     size_t count = 0;
@@ -35,7 +35,7 @@
 /* Controllers that run, are voters, and have a working disk; needed: how many of them are a majority. */
 static int voters_good(const Fleet *fleet, const FleetNode **good, int *needed)
 {
-    uint64_t voters[VOTER_MOST] = {0};
+    uint64_t voters[VOTERS_MAX] = {0};
     const size_t voter_count = voters_now(fleet, voters);
     int count = 0;
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
@@ -48,7 +48,7 @@
         if (is_voter)
             good[count++] = node;
     }
-    *needed = (int)lock_majority(voter_count > VOTER_FIRST ? voter_count : VOTER_FIRST);
+    *needed = (int)lock_majority(voter_count > VOTERS_INITIAL ? voter_count : VOTERS_INITIAL);
     return count;
 }
 
--- a/packages/sim/test/catch_up.c
+++ b/packages/sim/test/catch_up.c
@@ -35,36 +35,36 @@
     whole.data[500] = 7;
     Record record;
     InstallSnapshotAsk ask = piece_of(whole, 400, 300);
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_LOG_GAP);
     assert_int_equal(snapshot_piece_count(replication), 0);
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BUSY);
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BUSY);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_LOG_GAP);
     assert_int_equal(snapshot_piece_count(replication), 400);
     ask = piece_of(whole, 400, 600);
     ask.snapshot.payload.count = 700;
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BAD_FRAME);
     whole.data[500] = 8; /* on its way */
     ask = piece_of(whole, 400, 600);
     whole.data[500] = 7;
     ask.checksum = bytes_crc(whole.data, whole.count);
     whole.data[500] = 8;
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BAD_FRAME);
     assert_int_equal(snapshot_piece_count(replication), 0);
     whole.data[500] = 7;
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BUSY);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BUSY);
     ask = piece_of(whole, 400, 600);
     ask.snapshot.index++; /* of another snapshot: what was there counts for nothing */
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_LOG_GAP);
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BUSY);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BUSY);
     ask = piece_of(whole, 400, 600);
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_OK);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_OK);
     assert_memory_equal(record.payload.data, whole.data, whole.count);
     ask = piece_of(whole, 0, 1000);
     ask.total = RECORD_MAX_BYTES + 1;
-    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BAD_FRAME);
     talloc_free(fleet);
 }
 
@@ -168,7 +168,7 @@
     Fleet *fleet = begin(1);
     const int leader = fleet_leader(fleet), away = (leader + 1) % 3;
     state_grow(fleet, 34, LABEL_BYTES);
-    replication_compact_maybe(replication_of(fleet, leader), true);
+    replication_compact_if_due(replication_of(fleet, leader), true);
     fleet_run(fleet, 500);
     assert_true(replication_of(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
     for (int i = 0; i < 3; i++) /* 34 MB take over eight seconds: more than any deadline */
--- a/packages/sim/test/controller_set.h
+++ b/packages/sim/test/controller_set.h
@@ -36,7 +36,7 @@
     const Bytes payload = {talloc_zero_size(mem, bytes + 1), bytes, 0};
     for (int i = 0; i < count; i++)
         if (replication_leading(replication_of(fleet, leader)))
-            replication_offer(replication_of(fleet, leader), FILLER, payload);
+            replication_submit_async(replication_of(fleet, leader), FILLER, payload);
     talloc_free(mem);
 }
 
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -90,7 +90,7 @@
         break;
     case 3:
         if (runs(fleet, controller))
-            replication_compact_maybe(replication_of(fleet, controller), true);
+            replication_compact_if_due(replication_of(fleet, controller), true);
         break;
     default:
         offer(fleet, (int)(sim_random(world) % 20), 10);
@@ -130,7 +130,7 @@
         offer(fleet, 3, 10);
         fleet_run(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
-        replication_compact_maybe(replication_of(fleet, leader), true);
+        replication_compact_if_due(replication_of(fleet, leader), true);
         sim_turn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
         fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
         fleet_run(fleet, 5000);
@@ -162,7 +162,7 @@
     Replication *replication = orders->replication;
     const uint64_t index = replication->commit_index;
     const Record older = {.kind = RECORD_SNAPSHOT, .term = replication->log->base_term, .index = index - 1, .name = ""};
-    orders->replaced = voter_replace(replication, &older, NULL, 0);
+    orders->replaced = log_replace_all(replication, &older, NULL, 0);
     Record other = *log_at(replication->log, index);
     AppendAsk ask = {.term = replication->lock.promised + 100,
                      .holder = replication->disk + 1,
@@ -197,7 +197,7 @@
     assert_int_equal(log_at(replication->log, index)->term, term);
     ReplicationStatus reach;
     replication_status(replication, &reach);
-    assert_int_equal(reach.other_histories, 2);
+    assert_int_equal(reach.history_conflicts, 2);
     assert_non_null(
         strstr(recorder_text(fleet_node(fleet, FLEET_CONTROLLER, controller)->recorder, fleet), "other-history"));
     talloc_free(fleet);
@@ -217,7 +217,7 @@
     const uint64_t list_index = replication->list_index;
     for (uint64_t i = list_index; i <= log_last_index(replication->log); i++) /* as a disk would that lost the entry */
         replication->log->entries[i - replication->log->base_index - 1].change = FILLER;
-    replication_reread(replication);
+    voters_reload(replication);
     assert_true(replication->list_index < list_index && replication_disk_failed(replication));
     fleet_run(fleet, 10000);
     assert_false(replication_leading(replication));
@@ -257,7 +257,7 @@
         const Replication *replication = replication_of(fleet, controller);
         ReplicationStatus reach;
         replication_status(replication, &reach);
-        assert_true(reach.journal.begun_anew && replication_disk(replication) != before);
+        assert_true(reach.journal.recreated && replication_disk(replication) != before);
         assert_false(replication_founded(replication));
         assert_int_equal(log_last_index(replication->log), 0);
         assert_int_equal(replication->lock.promised, 0);
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -39,12 +39,12 @@
 /* Voters as the leader has them; most: in one zone. */
 static size_t voters(Fleet *fleet, size_t *most)
 {
-    uint64_t disks[VOTER_MOST];
+    uint64_t disks[VOTERS_MAX];
     const int leader = fleet_leader(fleet);
     const size_t count = leader >= 0 ? replication_voters(replication_of(fleet, leader), disks) : 0;
     *most = 0;
     for (size_t s = 0; s < count; s++) {
-        const char *zones[VOTER_MOST] = {0};
+        const char *zones[VOTERS_MAX] = {0};
         size_t same = 0;
         for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
             for (size_t k = 0; k < count; k++)
--- a/packages/sim/test/large_state.h
+++ b/packages/sim/test/large_state.h
@@ -26,7 +26,7 @@
                                .labels_count = 1,
                                .excluded = true};
         shape_pack(&Worker_shape, &worker, mem, &payload);
-        replication_offer(replication_of(fleet, fleet_leader(fleet)), CHANGE_WORKER_SET, payload);
+        replication_submit_async(replication_of(fleet, fleet_leader(fleet)), CHANGE_WORKER_SET, payload);
         fleet_run(fleet, 100);
     }
     talloc_free(mem);
--- a/packages/sim/test/last_block.c
+++ b/packages/sim/test/last_block.c
@@ -48,7 +48,7 @@
     fleet_run(fleet, RETURNED_MS);
     assert_true(fleet_leader(fleet) >= 0);
     assert_true(replication_of(fleet, fleet_leader(fleet))->commit_index > index);
-    assert_true(journal_counts(replication_of(fleet, damaged)->journal)->begun_anew);
+    assert_true(journal_counts(replication_of(fleet, damaged)->journal)->recreated);
     if (checker_broken_all(fleet->checker) > 0)
         fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -75,7 +75,7 @@
     const int leader = fleet_leader(fleet);
     if (leader < 0 || in_view(fleet) != trial->wanted)
         return false;
-    uint64_t disks[VOTER_MOST];
+    uint64_t disks[VOTERS_MAX];
     const FleetNode *first = fleet_node(fleet, FLEET_CONTROLLER, leader);
     const size_t count = replication_voters(controller_replication(first->controller), disks);
     size_t good = 0;
@@ -93,7 +93,7 @@
 
 static bool is_voter(Fleet *fleet, int controller)
 {
-    uint64_t disks[VOTER_MOST];
+    uint64_t disks[VOTERS_MAX];
     const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
     const int leader = fleet_leader(fleet);
     if (leader < 0 || !node->up || node->controller == NULL)
--- a/packages/sim/test/replaced_fixture.h
+++ b/packages/sim/test/replaced_fixture.h
@@ -70,7 +70,7 @@
 /* Whether the controller's disk has a vote, by the list of whoever leads. */
 static inline bool votes(Fleet *fleet, int controller)
 {
-    uint64_t disks[VOTER_MOST];
+    uint64_t disks[VOTERS_MAX];
     const int leader = fleet_leader(fleet);
     const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
     assert_true(leader >= 0 && node->controller != NULL);
--- a/packages/state/test/old_state.c
+++ b/packages/state/test/old_state.c
@@ -263,7 +263,8 @@
     const JobAdd add = {.spec = {.id = "ghost", .attempt_limit = 9, .steps = &step, .steps_count = 1}};
     Bytes payload = {0};
     shape_pack(&JobAdd_shape, &add, mem, &payload);
-    assert_int_equal(replication_offer(controller_replication(leader->controller), CHANGE_JOB_ADD, payload), STATUS_OK);
+    assert_int_equal(replication_submit_async(controller_replication(leader->controller), CHANGE_JOB_ADD, payload),
+                     STATUS_OK);
     fleet_run(fleet, 100);
     const Job *job = table_job(controller_table(leader->controller), "ghost");
     assert_non_null(job);
--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -29,7 +29,7 @@
     void *mem = talloc_new(NULL);
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
-    if (replication_offer(replication_at(fleet_leader(fleet)), change, payload) != STATUS_OK)
+    if (replication_submit_async(replication_at(fleet_leader(fleet)), change, payload) != STATUS_OK)
         fprintf(stderr, "change %" PRIu64 " was not taken\n", change);
     talloc_free(mem);
 }
@@ -276,7 +276,7 @@
     fleet_run(fleet, 300);
     write_all("entries");
     for (int i = 0; i < CONTROLLERS; i++)
-        replication_compact_maybe(replication_at(i), true);
+        replication_compact_if_due(replication_at(i), true);
     fleet_run(fleet, 300);
     offer_plain("later", 2);
     fleet_run(fleet, 300);
