--- a/src/config.c
+++ b/src/config.c
@@ -1,28 +1,30 @@
-/* config: shows and changes the configuration; config build is in build.c. */
+/* config: shows and changes the configuration. The command config build is in build.c. */
 #include <string.h>
 #include <talloc.h>
 
 #include "operate.h"
 #include "options.h"
 
-static int config_ask(Order *order)
+/* Sends the request for the verb that was typed; returns an exit code. */
+static int send_config_request(ClientCommand *command)
 {
-    const Flags *flags = &order->flags;
+    const ClientFlags *flags = &command->flags;
     Bytes body = {0};
-    if (order_is(order, "show"))
-        return order_ask(order, "GET",
-                         flags->version >= 0 ? talloc_asprintf(order->mem, "/v1/config?revision=%lld", flags->version)
-                                             : "/v1/config",
-                         body);
-    if (order_is(order, "history"))
-        return order_ask(order, "GET", "/v1/config/history", body);
-    if (!order_file(order, &body))
-        return wrong("config", "--file: a readable file is needed");
+    if (client_command_is(command, "show"))
+        return client_command_send(command, "GET",
+                                   flags->version >= 0
+                                       ? talloc_asprintf(command->mem, "/v1/config?revision=%lld", flags->version)
+                                       : "/v1/config",
+                                   body);
+    if (client_command_is(command, "history"))
+        return client_command_send(command, "GET", "/v1/config/history", body);
+    if (!client_command_read_file(command, &body))
+        return usage_error("config", "--file: a readable file is required");
     if (flags->base < 0)
-        return wrong("config", "--base: the revision that this builds on is needed");
-    const char *version = flags->version >= 0 ? talloc_asprintf(order->mem, "&revision=%lld", flags->version) : "";
-    return order_ask(order, order_is(order, "set") ? "PUT" : "PATCH",
-                     talloc_asprintf(order->mem, "/v1/config?base=%lld%s", flags->base, version), body);
+        return usage_error("config", "--base: the revision that the change is based on is required");
+    const char *version = flags->version >= 0 ? talloc_asprintf(command->mem, "&revision=%lld", flags->version) : "";
+    return client_command_send(command, client_command_is(command, "set") ? "PUT" : "PATCH",
+                               talloc_asprintf(command->mem, "/v1/config?base=%lld%s", flags->base, version), body);
 }
 
 int run_config(int argc, const char **argv)
@@ -30,10 +32,10 @@
     if (argc > 1 && strcmp(argv[1], "build") == 0)
         return run_build(argc - 1, argv + 1);
     static const Verb VERBS[] = {{"show", 1}, {"history", 1}, {"set", 1}, {"patch", 1}, {NULL, 0}};
-    Order order;
-    const int code = order_take(
-        &order, "config",
+    ClientCommand command;
+    const int code = client_command_parse(
+        &command, "config",
         "show [-r N] | history | set -b BASE [-r N] -f FILE | patch -b BASE [-r N] -f FILE | build -t FILE ...", VERBS,
         argc, argv);
-    return order_print(&order, code == EXIT_GOOD ? config_ask(&order) : code);
+    return client_command_print_json(&command, code == EXIT_OK ? send_config_request(&command) : code);
 }
--- a/src/node.c
+++ b/src/node.c
@@ -1,4 +1,4 @@
-/* node: runs the role that the platform's settings give, behind that platform's protocol adapter. */
+/* node: runs the role that a platform's settings give, with the protocol adapter of that platform. */
 #include <popt.h>
 #include <stdio.h>
 #include <string.h>
@@ -9,21 +9,22 @@
 #include "options.h"
 #include "role.h"
 
-#define SETTINGS_CHECK_MS 1000 /* ms; the file may change without a signal */
+/* Interval at which the settings file is checked for changes, in ms: it may change without a signal. */
+#define SETTINGS_CHECK_MS 1000
 
-/* The process. Invariant: what place.settings points to is never freed, since other parts keep pointers into it. */
+/* The process. Invariant: what place.settings points to is never freed, because other parts keep pointers to it. */
 typedef struct NodeRun {
     void *mem;
     const Adapter *adapter;
     const char *path;
-    struct stat seen; /* of the file when it was last read */
+    struct stat last_status; /* status of the file when it was last checked */
     AdapterPlace place;
     AdapterNode node;
     int code;
 } NodeRun;
 
-/* Reads the settings again. Seeds and bounds take effect at once; other changes do at the next start. */
-static void settings_again(NodeRun *run)
+/* Reads the settings again. Seeds and bounds take effect at once, other changes at the next start. */
+static void reload_settings(NodeRun *run)
 {
     Failure failure = {0};
     void *mem = talloc_new(run->mem);
@@ -36,7 +37,7 @@
     }
     const int64_t features_off = run->place.settings.bounds.features_off;
     run->place.settings.bounds = place.settings.bounds;
-    run->place.settings.bounds.features_off = features_off; /* of the command line */
+    run->place.settings.bounds.features_off = features_off; /* set on the command line */
     const char *seeds[SEEDS];
     for (int i = 0; i < SEEDS; i++)
         run->place.settings.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.settings.seeds[i]);
@@ -49,36 +50,39 @@
     talloc_free(mem);
 }
 
-/* Whether the file has changed since this was last called. */
-static bool settings_changed(NodeRun *run)
+/* Whether the settings file has changed since the last call. */
+static bool settings_file_changed(NodeRun *run)
 {
-    struct stat now;
-    if (stat(run->path, &now) != 0)
+    struct stat current;
+    if (stat(run->path, &current) != 0)
         return false;
-    const bool same = now.st_mtim.tv_sec == run->seen.st_mtim.tv_sec &&
-                      now.st_mtim.tv_nsec == run->seen.st_mtim.tv_nsec && now.st_size == run->seen.st_size &&
-                      now.st_ino == run->seen.st_ino;
-    run->seen = now;
-    return !same;
+    const bool unchanged = current.st_mtim.tv_sec == run->last_status.st_mtim.tv_sec &&
+                           current.st_mtim.tv_nsec == run->last_status.st_mtim.tv_nsec &&
+                           current.st_size == run->last_status.st_size && current.st_ino == run->last_status.st_ino;
+    run->last_status = current;
+    return !unchanged;
 }
 
+/* Reads the settings again whenever the file has changed. */
 static void settings_watch_main(void *arg)
 {
     NodeRun *run = arg;
     while (!loop_stopping(run->node.loop)) {
         loop_sleep(run->node.loop, SETTINGS_CHECK_MS);
-        if (settings_changed(run))
-            settings_again(run);
+        if (settings_file_changed(run))
+            reload_settings(run);
     }
 }
 
-static void hup_main(void *arg)
+/* Runs on SIGHUP. */
+static void reload_main(void *arg)
 {
     NodeRun *run = arg;
-    settings_changed(run);
-    settings_again(run);
+    settings_file_changed(run);
+    reload_settings(run);
 }
 
+/* Starts the role and the adapter. On failure, sets the exit code and stops the loop. */
 static void start_main(void *arg)
 {
     NodeRun *run = arg;
@@ -90,7 +94,7 @@
         status = run->adapter->start(run->mem, node, &failure);
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart node: %s: %s\n", status_word(status), failure.text);
-        run->code = status == STATUS_BAD_SETTINGS ? EXIT_WRONG : EXIT_FAILED;
+        run->code = status == STATUS_BAD_SETTINGS ? EXIT_USAGE : EXIT_FAILED;
         loop_stop(node->loop);
         return;
     }
@@ -100,75 +104,78 @@
     loop_spawn(node->loop, "settings", settings_watch_main, run);
 }
 
-static void user_main(void *arg)
+/* Runs on SIGUSR1. */
+static void dump_main(void *arg)
 {
     const NodeRun *run = arg;
     role_dump(&run->node);
 }
 
-static void term_main(void *arg)
+/* Runs on SIGTERM or SIGINT. */
+static void shutdown_main(void *arg)
 {
     const NodeRun *run = arg;
     role_end(&run->node);
 }
 
-static int adapter_wrong(const char *name)
+/* Reports that --face is missing or unknown, and lists the adapters. */
+static int adapter_error(const char *name)
 {
     char names[200] = "";
     for (const Adapter *const *adapter = ADAPTERS; *adapter != NULL; adapter++)
         snprintf(names + strlen(names), sizeof(names) - strlen(names), " %s", (*adapter)->name);
-    return wrong("node", "--face: %s%s; there is%s", name != NULL ? name : "is missing",
-                 name != NULL ? ": there is no such face" : "", names);
+    return usage_error("node", "--face: %s%s; available:%s", name != NULL ? name : "is missing",
+                       name != NULL ? ": unknown protocol adapter" : "", names);
 }
 
 int run_node(int argc, const char **argv)
 {
     char *name = NULL, *path = NULL, *log = NULL, *without = NULL;
-    int only = 0;
+    int check_only = 0;
     RecorderLevel level = RECORDER_NOTE;
     struct poptOption options[] = {
-        {"face", 'f', POPT_ARG_STRING, &name, 0, "the platform that this is run on", "NAME"},
-        {"props", 'p', POPT_ARG_STRING, &path, 0, "settings file; else as the platform names it", "FILE"},
-        {"log", 0, POPT_ARG_STRING, &log, 0, "least level of lines written: note, alert or fatal", "LEVEL"},
-        {"without", 0, POPT_ARG_STRING, &without, 0, "features that are off, with commas between them", "LIST"},
-        {"check", 0, POPT_ARG_NONE, &only, 0, "check the settings and end", NULL},
+        {"face", 'f', POPT_ARG_STRING, &name, 0, "protocol adapter of the platform", "NAME"},
+        {"props", 'p', POPT_ARG_STRING, &path, 0, "settings file; by default the one that the platform names", "FILE"},
+        {"log", 0, POPT_ARG_STRING, &log, 0, "lowest level of log lines: note, alert or fatal", "LEVEL"},
+        {"without", 0, POPT_ARG_STRING, &without, 0, "features to turn off, separated by commas", "LIST"},
+        {"check", 0, POPT_ARG_NONE, &check_only, 0, "check the settings and exit", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext context = poptGetContext("node", argc, argv, options, 0);
-    const int got = poptGetNextOpt(context);
-    const char *left = poptPeekArg(context);
+    const int option = poptGetNextOpt(context);
+    const char *extra_argument = poptPeekArg(context);
     Failure failure = {0};
     void *mem = talloc_new(NULL);
     NodeRun *run = talloc_zero(mem, NodeRun);
     run->mem = mem;
-    int code = EXIT_GOOD;
-    if (got < -1)
-        code = wrong("node", "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
-    else if (left != NULL)
-        code = wrong("node", "%s: what is this?", left);
+    int code = EXIT_OK;
+    if (option < -1)
+        code = usage_error("node", "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(option));
+    else if (extra_argument != NULL)
+        code = usage_error("node", "%s: unexpected argument", extra_argument);
     else if (log != NULL && !recorder_level_of_word(log, &level))
-        code = wrong("node", "--log: %s is no level: note, alert or fatal", log);
+        code = usage_error("node", "--log: %s is not a level: must be note, alert or fatal", log);
     else if (name == NULL || (run->adapter = adapter_find(name)) == NULL)
-        code = adapter_wrong(name);
+        code = adapter_error(name);
     else if ((run->path = path != NULL ? path : run->adapter->path(&failure)) == NULL)
-        code = wrong("node", "%s", failure.text);
-    if (code == EXIT_GOOD)
-        settings_changed(run);
-    if (code == EXIT_GOOD && run->adapter->read(mem, run->path, &run->place, &failure) != STATUS_OK)
-        code = wrong("node", "%s", failure.text);
-    if (code == EXIT_GOOD && without != NULL &&
+        code = usage_error("node", "%s", failure.text);
+    if (code == EXIT_OK)
+        settings_file_changed(run);
+    if (code == EXIT_OK && run->adapter->read(mem, run->path, &run->place, &failure) != STATUS_OK)
+        code = usage_error("node", "%s", failure.text);
+    if (code == EXIT_OK && without != NULL &&
         settings_set(mem, &run->place.settings, "without", without, &failure) != STATUS_OK)
-        code = wrong("node", "%s", failure.text);
-    if (code == EXIT_GOOD && only) {
+        code = usage_error("node", "%s", failure.text);
+    if (code == EXIT_OK && check_only) {
         printf("good: %s %s in zone %s\n", ROLES[run->place.role], run->place.settings.name, run->place.settings.zone);
-    } else if (code == EXIT_GOOD) {
+    } else if (code == EXIT_OK) {
         run->node = (AdapterNode){
             .loop = real_loop_new(mem), .recorder = recorder_new(mem, run->place.settings.name), .place = &run->place};
         recorder_set_level(run->node.recorder, level);
         loop_spawn(run->node.loop, "start", start_main, run);
-        real_loop_on_user(run->node.loop, user_main, run);
-        real_loop_on_hup(run->node.loop, hup_main, run);
-        real_loop_run(run->node.loop, term_main, run);
-        /* the process ends here: the kernel frees its memory */
+        real_loop_on_user(run->node.loop, dump_main, run);
+        real_loop_on_hup(run->node.loop, reload_main, run);
+        real_loop_run(run->node.loop, shutdown_main, run);
+        /* the process ends here, so the kernel frees its memory */
         return run->code;
     }
     poptFreeContext(context);
--- a/src/options.h
+++ b/src/options.h
@@ -1,19 +1,20 @@
 #ifndef SRC_OPTIONS_H
 #define SRC_OPTIONS_H
 
-/* The commands of the command line, each in the file of its name unless said otherwise, and their exit codes. */
+/* The commands of the command line and their exit codes. Each command is in the source file of its name, unless noted
+ * otherwise. */
 
-/* Exit codes of all subcommands. */
-#define EXIT_GOOD 0
-#define EXIT_FAILED 1      /* it was understood but did not succeed */
-#define EXIT_WRONG 2       /* wrong flags, settings or values: nothing was begun */
-#define EXIT_UNREACHABLE 3 /* the node asked did not answer in time */
+/* Exit codes of all commands. */
+#define EXIT_OK 0
+#define EXIT_FAILED 1      /* the request was understood but did not succeed */
+#define EXIT_USAGE 2       /* invalid flags, settings or values: nothing was started */
+#define EXIT_UNREACHABLE 3 /* the node did not answer in time */
 
-/* One subcommand. run gets what follows its name and returns an exit code. */
+/* A command. */
 typedef struct Command {
     const char *name;
-    const char *words;
-    int (*run)(int argc, const char **argv);
+    const char *summary;                     /* one line of help */
+    int (*run)(int argc, const char **argv); /* gets the arguments from the command's name on; returns an exit code */
 } Command;
 
 /* daemon.c */
@@ -36,7 +37,7 @@
 int run_policy(int argc, const char **argv);
 int run_trace(int argc, const char **argv);
 
-/* Prints what is wrong in one line on standard error; returns EXIT_WRONG. */
-int wrong(const char *command, const char *format, ...) __attribute__((format(printf, 2, 3)));
+/* Prints "spancart COMMAND: " and the message as one line on standard error; returns EXIT_USAGE. */
+int usage_error(const char *command, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
 #endif
--- a/src/role.c
+++ b/src/role.c
@@ -1,4 +1,4 @@
-/* Starts, ends and dumps a process of one role. */
+/* Starts and ends a process of one role, and dumps its flight recorder. */
 #include "role.h"
 
 #include <stdio.h>
--- a/src/status.c
+++ b/src/status.c
@@ -1,10 +1,10 @@
-/* status: what the leader knows of the cell, as a table or as JSON. */
+/* status: prints the state of the cluster, as the leader knows it, as a table or as JSON. */
 #include <stdio.h>
 
 #include "operate.h"
 #include "options.h"
 
-/* Voters and learners, how far behind each is, and how many more losses the cell tolerates. */
+/* Prints the voters and learners, how far behind each is, and how many controllers the cluster can lose now. */
 static void print_voters(json_object *body)
 {
     json_object *voters = reply_member(body, "seats"), *learners = reply_member(body, "learners"),
@@ -25,9 +25,10 @@
     }
 }
 
-#define KINDS_PRINTED 3 /* count; those that fill a link stand first */
+/* Kinds of messages that are printed. The list starts with those that take most of the link. */
+#define KINDS_PRINTED 3
 
-/* What waits in the leader's connections, and which messages take most of its link. */
+/* Prints how many bytes wait in the leader's connections, and the kinds of messages that take most of its link. */
 static void print_link(json_object *body)
 {
     json_object *link = reply_member(body, "link"), *traffic = reply_member(body, "traffic");
@@ -42,6 +43,7 @@
     }
 }
 
+/* Prints the whole state. */
 static void print_status(json_object *body)
 {
     json_object *plan = reply_member(body, "plan"), *live = reply_member(body, "liveset");
@@ -72,9 +74,9 @@
     }
     json_object *alerts = reply_member(body, "alerts");
     for (size_t i = 0; i < reply_count(alerts); i++) {
-        json_object *one = json_object_array_get_idx(alerts, i);
-        printf("ALERT  %s %s, for %s ms: %s\n", reply_text(one, "alert"), reply_text(one, "subject"),
-               reply_text(one, "forMs"), reply_text(one, "todo"));
+        json_object *alert = json_object_array_get_idx(alerts, i);
+        printf("ALERT  %s %s, for %s ms: %s\n", reply_text(alert, "alert"), reply_text(alert, "subject"),
+               reply_text(alert, "forMs"), reply_text(alert, "todo"));
     }
     json_object *zones = reply_member(body, "drainedZones");
     for (size_t i = 0; i < reply_count(zones); i++)
@@ -84,9 +86,9 @@
 int run_status(int argc, const char **argv)
 {
     static const Verb VERBS[] = {{"", 0}, {NULL, 0}};
-    Order order;
-    int code = order_take(&order, "status", "no words, only flags", VERBS, argc, argv);
-    if (code == EXIT_GOOD)
-        code = order_ask(&order, "GET", "/v1/status", (Bytes){0});
-    return order_notify(&order, code, print_status);
+    ClientCommand command;
+    int code = client_command_parse(&command, "status", "no words, only flags", VERBS, argc, argv);
+    if (code == EXIT_OK)
+        code = client_command_send(&command, "GET", "/v1/status", (Bytes){0});
+    return client_command_print(&command, code, print_status);
 }
--- a/src/wrong.c
+++ b/src/wrong.c
@@ -1,10 +1,10 @@
-/* What all commands do when they were typed wrong. */
+/* Reports errors in the command line. */
 #include <stdarg.h>
 #include <stdio.h>
 
 #include "options.h"
 
-int wrong(const char *command, const char *format, ...)
+int usage_error(const char *command, const char *format, ...)
 {
     va_list args;
     va_start(args, format);
@@ -12,5 +12,5 @@
     vfprintf(stderr, format, args);
     fputc('\n', stderr);
     va_end(args);
-    return EXIT_WRONG;
+    return EXIT_USAGE;
 }
