--- a/src/main.c
+++ b/src/main.c
@@ -26,8 +26,8 @@
     fprintf(to, "usage: spancart COMMAND [flags]\n\n");
     for (size_t i = 0; i < sizeof(COMMANDS) / sizeof(COMMANDS[0]); i++)
         fprintf(to, "  %-8s %s\n", COMMANDS[i].name, COMMANDS[i].summary);
-    fprintf(to, "\nspancart COMMAND --help lists its flags. Exit codes: 0 success, 1 failure,\n"
-                "2 invalid flags or settings, 3 the node did not answer.\n");
+    fprintf(to, "\nspancart COMMAND --help lists its flags. Exit code: 0 ok, 1 failed,\n"
+                "2 wrong flags or settings, 3 the node did not answer.\n");
 }
 
 int main(int argc, const char **argv)
