--- a/packages/state/include/state/change.h
+++ b/packages/state/include/state/change.h
@@ -1,32 +1,31 @@
 #ifndef STATE_CHANGE_H
 #define STATE_CHANGE_H
 
-/* The changes of the replicated state: the log's entries that packages/state delivers,
- * with the shape of each payload. The leader proposes them (packages/controller); a repair
- * proposes again those that the disks may have lost. So changes are idempotent: each names
- * what it changes by a job's id, an attempt's number, a version, or an order's name or
- * stamp.
+/* The changes of the replicated state: the log entries that packages/state delivers, with the shape of each payload.
+ * The leader proposes them (packages/controller). A repair proposes those again that the disks may have lost, so every
+ * change is idempotent: it identifies its target by a job id, an attempt number, a configuration version, or the name
+ * or stamp of an order.
  *
- * Numbers and fields are part of the journal's format: numbers are never reused, fields
- * are only added at the end. */
+ * Change numbers and fields are part of the journal format: numbers are never reused, and fields are only appended. */
 
 #include "state/worker.h"
 
-/* Name, number in the journal, shape of the payload. Numbers below 16 are the log's own (REPLICATION_CHANGE_FIRST). */
-#define CHANGE_LIST(X)                                                                           \
-    X(JOB_ADD, 16, JobAdd)                                                                       \
-    X(JOB_CANCEL, 17, JobCancel)                                                                 \
-    X(PLACE, 18, PlaceList)                                                                      \
-    X(ATTEMPTS, 19, AttemptList) /* agents' updates */                                           \
-    X(STOP, 20, StopList)        /* attempts to stop and to plan again */                        \
-    X(WORKER_SET, 21, Worker)                                                                    \
-    X(WORKER_LOST, 22, WorkerLost)                                                               \
-    X(WORKER_LEFT, 23, WorkerLeft)                                                               \
-    X(CONFIG_SET, 24, ConfigSet)                                                                 \
-    X(ZONE_DRAIN, 25, ZoneDrain)                                                                 \
-    X(FORGET, 26, Forget)   /* drops jobs that ended before a time */                            \
-    X(ASSURE, 27, StopList) /* attempts whose restart the plan for worker losses now includes */ \
-    X(JOB_END, 28, JobEnd)  /* from a repair: a caller was shown that the job ended */
+/* Name, number in the journal, and shape of the payload. Numbers below 16 are reserved for the log itself
+ * (REPLICATION_CHANGE_FIRST). */
+#define CHANGE_LIST(X)                                                                         \
+    X(JOB_ADD, 16, JobAdd)                                                                     \
+    X(JOB_CANCEL, 17, JobCancel)                                                               \
+    X(PLACE, 18, PlaceList)                                                                    \
+    X(ATTEMPTS, 19, AttemptList) /* status updates from agents */                              \
+    X(STOP, 20, StopList)        /* attempts to stop; their tasks are placed again */          \
+    X(WORKER_SET, 21, Worker)                                                                  \
+    X(WORKER_LOST, 22, WorkerLost)                                                             \
+    X(WORKER_LEFT, 23, WorkerLeft)                                                             \
+    X(CONFIG_SET, 24, ConfigSet)                                                               \
+    X(ZONE_DRAIN, 25, ZoneDrain)                                                               \
+    X(FORGET, 26, Forget)   /* drops jobs that ended before a given time */                    \
+    X(ASSURE, 27, StopList) /* attempts whose restart the plan for worker losses now covers */ \
+    X(JOB_END, 28, JobEnd)  /* proposed by a repair: a caller has already been told that the job ended */
 
 typedef enum ChangeKind {
 #define X(name, number, shape) CHANGE_##name = number,
@@ -34,25 +33,27 @@
 #undef X
 } ChangeKind;
 
-/* Accepts a job. For a known id: OK with the job's number when the body is the same, else OTHER_BODY. The job's number
- * is the result's number. */
+/* Accepts a job; the result's number is the job's number. A job with a known id is not added again: the status is OK
+ * when the body is the same, otherwise OTHER_BODY. */
 #define JOB_ADD_FIELDS(X) \
     X(ONE, spec, JobSpec) \
     X(ONE, terms, JobTerms)
 SHAPE(JobAdd, JOB_ADD_FIELDS)
 
-/* Cancels a job. UNKNOWN_JOB; ALREADY_ENDED: it ended, but not by being cancelled. */
+/* Cancels a job. Status UNKNOWN_JOB when there is no such job, ALREADY_ENDED when the job ended other than by a
+ * cancellation. */
 #define JOB_CANCEL_FIELDS(X) X(TXT, id, 0)
 SHAPE(JobCancel, JOB_CANCEL_FIELDS)
 
-/* The job had ended in this phase before the disks lost that; ignored for an unknown job or one that has ended. */
+/* Ends a job in the phase in which it had ended before the disks lost that end. Ignored when the job is unknown or has
+ * ended. */
 #define JOB_END_FIELDS(X) \
     X(TXT, id, 0)         \
     X(U64, phase, 0) /* a JobPhase */
 SHAPE(JobEnd, JOB_END_FIELDS)
 
-/* A task's next attempt goes to a worker. Ignored when the task no longer waits or has had that attempt. The members of
- * a gang follow one another in the list and have one attempt number. */
+/* Places the next attempt of a task on a worker. Ignored when the task is no longer waiting or already had an attempt
+ * with this number or a higher one. The members of a gang are consecutive in the list and share one attempt number. */
 #define PLACEMENT_FIELDS(X) \
     X(TXT, job, 0)          \
     X(U64, task, 0)         \
@@ -60,70 +61,73 @@
     X(TXT, worker, 0)       \
     X(U64, incarnation, 0)  \
     X(FLAG, assured, 0)     \
-    X(TXT, saved, 0) /* progress to resume from */
+    X(TXT, saved, 0) /* checkpoint to resume from; empty: none */
 SHAPE(Placement, PLACEMENT_FIELDS)
 
-/* The result's number: how many placements were applied. */
+/* The payload of PLACE. The result's number is the number of placements applied. */
 #define PLACE_LIST_FIELDS(X) X(LST, placements, Placement)
 SHAPE(PlaceList, PLACE_LIST_FIELDS)
 
-/* Agents' updates on attempts. The result's number: the length of the list. */
+/* The payload of ATTEMPTS: updates from agents. The result's number is the length of the list. */
 #define ATTEMPT_LIST_FIELDS(X) X(LST, updates, AttemptUpdate)
 SHAPE(AttemptList, ATTEMPT_LIST_FIELDS)
 
-/* One attempt of one task. */
+/* Identifies one attempt of one task. */
 #define ATTEMPT_ID_FIELDS(X) \
     X(TXT, job, 0)           \
     X(U64, task, 0)          \
     X(U64, attempt, 0)
 SHAPE(AttemptId, ATTEMPT_ID_FIELDS)
 
-/* The payload of STOP and of ASSURE. The result's number: how many attempts it applied to. */
+/* The payload of STOP and of ASSURE. The result's number is the number of attempts that it applied to. */
 #define STOP_LIST_FIELDS(X)     \
     X(LST, attempts, AttemptId) \
-    X(TXT, why, 0) /* the message that the tasks show from then on */
+    X(TXT, why, 0) /* message shown for the tasks from then on */
 SHAPE(StopList, STOP_LIST_FIELDS)
 
-/* The worker's lease has run out: every attempt there that was ordered from that
- * incarnation of its agent, or an older one, is over. */
+/* The worker's lease has expired: every attempt on it that was assigned to this incarnation of its agent, or to an
+ * older one, is over. */
 #define WORKER_LOST_FIELDS(X) \
     X(TXT, worker, 0)         \
     X(U64, incarnation, 0)
 SHAPE(WorkerLost, WORKER_LOST_FIELDS)
 
-/* The worker left cleanly, or is back. UNKNOWN_WORKER. */
+/* The worker left cleanly, or returned. Status UNKNOWN_WORKER when there is no such worker. */
 #define WORKER_LEFT_FIELDS(X) \
     X(TXT, worker, 0)         \
     X(FLAG, left, 0)
 SHAPE(WorkerLeft, WORKER_LEFT_FIELDS)
 
-/* Limits on callers' HTTP requests, from the operators' configuration; 0: the default. */
-#define CONFIG_LIMITS_FIELDS(X)                                               \
-    X(U64, head_bytes, 0)                                                     \
-    X(U64, body_bytes, 0)                                                     \
-    X(I64, head_ms, 0) /* ms; deadline for a request's head to be complete */ \
-    X(I64, idle_ms, 0) /* ms; a connection without a request is closed after this */
+/* Limits on HTTP requests of callers, from the operators' configuration; 0: the default. */
+#define CONFIG_LIMITS_FIELDS(X)                                            \
+    X(U64, head_bytes, 0)                                                  \
+    X(U64, body_bytes, 0)                                                  \
+    X(I64, head_ms, 0) /* deadline for the complete request head, in ms */ \
+    X(I64, idle_ms, 0) /* an idle connection is closed after this time, in ms */
 SHAPE(ConfigLimits, CONFIG_LIMITS_FIELDS)
 
-/* A new version of the operators' configuration. base: the version it builds on. restored: proposed again in a repair,
- * where only a version above the present one counts. An operator's call that names its version has a digest, by which
- * a retry of the call is recognised. See deliver_config.h. */
-#define CONFIG_SET_FIELDS(X)                                                           \
-    X(U64, base, 0)                                                                    \
-    X(U64, version, 0) /* 0: the one after base */                                     \
-    X(TXT, text, 0)                                                                    \
-    X(FLAG, restored, 0)                                                               \
-    X(FLAG, patch, 0) /* the text is a merge patch on base, else the whole document */ \
-    X(TXT, digest, 0)                                                                  \
+/* Sets a new version of the operators' configuration; see deliver_config.h.
+ *
+ * base: the version that this one is based on.
+ * restored: proposed again by a repair; applied only when the version is above the current one.
+ * digest: identifies the operator's call when the call names its version, so that a retry is recognised. */
+#define CONFIG_SET_FIELDS(X)                                                            \
+    X(U64, base, 0)                                                                     \
+    X(U64, version, 0) /* 0: base + 1 */                                                \
+    X(TXT, text, 0)                                                                     \
+    X(FLAG, restored, 0)                                                                \
+    X(FLAG, patch, 0) /* text is a merge patch on base; otherwise the whole document */ \
+    X(TXT, digest, 0)                                                                   \
     X(ONE, limits, ConfigLimits) /* of the resulting document */
 SHAPE(ConfigSet, CONFIG_SET_FIELDS)
 
-/* An order to drain a zone, or to take it back into use. move: what runs there is
- * restarted elsewhere while the plan for worker losses holds. stamp grows with each order
- * for a zone: an older one delivered again is ignored. order names the order wherever it
- * is sent again; "": it has no name. When based is set, the order counts only while no
- * stamp above base has been delivered, else it is refused: STALE_ORDER, or EXPIRED when it may have been delivered
- * before and is no longer remembered. */
+/* Drains a zone, or returns it to service.
+ *
+ * move: running tasks are restarted in other zones, as long as the plan for worker losses stays feasible.
+ * stamp: grows with each order for a zone; an order with an older stamp is ignored.
+ * order: the name that identifies a retried order; empty: none.
+ * based, base: when based is set, the order is applied only if no stamp above base has been delivered. Otherwise it is
+ * refused, with EXPIRED when it may be one that was delivered but is no longer remembered, else with STALE_ORDER. */
 #define ZONE_DRAIN_FIELDS(X) \
     X(TXT, zone, 0)          \
     X(FLAG, drained, 0)      \
@@ -134,7 +138,7 @@
     X(I64, base, 0)
 SHAPE(ZoneDrain, ZONE_DRAIN_FIELDS)
 
-/* Drops jobs that ended, and orphaned attempts that were reported, before this log time. */
+/* Drops jobs that ended, and orphaned attempts that were reported, before this log time (ms). */
 #define FORGET_FIELDS(X) X(I64, before_ms, 0)
 SHAPE(Forget, FORGET_FIELDS)
 
--- a/packages/state/include/state/table.h
+++ b/packages/state/include/state/table.h
@@ -4,100 +4,98 @@
 #include "replication/replication.h"
 #include "state/versions.h"
 
-/* The replicated state machine: jobs, tasks, workers, zones and versions of the
- * configuration, as the log's entries (state/change.h) build them up. Every voter holds
- * one and delivers the same entries in the same order; delivery depends on the entry and
- * the state alone, so all come to the same state.
+/* The replicated state machine: jobs, tasks, workers, zones and configuration versions, built from the log entries
+ * (state/change.h). Every voter holds one and delivers the same entries in the same order. Delivery depends on nothing
+ * but the entry and the state, so all voters reach the same state.
  *
- * Only delivery changes it, and delivery never waits, so whoever reads it without waiting
- * sees one moment of it. No function here waits.
+ * Only delivery modifies the state, and delivery never waits, so a reader that does not wait sees a consistent state.
+ * No function here waits.
  *
- * The operators' configuration is an immutable snapshot that is swapped as a whole (config/config.h). The jobs are
- * changed in place: tens of thousands of tasks would be copied for each of some forty changes a second. */
+ * The operators' configuration is an immutable snapshot that is replaced as a whole (config/config.h). Jobs are
+ * modified in place: copy-on-write would copy tens of thousands of tasks for each of some forty changes a second. */
 typedef struct Table Table;
 
-/* Called after each change has been delivered, within the delivery; must not wait. body
- * is the payload unpacked, of the shape that CHANGE_LIST names, and valid during the call;
- * null: it can't be read, or is of a later release. */
+/* Called within the delivery, after the change has been applied; must not wait. body is the unpacked payload, with the
+ * shape that CHANGE_LIST gives, and is valid during the call; null when the payload can't be decoded. Changes of
+ * unknown kinds, which a later release may have written, are not reported. */
 typedef void (*TableFn)(void *arg, const Record *change, const void *body, const ChangeResult *result);
 
-/* An empty state on mem, which owns it. */
+/* Creates an empty state, owned by mem. */
 Table *table_new(void *mem);
-/* Sets the one watcher; a later one replaces it. */
+/* Sets the observer of changes and replaces the previous one. */
 void table_watch(Table *table, TableFn fn, void *arg);
-/* Deliver, save and load, for replication_new. load replaces the whole state: every pointer that
- * was got from it before is invalid then. */
+/* Returns the deliver, save and load callbacks for replication_new. load replaces the whole state and thereby
+ * invalidates every pointer obtained from it. */
 ReplicationState table_state(Table *table);
 
 /* --- jobs. Pointers are valid until the next wait. */
 
-/* Null: not known. */
+/* Returns the job with this id; null when it is unknown. */
 const Job *table_job(const Table *table, const char *id);
-/* All jobs in the order of acceptance; the count is returned. */
+/* Gets all jobs in the order of acceptance and returns their number. */
 size_t table_jobs(const Table *table, Job *const **jobs);
-/* Those that have not ended, likewise. */
+/* Gets the jobs that have not ended, in the same order, and returns their number. */
 size_t table_active(const Table *table, Job *const **jobs);
-/* The number of the job accepted last; 0: none has been. */
+/* Returns the number of the job accepted last; 0: none yet. */
 uint64_t table_last_number(const Table *table);
-/* Log time, in ms, of the oldest thing that a FORGET would drop: the end of a job, or the report of an orphaned attempt
- * (one that finished a task of an unknown job); INT64_MAX: nothing. */
+/* Returns the log time, in ms, of the oldest item that a FORGET can drop: the end of a job, or the report of an
+ * orphaned attempt (one that completed a task of an unknown job). INT64_MAX: there is none. */
 int64_t table_oldest_ms(const Table *table);
-/* Waiting tasks (not on a worker, not ended) of a cell. */
+/* Returns the number of waiting tasks (not on a worker, not ended) of a cell. */
 size_t table_waiting(const Table *table, const char *cell);
-/* Jobs of a queue that have not ended. */
+/* Returns the number of jobs of a queue that have not ended. */
 size_t table_waiting_in(const Table *table, const char *cell, const char *queue);
 
 /* --- workers */
 
-/* All known workers in the order of their names; the array is on mem, the rows are the
- * table's. The count is returned. */
+/* Gets all known workers, sorted by name, and returns their number. The array is owned by mem, the rows by the
+ * table. */
 size_t table_workers(const Table *table, void *mem, const Worker ***workers);
-/* Null: not known. */
+/* Returns the worker with this name; null when it is unknown. */
 const Worker *table_worker(const Table *table, const char *name);
-/* A counter that grows with each change of the worker's orders (the attempts that should
- * be running there); 0: it never had any. */
+/* Returns a counter that grows with each change of the worker's orders (the attempts that should be running on it); 0:
+ * it never had any. */
 uint64_t table_orders(const Table *table, const char *worker);
-/* Called with the worker whenever that counter grows, within the delivery; must not wait. */
+/* Called with the worker's name whenever its counter grows, within the delivery; must not wait. */
 typedef void (*TableOrdersFn)(void *arg, const char *worker);
 void table_orders_watch(Table *table, TableOrdersFn fn, void *arg);
 
-/* Called with a task whose attempt is about to be over by decision of the leader, without a report of the worker's
- * agent: it may still run on the worker. Within the delivery; must not wait. */
+/* Called with a task just before the leader takes its attempt off the worker without a report of the worker's agent, so
+ * that the attempt may still be running there. Called within the delivery; must not wait. */
 typedef void (*TableLeftFn)(void *arg, const Job *job, const JobTask *task);
 void table_left_watch(Table *table, TableLeftFn fn, void *arg);
 
-/* A task on a worker: placed, running or stopping there. */
+/* A reference to a task on a worker: placed, running or stopping there. */
 typedef struct TaskOn {
     Job *job;
-    size_t task; /* its index */
+    size_t task; /* index in job->tasks */
 } TaskOn;
 
-/* All of one worker, in no order; the count is returned. Valid until the next delivery. */
+/* Gets the tasks on one worker, in no particular order, and returns their number. Valid until the next delivery. */
 size_t table_tasks_on(const Table *table, const char *worker, const TaskOn **on);
-/* The workers that have a task on them, at 0, 1, ..., in no order; null past the last. */
+/* Returns the name of the at-th worker with a task on it, counted from 0 in no particular order; null past the last. */
 const char *table_busy(const Table *table, size_t at);
 
-/* Capacity in use by the tasks on a worker, and by all of a cell or of one of its
- * tenants, wherever they are. */
+/* Capacity in use by the tasks on one worker, and by the tasks on any worker of a cell or of one of its tenants. */
 Resources table_used_on(const Table *table, const char *worker);
 Resources table_used_by(const Table *table, const char *cell);
 Resources table_used_by_tenant(const Table *table, const char *cell, const char *tenant);
 
 /* --- the operators' configuration */
 
-/* Its versions. The pointer is valid until the state is replaced (table_loads). */
+/* Returns the versions of the configuration. The pointer is valid until the state is replaced (table_loads). */
 const Versions *table_versions(const Table *table);
-/* Grows whenever the whole state is replaced: after that a version number may belong to another document. */
+/* Returns a counter that grows whenever the whole state is replaced: after that a version number may denote another
+ * document. */
 uint64_t table_loads(const Table *table);
 
 /* --- zones */
 
-/* The state of a zone, as the newest order for it (ZONE_DRAIN) says. An order can change it from any state to any
- * other:
+/* The state of a zone, set by the newest order for it (ZONE_DRAIN). An order can change any state to any other:
  *
  *     ZONE_OPEN      no order yet, or one with drained=0
- *     ZONE_DRAINING  drained=1, move=0: no new work; what runs there ends there
- *     ZONE_MOVING    drained=1, move=1: no new work; what runs there is restarted elsewhere */
+ *     ZONE_DRAINING  drained=1, move=0: no new work; running tasks finish in the zone
+ *     ZONE_MOVING    drained=1, move=1: no new work; running tasks are restarted elsewhere */
 typedef enum ZoneState {
     ZONE_OPEN,
     ZONE_DRAINING,
@@ -105,23 +103,23 @@
 } ZoneState;
 
 ZoneState table_zone(const Table *table, const char *zone);
-/* Whether the zone gets no new work. */
+/* Returns whether the zone gets no new work. */
 bool table_drained(const Table *table, const char *zone);
-/* Whether what runs there is to be moved, too. */
+/* Returns whether the tasks running in the zone are to be moved as well. */
 bool table_drain_moves(const Table *table, const char *zone);
-/* The stamp of the newest order for the zone; 0: none. */
+/* Returns the stamp of the newest order for the zone; 0: none. */
 int64_t table_drain_stamp(const Table *table, const char *zone);
-/* Null: there was none. Valid until the next delivery. */
+/* Returns the newest order for the zone; null when there is none. Valid until the next delivery. */
 const ZoneDrain *table_drain_newest(const Table *table, const char *zone);
-/* The zones that are drained, in the order of their names, on mem; the count is returned. */
+/* Gets the drained zones, sorted by name in an array owned by mem, and returns their number. */
 size_t table_drains(const Table *table, void *mem, const char ***zones);
 
-/* Whether an order for a zone has been delivered, or still can be. */
+/* Whether an order for a zone has been delivered or still can be. */
 typedef enum DrainKnown {
-    DRAIN_NEW,       /* it may be delivered */
-    DRAIN_TAKEN,     /* it has been delivered: this is a retry */
-    DRAIN_OVERTAKEN, /* it has not been, and later orders than its base have: it never will be */
-    DRAIN_FORGOTTEN, /* later orders than its base have been, and it may be one that is no longer remembered */
+    DRAIN_NEW,       /* the order can be delivered */
+    DRAIN_TAKEN,     /* the order has been delivered: this is a retry */
+    DRAIN_OVERTAKEN, /* never delivered, and refused from now on: an order newer than its base has been delivered */
+    DRAIN_FORGOTTEN, /* an order newer than its base has been delivered, and this may be one no longer remembered */
 } DrainKnown;
 DrainKnown table_drain_known(const Table *table, const ZoneDrain *drain);
 
--- a/packages/state/include/state/worker.h
+++ b/packages/state/include/state/worker.h
@@ -1,14 +1,14 @@
 #ifndef STATE_WORKER_H
 #define STATE_WORKER_H
 
-/* Workers as the replicated state holds them, and what agents report of attempts.
- * Whether a worker's lease runs is not here but in the leader's memory (packages/heartbeat). */
+/* Workers in the replicated state, and the status updates of agents on attempts. Whether the lease of a worker is valid
+ * is not part of it: the leader tracks that in memory (packages/heartbeat). */
 
 #include "state/job.h"
 
-/* What is known of a worker durably: its properties, not whether it is alive.
+/* The durable properties of a worker; whether it is alive is not among them.
  *
- *     state     flag         becomes the other on
+ *     state     flag         changes to the other state on
  *     in use    excluded=0   WORKER_LEFT with left: it left cleanly
  *     excluded  excluded=1   WORKER_LEFT without left; WORKER_SET, when it returns
  *
@@ -23,18 +23,18 @@
     X(FLAG, excluded, 0)
 SHAPE(Worker, WORKER_FIELDS)
 
-/* The state or the end of an attempt, as its agent reports it, and its word in the API. All but RUNNING are ends. What
- * each means to the task is decided in src/attempt.c. */
-#define ATTEMPT_WORD_LIST(X)                                                            \
-    X(RUNNING, "running")                                                               \
-    X(DONE, "done")                                                                     \
-    X(FAILED, "failed")                                                                 \
-    X(STOPPED, "stopped") /* it ended because it was told to stop */                    \
-    X(REFUSED, "refused") /* never started: deadline over, no capacity, unknown kind */ \
-    X(LOST, "lost")       /* it no longer runs: the worker lost it */                   \
-    X(LAPSED, "lapsed")   /* ... since its lease had run out */                         \
-    X(BROKEN, "broken")   /* ... since another member of its gang ended */              \
-    X(ISOLATED, "alone")  /* ... since it waited too long for the others of its gang */
+/* The status of an attempt as its agent reports it, and its name in the API. All but RUNNING are final; src/attempt.c
+ * decides the effect of each on the task. */
+#define ATTEMPT_WORD_LIST(X)                                                                \
+    X(RUNNING, "running")                                                                   \
+    X(DONE, "done")                                                                         \
+    X(FAILED, "failed")                                                                     \
+    X(STOPPED, "stopped") /* ended because it was ordered to stop */                        \
+    X(REFUSED, "refused") /* never started: deadline passed, no capacity or unknown kind */ \
+    X(LOST, "lost")       /* no longer running: the worker lost it */                       \
+    X(LAPSED, "lapsed")   /* no longer running: the lease had expired */                    \
+    X(BROKEN, "broken")   /* no longer running: another member of its gang ended */         \
+    X(ISOLATED, "alone")  /* no longer running: waited too long for the other members of its gang */
 typedef enum AttemptWord {
 #define X(name, word) ATTEMPT_##name,
     ATTEMPT_WORD_LIST(X)
@@ -42,22 +42,22 @@
         ATTEMPT_WORD_COUNT
 } AttemptWord;
 
-/* "unlisted" for a number that a later release may have sent. */
+/* Returns the name in the API; "unlisted" for an unknown number, which a later release may have sent. */
 const char *attempt_word(uint64_t word);
-/* ATTEMPT_WORD_COUNT when there is no such word. */
+/* Returns the status with this name; ATTEMPT_WORD_COUNT when there is none. */
 AttemptWord attempt_of_word(const char *word);
 
-/* An agent's update on one attempt. Invariant of the senders: worker is never empty. */
-#define ATTEMPT_UPDATE_FIELDS(X)                                                               \
-    X(TXT, job, 0)                                                                             \
-    X(U64, task, 0)    /* its number, see TASK_NUMBER */                                       \
-    X(U64, attempt, 0) /* number of the attempt */                                             \
-    X(TXT, worker, 0)                                                                          \
-    X(U64, word, 0)           /* an AttemptWord */                                             \
-    X(TXT, text, 0)           /* the worker's message */                                       \
-    X(TXT, saved, 0)          /* its progress; empty: nothing is kept */                       \
-    X(I64, ran_ms, 0)         /* ms; for how long its agent knew it to run; 0: not reported */ \
-    X(RAM, percent, uint64_t) /* of its work done, as the worker reports it; 0: not reported */
+/* An agent's update on one attempt. Invariant kept by the senders: worker is not empty. */
+#define ATTEMPT_UPDATE_FIELDS(X)                                                           \
+    X(TXT, job, 0)                                                                         \
+    X(U64, task, 0)    /* task number, see TASK_NUMBER */                                  \
+    X(U64, attempt, 0) /* number of the attempt */                                         \
+    X(TXT, worker, 0)                                                                      \
+    X(U64, word, 0)           /* an AttemptWord */                                         \
+    X(TXT, text, 0)           /* message of the worker */                                  \
+    X(TXT, saved, 0)          /* checkpoint; empty: none */                                \
+    X(I64, ran_ms, 0)         /* run time observed by the agent, in ms; 0: not reported */ \
+    X(RAM, percent, uint64_t) /* progress of the work as the worker reports it, in percent; 0: not reported */
 SHAPE(AttemptUpdate, ATTEMPT_UPDATE_FIELDS)
 
 #endif
--- a/packages/state/src/attempt.c
+++ b/packages/state/src/attempt.c
@@ -1,19 +1,19 @@
-/* What an attempt's end means to its task: misses, losses, rests, another attempt or failure.
- * What is restarted after a loss follows the paper (XenServer HA design): protected work
- * always, best-effort work once, other work never. */
+/* The effect of the end of an attempt on its task: counts of failures and losses, retry delay, and another attempt or
+ * failure. Restarts after a loss follow the paper (XenServer HA design): protected work is always restarted,
+ * best-effort work once, other work never. */
 #include "attempt.h"
 
 #include <string.h>
 
 #include "base/constants.h"
 
-static uint64_t limit_of(const Job *job)
+static uint64_t attempt_limit_of(const Job *job)
 {
     return job->terms.attempt_limit > 0 ? job->terms.attempt_limit : job->spec.attempt_limit;
 }
 
-/* The rest after so many failures, in ms: doubled with each. */
-static int64_t rest_of(uint64_t misses, int64_t most_ms)
+/* Returns the retry delay after this number of failures, in ms. It doubles with each failure. */
+static int64_t retry_delay_ms(uint64_t misses, int64_t most_ms)
 {
     int64_t rest_ms = FAILED_REST_MS;
     for (uint64_t i = 1; i < misses && rest_ms < most_ms; i++)
@@ -21,29 +21,29 @@
     return rest_ms < most_ms ? rest_ms : most_ms;
 }
 
-/* A lasting task gets another attempt however the last one ended; one that never stays up for
- * long rests longer each time. */
-static void lasting_rest(JobTask *task, const AttemptEnd *end)
+/* Sets the retry delay of a lasting task, which gets another attempt however the last one ended. The delay grows as
+ * long as the attempts end early, and starts anew after an attempt that ran for LASTING_STEADY_MS. */
+static void set_lasting_retry_delay(JobTask *task, const AttemptEnd *end)
 {
     if (end->word != ATTEMPT_FAILED && end->word != ATTEMPT_DONE && end->word != ATTEMPT_REFUSED &&
         end->word != ATTEMPT_ISOLATED)
         return;
     const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changed_ms >= LASTING_STEADY_MS;
     task->misses = steady ? 1 : task->misses + 1;
-    task->rest_until_ms = end->at_ms + rest_of(task->misses, LASTING_REST_MAX_MS);
+    task->rest_until_ms = end->at_ms + retry_delay_ms(task->misses, LASTING_REST_MAX_MS);
 }
 
-/* Of a task that is not lasting. */
-static void rest_set(JobTask *task, const AttemptEnd *end)
+/* Sets the retry delay of a task that is not lasting. */
+static void set_retry_delay(JobTask *task, const AttemptEnd *end)
 {
     if (end->word == ATTEMPT_FAILED)
-        task->rest_until_ms = end->at_ms + rest_of(task->misses, FAILED_REST_MAX_MS);
+        task->rest_until_ms = end->at_ms + retry_delay_ms(task->misses, FAILED_REST_MAX_MS);
     else if (end->word == ATTEMPT_REFUSED || end->word == ATTEMPT_ISOLATED)
         task->rest_until_ms = end->at_ms + REFUSED_REST_MS;
 }
 
-/* A loss of one task counts for its whole gang, which starts again together. */
-static void loss_count(Job *job, JobTask *task)
+/* Counts the loss of one task for its whole gang, which restarts together. */
+static void count_loss(Job *job, JobTask *task)
 {
     const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++)
@@ -51,7 +51,7 @@
             gang.tasks[i].losses++;
 }
 
-void attempt_miss(Job *job, JobTask *task, uint64_t attempt)
+void count_failed_attempt(Job *job, JobTask *task, uint64_t attempt)
 {
     if (job->spec.lasting || attempt <= task->miss_attempt)
         return;
@@ -62,11 +62,11 @@
     }
 }
 
-bool attempts_spent(const Job *job, const JobTask *task)
+bool attempts_exhausted(const Job *job, const JobTask *task)
 {
-    const bool lost_too_often = (job->spec.protection == PROTECTION_NONE && task->losses > 0) ||
-                                (job->spec.protection == PROTECTION_BEST_EFFORT && task->losses > 1);
-    return !job->spec.lasting && (lost_too_often || task->misses >= limit_of(job));
+    const bool lost_too_many = (job->spec.protection == PROTECTION_NONE && task->losses > 0) ||
+                               (job->spec.protection == PROTECTION_BEST_EFFORT && task->losses > 1);
+    return !job->spec.lasting && (lost_too_many || task->misses >= attempt_limit_of(job));
 }
 
 void job_fail(Table *table, Job *job, JobTask *task, int64_t at_ms)
@@ -84,25 +84,25 @@
         return;
     }
     const bool stopping = task->phase == TASK_STOPPING;
-    saved_set(job, task, end->saved);
+    checkpoint_set(job, task, end->saved);
     if (end->word == ATTEMPT_FAILED || end->word == ATTEMPT_REFUSED)
         task->shunned = task->worker;
     if (end->word == ATTEMPT_FAILED)
-        attempt_miss(job, task, task->attempt);
-    /* what was being stopped has stopped: that is no loss */
+        count_failed_attempt(job, task, task->attempt);
+    /* The end of an attempt that was ordered to stop is not a loss. */
     if ((end->word == ATTEMPT_LOST || end->word == ATTEMPT_LAPSED) && !stopping)
-        loss_count(job, task);
+        count_loss(job, task);
     if (job->spec.lasting)
-        lasting_rest(task, end);
+        set_lasting_retry_delay(task, end);
     else
-        rest_set(task, end);
-    if (attempts_spent(job, task)) {
+        set_retry_delay(task, end);
+    if (attempts_exhausted(job, task)) {
         task_set_phase(table, job, task, TASK_FAILED, "", end->at_ms, end->source);
         job_fail(table, job, task, end->at_ms);
         return;
     }
     task_set_phase(table, job, task, TASK_WAITING, "", end->at_ms, end->source);
-    gang_break(table, job, task, end->at_ms);
+    gang_stop_others(table, job, task, end->at_ms);
 }
 
 void attempt_done(Table *table, Job *job, JobTask *task, uint64_t attempt, const char *reporter, int64_t at_ms)
--- a/packages/state/src/capacity.c
+++ b/packages/state/src/capacity.c
@@ -1,4 +1,4 @@
-/* Arithmetic on capacity vectors. */
+/* Arithmetic on resource vectors. */
 #include "state/capacity.h"
 
 SHAPE_TABLE(Resources, RESOURCES_FIELDS)
--- a/packages/state/src/change.c
+++ b/packages/state/src/change.c
@@ -1,4 +1,4 @@
-/* The shapes of the changes' payloads. */
+/* The shapes of the payloads of changes. */
 #include "state/change.h"
 
 SHAPE_TABLE(JobAdd, JOB_ADD_FIELDS)
--- a/packages/state/src/deliver.h
+++ b/packages/state/src/deliver.h
@@ -1,9 +1,9 @@
 #ifndef STATE_SRC_DELIVER_H
 #define STATE_SRC_DELIVER_H
 
-/* One function for each kind of change (CHANGE_LIST); table.c calls them. Each must depend
- * on the state and the change alone, must not wait, and must do no harm when the same
- * change is delivered again. change gives the log time; result is zero (OK) on entry. */
+/* One function for each kind of change (CHANGE_LIST), called by table.c. Each must depend on nothing but the state and
+ * the change, must not wait, and must be safe when the same change is delivered again. change provides the log time;
+ * result is zero (OK) on entry. */
 
 #include "inside.h"
 
@@ -21,8 +21,8 @@
 void deliver_worker_left(Table *table, const Record *change, const WorkerLeft *left, ChangeResult *result);
 /* Also used to load a snapshot; change and result may be null then. */
 void deliver_zone_drain(Table *table, const Record *change, const ZoneDrain *drain, ChangeResult *result);
-/* The orders that a snapshot remembers, a zone's one after another, after the newest of
- * each zone was delivered. */
+/* Loads the remembered orders of a snapshot, after the newest order of each zone was delivered. The rows of a zone must
+ * be consecutive. */
 void zone_orders_load(Table *table, const ZoneOrder *rows, size_t count);
 
 #endif
--- a/packages/state/src/deliver_attempt.c
+++ b/packages/state/src/deliver_attempt.c
@@ -1,4 +1,4 @@
-/* Delivering ATTEMPTS: agents' updates on attempts. */
+/* Delivery of ATTEMPTS, the updates of agents on attempts. */
 #include "deliver.h"
 
 #include <string.h>
@@ -7,15 +7,16 @@
 #include "base/constants.h"
 #include "orphan.h"
 
-/* An update on another attempt than the task's present one: an older one, or one whose placement the disks lost. */
-static void other_attempt(Table *table, Job *job, JobTask *task, const AttemptUpdate *update, int64_t at_ms)
+/* Delivers an update on an attempt other than the task's current one: an older one, or one whose placement the disks
+ * lost. */
+static void deliver_other_attempt(Table *table, Job *job, JobTask *task, const AttemptUpdate *update, int64_t at_ms)
 {
     if (update->attempt > task->attempt) {
         if (task->phase != TASK_WAITING || update->attempt - task->attempt > ATTEMPTS_FORGOTTEN_MAX)
             return;
-        task->attempt = update->attempt; /* the next is numbered above it */
+        task->attempt = update->attempt; /* the next attempt gets a higher number */
         if (update->word == ATTEMPT_RUNNING) {
-            /* its placement was lost with the disks; the agent that runs it reports it again */
+            /* The disks lost the placement; the agent that runs the attempt reports it again. */
             task_set_phase(table, job, task, TASK_RUNNING, update->worker, at_ms, PHASE_BY_LEADER);
             if (job->ending != JOB_ACTIVE)
                 task_set_phase(table, job, task, TASK_STOPPING, update->worker, at_ms, PHASE_BY_LEADER);
@@ -23,29 +24,29 @@
         }
     }
     if (update->word == ATTEMPT_FAILED && job->ending == JOB_ACTIVE) {
-        attempt_miss(job, task, update->attempt);
-        if (attempts_spent(job, task))
+        count_failed_attempt(job, task, update->attempt);
+        if (attempts_exhausted(job, task))
             job_fail(table, job, task, at_ms);
         job_end_if_complete(table, job, at_ms);
     }
     if (update->attempt == task->attempt && task->phase == TASK_WAITING)
-        saved_set(job, task, update->saved);
+        checkpoint_set(job, task, update->saved);
 }
 
-/* The log time when its first attempt started, as far as its agent knows. */
-static void started_set(JobTask *task, const AttemptUpdate *update, int64_t at_ms)
+/* Sets the start of the first attempt, in log time, computed from the run time that the agent reports. */
+static void set_started(JobTask *task, const AttemptUpdate *update, int64_t at_ms)
 {
     if (task->started_ms == 0 && (update->word == ATTEMPT_RUNNING || update->ran_ms > 0))
         task->started_ms = update->ran_ms < at_ms ? at_ms - update->ran_ms : at_ms;
 }
 
-static void now_runs(Table *table, Job *job, JobTask *task, const AttemptUpdate *update, int64_t at_ms)
+static void deliver_running(Table *table, Job *job, JobTask *task, const AttemptUpdate *update, int64_t at_ms)
 {
-    saved_set(job, task, update->saved);
+    checkpoint_set(job, task, update->saved);
     if (task->phase != TASK_PLACED)
         return;
     task_set_phase(table, job, task, TASK_RUNNING, task->worker, at_ms, PHASE_BY_LEADER);
-    started_set(task, update, at_ms);
+    set_started(task, update, at_ms);
 }
 
 static void deliver_one_update(Table *table, const Record *change, const AttemptUpdate *update)
@@ -60,25 +61,25 @@
     if (task_ended(task->phase))
         return;
     if (update->word == ATTEMPT_DONE && !job->spec.lasting) {
-        /* the task is done, whichever attempt completed it: a newer attempt is no longer among the orders of its agent,
-         * which stops it */
-        task_text(job, &task->text, update->text);
+        /* The task is done, whichever attempt completed it. A newer attempt is removed from the orders of its agent,
+         * which then stops it. */
+        job_set_text(job, &task->text, update->text);
         if (update->attempt == task->attempt)
-            started_set(task, update, change->at_ms);
+            set_started(task, update, change->at_ms);
         attempt_done(table, job, task, update->attempt, update->worker, change->at_ms);
         job_end_if_complete(table, job, change->at_ms);
         return;
     }
     if (update->attempt != task->attempt || !task_on_worker(task->phase) || strcmp(update->worker, task->worker) != 0) {
-        other_attempt(table, job, task, update, change->at_ms);
+        deliver_other_attempt(table, job, task, update, change->at_ms);
         return;
     }
     if (update->word == ATTEMPT_RUNNING) {
-        now_runs(table, job, task, update, change->at_ms);
+        deliver_running(table, job, task, update, change->at_ms);
         return;
     }
-    task_text(job, &task->text, update->text);
-    /* LOST may also be the leader's decision, which the agent does not know yet */
+    job_set_text(job, &task->text, update->text);
+    /* LOST may also be a decision of the leader that the agent does not know of yet. */
     const PhaseSource source = update->word != ATTEMPT_LOST ? PHASE_BY_AGENT : PHASE_BY_LEADER;
     const AttemptEnd end = {(AttemptWord)update->word, update->saved, source, change->at_ms};
     attempt_over(table, job, task, &end);
--- a/packages/state/src/deliver_config.c
+++ b/packages/state/src/deliver_config.c
@@ -1,4 +1,4 @@
-/* Delivering CONFIG_SET. */
+/* Delivery of CONFIG_SET. */
 #include "state/deliver_config.h"
 
 void deliver_config(Versions *versions, const ConfigSet *set, ChangeResult *result)
@@ -7,7 +7,7 @@
     const uint64_t version = set->version != 0 ? set->version : set->base + 1;
     const uint64_t known = versions_digest(versions, set->digest);
     result->number = known != 0 ? known : current;
-    /* the same call sent again, or proposed again in a repair */
+    /* A retry of the same call, or a version proposed again by a repair. */
     if (known != 0 || (set->restored && version <= current))
         return;
     const bool follows = set->base == current && version > current && (!set->patch || versions->count > 0);
--- a/packages/state/src/deliver_job.c
+++ b/packages/state/src/deliver_job.c
@@ -1,4 +1,4 @@
-/* Delivering JOB_ADD, JOB_CANCEL, JOB_END and FORGET. */
+/* Delivery of JOB_ADD, JOB_CANCEL, JOB_END and FORGET. */
 #include "deliver.h"
 
 #include <string.h>
@@ -20,9 +20,9 @@
     job->accepted_ms = change->at_ms;
     for (size_t i = 0; i < job->tasks_count; i++)
         job->tasks[i].changed_ms = change->at_ms;
-    job_enter(table, job);
+    table_insert_job(table, job);
     result->number = job->number;
-    orphans_take(table, job, change->at_ms);
+    orphans_apply(table, job, change->at_ms);
     job_end_if_complete(table, job, change->at_ms);
 }
 
@@ -44,7 +44,7 @@
     job_end_if_complete(table, job, change->at_ms);
 }
 
-/* A job that was once shown as ended stays ended, although the disks have lost how it ended. */
+/* Ends a job that a caller has already seen as ended, although the disks lost that end. */
 void deliver_job_end(Table *table, const Record *change, const JobEnd *end, ChangeResult *result)
 {
     Job *job = map_get(table->by_id, end->id);
@@ -62,8 +62,8 @@
     job_end_if_complete(table, job, change->at_ms);
 }
 
-/* Takes the jobs whose number is 0 out of the order of acceptance. */
-static void order_drop(JobList *order)
+/* Removes the jobs whose number is 0 from the order of acceptance. */
+static void order_compact(JobList *order)
 {
     size_t kept = 0;
     for (size_t i = 0; i < order->count; i++)
@@ -72,8 +72,8 @@
     order->count = kept;
 }
 
-/* Frees the first ended jobs. */
-static void ended_drop(Table *table, size_t count)
+/* Frees the first count ended jobs. */
+static void ended_free(Table *table, size_t count)
 {
     JobList *ended = &table->ended;
     for (size_t i = 0; i < count; i++) {
@@ -90,10 +90,10 @@
     const JobList *ended = &table->ended;
     size_t dropped = 0;
     while (dropped < ended->count && ended->jobs[dropped]->ended_ms < forget->before_ms)
-        ended->jobs[dropped++]->number = 0; /* marks it for order_drop: no job has this number */
+        ended->jobs[dropped++]->number = 0; /* marks the job for order_compact; 0 is not a valid number */
     if (dropped > 0) {
-        order_drop(&table->order);
-        ended_drop(table, dropped);
+        order_compact(&table->order);
+        ended_free(table, dropped);
     }
     result->number = dropped;
     orphans_forget(table, forget->before_ms);
--- a/packages/state/src/deliver_worker.c
+++ b/packages/state/src/deliver_worker.c
@@ -1,4 +1,4 @@
-/* Delivering WORKER_SET, WORKER_LOST and WORKER_LEFT; workers by name. */
+/* Delivery of WORKER_SET, WORKER_LOST and WORKER_LEFT, and the index of workers by name. */
 #include "deliver.h"
 
 #include <stdlib.h>
@@ -7,15 +7,15 @@
 
 #include "attempt.h"
 
-#define SORTED_FIRST 64 /* count; slots allocated for workers at first */
+#define SORTED_INITIAL_SLOTS 64 /* initial number of slots for workers */
 
 const Worker *table_worker(const Table *table, const char *name)
 {
     return map_get(table->workers, name);
 }
 
-/* The index of the first worker whose name is not below. */
-static size_t sorted_place(const Table *table, const char *name)
+/* Returns the index of the first worker whose name is not less than name. */
+static size_t sorted_index(const Table *table, const char *name)
 {
     size_t low = 0, high = table->sorted_count;
     while (low < high) {
@@ -44,10 +44,10 @@
     Worker *worker = talloc_zero(table->mem, Worker);
     shape_copy(&Worker_shape, set, worker, worker);
     map_set(table->workers, worker->name, worker);
-    const size_t at = sorted_place(table, worker->name);
+    const size_t at = sorted_index(table, worker->name);
     if (before == NULL) {
         if (table->sorted_count == table->sorted_capacity) {
-            table->sorted_capacity = table->sorted_capacity ? table->sorted_capacity * 2 : SORTED_FIRST;
+            table->sorted_capacity = table->sorted_capacity ? table->sorted_capacity * 2 : SORTED_INITIAL_SLOTS;
             table->sorted = talloc_realloc(table->mem, table->sorted, Worker *, (unsigned)table->sorted_capacity);
         }
         memmove(&table->sorted[at + 1], &table->sorted[at], (table->sorted_count - at) * sizeof(*table->sorted));
@@ -57,9 +57,9 @@
     talloc_free(before);
 }
 
-/* By jobs and tasks: what becomes of a task may depend on another of its job, and all nodes must come to the same
- * state. */
-static int on_order(const void *a, const void *b)
+/* Compares by job and task. The outcome for a task may depend on another task of its job, and all nodes must reach the
+ * same state, so the order must be fixed. */
+static int compare_tasks(const void *a, const void *b)
 {
     const TaskOn *one = a, *other = b;
     if (one->job->number != other->job->number)
@@ -69,13 +69,13 @@
 
 void deliver_worker_lost(Table *table, const Record *change, const WorkerLost *lost, ChangeResult *result)
 {
-    /* tasks leave the list while it is walked: walk a copy */
+    /* Iterate over a copy, since tasks are removed from the list on the way. */
     const TaskOn *its;
     const size_t count = table_tasks_on(table, lost->worker, &its);
     if (count == 0)
         return;
     TaskOn *on = talloc_memdup(NULL, its, count * sizeof(*on));
-    qsort(on, count, sizeof(*on), on_order);
+    qsort(on, count, sizeof(*on), compare_tasks);
     for (size_t i = 0; i < count; i++) {
         Job *job = on[i].job;
         JobTask *task = &job->tasks[on[i].task];
--- a/packages/state/src/deliver_zone.c
+++ b/packages/state/src/deliver_zone.c
@@ -1,5 +1,4 @@
-/* Delivering ZONE_DRAIN: zones are drained and taken back into use; what is remembered of the
- * orders for them. */
+/* Delivery of ZONE_DRAIN, which drains zones and returns them to service, and the record of past orders. */
 #include "deliver.h"
 
 #include <string.h>
@@ -65,7 +64,7 @@
     return overtaken ? DRAIN_OVERTAKEN : DRAIN_NEW;
 }
 
-/* Appends an order; when all rows are taken the oldest two become one without a name. */
+/* Appends an order. When all rows are in use, the oldest two are merged into one without a name. */
 static void row_add(ZoneOrders *orders, const char *order, int64_t stamp)
 {
     if (orders->count == ZONE_ORDERS_MAX) {
@@ -76,9 +75,9 @@
     orders->rows[orders->count++] = (ZoneOrder){.zone = orders->newest.zone, .order = order, .stamp = stamp};
 }
 
-/* A copy of the zone's orders with a new newest one, in memory of its own: what row_add drops
- * is freed with the old copy. */
-static ZoneOrders *orders_with(Table *table, const ZoneDrain *drain)
+/* Returns a copy of the zone's orders, in its own memory, with drain as the newest order; the caller appends its row.
+ * Names that row_add drops are freed with the previous copy. */
+static ZoneOrders *orders_with_newest(Table *table, const ZoneDrain *drain)
 {
     const ZoneOrders *before = map_get(table->drains, drain->zone);
     ZoneOrders *orders = talloc_zero(table->mem, ZoneOrders);
@@ -88,7 +87,7 @@
     return orders;
 }
 
-static Status refusal(DrainKnown known)
+static Status refusal_status(DrainKnown known)
 {
     switch (known) {
     case DRAIN_OVERTAKEN:
@@ -108,10 +107,10 @@
     const DrainKnown known = table_drain_known(table, drain);
     if (known != DRAIN_NEW) {
         if (result != NULL)
-            result->status = refusal(known);
+            result->status = refusal_status(known);
         return;
     }
-    ZoneOrders *orders = orders_with(table, drain);
+    ZoneOrders *orders = orders_with_newest(table, drain);
     row_add(orders, orders->newest.order, drain->stamp);
     talloc_free(map_get(table->drains, drain->zone));
     map_set(table->drains, orders->newest.zone, orders);
@@ -124,7 +123,7 @@
         if (orders == NULL)
             continue;
         if (i == 0 || strcmp(rows[i].zone, rows[i - 1].zone) != 0)
-            orders->count = 0; /* the row that deliver_zone_drain made of the newest */
+            orders->count = 0; /* drop the row that deliver_zone_drain added for the newest order */
         row_add(orders, talloc_strdup(orders, rows[i].order), rows[i].stamp);
     }
 }
--- a/packages/state/src/gang.c
+++ b/packages/state/src/gang.c
@@ -1,4 +1,4 @@
-/* Gangs: their members, their common end and their common progress. */
+/* Gangs: members, common end and shared checkpoint. */
 #include "gang.h"
 
 Gang gang_of(Job *job, const JobTask *task)
@@ -9,7 +9,7 @@
     return (Gang){&job->tasks[task_first(job, task)], (size_t)step->count};
 }
 
-void gang_break(Table *table, Job *job, const JobTask *task, int64_t at_ms)
+void gang_stop_others(Table *table, Job *job, const JobTask *task, int64_t at_ms)
 {
     const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++) {
@@ -19,11 +19,11 @@
     }
 }
 
-void saved_set(Job *job, JobTask *task, const char *saved)
+void checkpoint_set(Job *job, JobTask *task, const char *saved)
 {
     if (saved[0] == '\0' || !job->spec.steps[task->step].saves)
         return;
     const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++)
-        task_text(job, &gang.tasks[i].saved, saved);
+        job_set_text(job, &gang.tasks[i].saved, saved);
 }
--- a/packages/state/src/gang.h
+++ b/packages/state/src/gang.h
@@ -1,8 +1,8 @@
 #ifndef STATE_SRC_GANG_H
 #define STATE_SRC_GANG_H
 
-/* Gangs: tasks of one step and turn that run together, under one attempt number, and end
- * as one. Invariant: gang.tasks are neighbours in their job's tasks. */
+/* Gangs: the tasks of one step and turn that run together under one attempt number and end together. Invariant: the
+ * members are consecutive in the tasks of their job. */
 
 #include "phase.h"
 
@@ -11,11 +11,12 @@
     size_t count;
 } Gang;
 
-/* The gang of the task; for a task that is in none, itself alone. */
+/* Returns the gang of the task; for a task without a gang, the task by itself. */
 Gang gang_of(Job *job, const JobTask *task);
-/* An attempt of a member is over: the others are ordered to stop, and all are planned again. */
-void gang_break(Table *table, Job *job, const JobTask *task, int64_t at_ms);
-/* Keeps the progress of the task, or of its gang. "" leaves what is there. */
-void saved_set(Job *job, JobTask *task, const char *saved);
+/* Orders the other members to stop after the attempt of this member ended; the whole gang is placed again later. */
+void gang_stop_others(Table *table, Job *job, const JobTask *task, int64_t at_ms);
+/* Stores the checkpoint of the task, or of its gang. An empty one leaves the stored checkpoint unchanged, and so does a
+ * step without checkpoints. */
+void checkpoint_set(Job *job, JobTask *task, const char *saved);
 
 #endif
--- a/packages/state/src/inside.h
+++ b/packages/state/src/inside.h
@@ -1,91 +1,91 @@
 #ifndef STATE_SRC_INSIDE_H
 #define STATE_SRC_INSIDE_H
 
-/* The data of the state table, shared by the sources of this package. Each source has a header and uses only those
- * before it in this order:
+/* The data of the state table, shared by the sources of this package. Each source has a header and depends only on
+ * those above it in this list:
  *
  *     job_list        lists of jobs
  *     on_worker       the tasks on each worker
  *     phase           every change of a task's or a job's phase
- *     gang, attempt   what the end of one attempt means to a gang, and to its task
- *     orphan          finished tasks of unknown jobs
+ *     gang, attempt   effect of the end of an attempt on its gang and its task
+ *     orphan          completed tasks of unknown jobs
  *     deliver*        one function for each kind of change (deliver.h)
- *     saved           the state as a snapshot and back
- *     table           the empty state, its getters, and the dispatch of changes */
+ *     saved           saving the state as a snapshot and loading it
+ *     table           the empty state, the getters, and the dispatch of changes */
 
 #include "base/map.h"
 #include "job_list.h"
 #include "state/table.h"
 
-/* A worker's tasks and orders. Invariants: name is owned by the row, and tasks point to it; on has exactly the tasks
- * whose worker it is, and each of them has its index there in on_at. A row is never dropped. */
-typedef struct WorkerOn {
+/* The tasks and the orders of a worker. Invariants: name is owned by the row, and JobTask.worker points to it; tasks
+ * holds exactly the tasks on this worker, each with its index in JobTask.on_at. A row is never dropped. */
+typedef struct WorkerTasks {
     const char *name;
-    uint64_t version; /* counts changes of the orders, see table_orders */
-    TaskOn *on;
-    size_t count, capacity; /* capacity: slots allocated */
-    Resources used;         /* capacity in use by them */
-    size_t busy_at;         /* its index in Table.busy; meaningless while count is 0 */
-} WorkerOn;
+    uint64_t orders_version; /* number of changes of the orders, see table_orders */
+    TaskOn *tasks;
+    size_t count, capacity; /* capacity: number of allocated slots */
+    Resources used;         /* capacity in use by the tasks */
+    size_t busy_index;      /* index in Table.busy; undefined while count is 0 */
+} WorkerTasks;
 
-/* Waiting tasks of a cell. */
+/* Number of waiting tasks of a cell. */
 typedef struct CellSum {
     size_t waiting;
 } CellSum;
 
-/* Jobs of a queue that have not ended. */
+/* Number of jobs of a queue that have not ended. */
 typedef struct QueueSum {
     size_t jobs;
 } QueueSum;
 
-/* An orphaned attempt: a task reported done of a job that is not known (any more, or yet).
- * The disks lost the job, and its caller will submit it again. */
+/* An orphaned attempt: a report that a task of an unknown job is done. The disks lost the job, and its caller will
+ * submit it again. */
 #define ORPHAN_FIELDS(X) \
     X(TXT, job, 0)       \
     X(U64, task, 0)      \
     X(U64, attempt, 0)   \
-    X(I64, at_ms, 0) /* ms; log time of the report */
+    X(I64, at_ms, 0) /* log time of the report, in ms */
 SHAPE(Orphan, ORPHAN_FIELDS)
 
-/* One order for a zone that was delivered. order "": it had no name, or the row stands for all orders up to its stamp
- * that are no longer remembered. */
+/* A delivered order for a zone. order is empty when the order had no name, or when the row represents all orders up to
+ * its stamp that are no longer remembered. */
 #define ZONE_ORDER_FIELDS(X) \
     X(TXT, zone, 0)          \
     X(TXT, order, 0)         \
     X(I64, stamp, 0)
 SHAPE(ZoneOrder, ZONE_ORDER_FIELDS)
 
-/* The orders for one zone. Invariants: rows are sorted by stamp and the last one's is the
- * newest order's; at most the first stands for several. */
+/* The orders for one zone. Invariants: rows are sorted by stamp, the last row belongs to the newest order, and only the
+ * first row may represent several orders. */
 typedef struct ZoneOrders {
     ZoneDrain newest;
     size_t count;
     ZoneOrder rows[ZONE_ORDERS_MAX];
 } ZoneOrders;
 
-/* Invariants: by_id and order hold the same jobs; active holds those that have not
- * ended, ended the others; order and active are sorted by number, ended by when they
- * ended; sorted holds the same workers as workers, by name. */
+/* Invariants: by_id and order hold the same jobs; active holds those that have not ended, and ended the others; order
+ * and active are sorted by number, ended by the time of the end; sorted holds the same workers as workers, sorted by
+ * name. */
 struct Table {
-    void *mem;  /* talloc parent of everything below; a loaded state replaces it whole */
-    Map *by_id; /* a job's id to Job */
+    void *mem;  /* talloc parent of everything below; replaced when a state is loaded */
+    Map *by_id; /* job id to Job */
     JobList order, active, ended;
     uint64_t last_number;
-    Map *workers; /* a worker's name to Worker */
+    Map *workers; /* worker name to Worker */
     Worker **sorted;
     size_t sorted_count, sorted_capacity;
-    Map *on;         /* a worker's name to WorkerOn */
-    WorkerOn **busy; /* exactly those with a task on them, in no order */
+    Map *worker_tasks;  /* worker name to WorkerTasks */
+    WorkerTasks **busy; /* the workers with a task on them, in no particular order */
     size_t busy_count, busy_capacity;
-    Map *cells;      /* a cell's name to CellSum */
-    Map *used;       /* "cell", and "cell/tenant", to the Resources that its tasks on workers use */
+    Map *cells;      /* cell name to CellSum */
+    Map *used;       /* "cell" and "cell/tenant" to the Resources that its tasks use on workers */
     Map *queues;     /* "cell/queue" to QueueSum */
-    Orphan *orphans; /* each owned by the table; forgotten as ended jobs are */
+    Orphan *orphans; /* dropped by FORGET, as ended jobs are; the texts are owned by mem */
     size_t orphan_count;
-    Map *drains; /* a zone's name to ZoneOrders */
+    Map *drains; /* zone name to ZoneOrders */
     Versions *versions;
-    uint64_t loads; /* how often the state was replaced */
-    /* the watchers, which stay when a state is loaded */
+    uint64_t loads; /* number of times the state was replaced */
+    /* Observers; they remain when a state is loaded. */
     TableFn fn;
     void *arg;
     TableOrdersFn orders_fn;
--- a/packages/state/src/job.c
+++ b/packages/state/src/job.c
@@ -1,4 +1,4 @@
-/* Jobs and tasks as values: their shapes, the words of their phases, and task numbers. */
+/* Shapes of jobs and tasks, names of their phases, and task numbers. */
 #include "state/job.h"
 
 #include <string.h>
@@ -40,8 +40,8 @@
 
 size_t task_index(const Job *job, uint64_t number)
 {
-    /* within the first step a number is the index; any other number below PLACES was
-     * written by a release that named tasks by their index */
+    /* In the first step of the first turn a number equals the index. Any other number below TASK_NUMBER_PLACES was
+     * written by a release that identified tasks by their index. */
     if (number < TASK_NUMBER_PLACES)
         return number < job->tasks_count ? (size_t)number : job->tasks_count;
     const uint64_t at = number % TASK_NUMBER_PLACES, steps = number / TASK_NUMBER_PLACES;
--- a/packages/state/src/job_list.c
+++ b/packages/state/src/job_list.c
@@ -1,14 +1,14 @@
-/* A growing list of pointers to jobs. */
+/* A growable array of pointers to jobs. */
 #include "job_list.h"
 
 #include <talloc.h>
 
-#define LIST_FIRST 256 /* count; slots of a new list */
+#define LIST_INITIAL_SLOTS 256 /* number of slots of a new list */
 
 void job_list_add(void *mem, JobList *list, Job *job)
 {
     if (list->count == list->capacity) {
-        list->capacity = list->capacity ? list->capacity * 2 : LIST_FIRST;
+        list->capacity = list->capacity ? list->capacity * 2 : LIST_INITIAL_SLOTS;
         list->jobs = talloc_realloc(mem, list->jobs, Job *, (unsigned)list->capacity);
     }
     list->jobs[list->count++] = job;
--- a/packages/state/src/job_new.c
+++ b/packages/state/src/job_new.c
@@ -1,5 +1,5 @@
-/* Making a job, in two blocks of memory: itself with its tasks, and copies of its spec and
- * terms. No task costs an allocation of its own. */
+/* Creation of a job in two blocks of memory: the job with its tasks, and the copies of its spec and terms. No task
+ * needs an allocation of its own. */
 #include <talloc.h>
 
 #include "phase.h"
@@ -14,7 +14,7 @@
     talloc_set_name_const(job, "Job");
     job->tasks = (JobTask *)(job + 1);
     job->tasks_count = count;
-    /* spec and terms in one copy, as a Job that has nothing else */
+    /* Copy spec and terms in one call, as parts of an otherwise empty Job. */
     const Job given = {.spec = *spec, .terms = *terms};
     Job copied;
     shape_copy_flat(&Job_shape, &given, job, &copied);
--- a/packages/state/src/on_worker.c
+++ b/packages/state/src/on_worker.c
@@ -1,4 +1,4 @@
-/* What is on each worker, the capacity that it uses, and the version of its orders. */
+/* The tasks on each worker, the capacity that they use, and the version of the worker's orders. */
 #include "on_worker.h"
 
 #include <stdio.h>
@@ -6,48 +6,48 @@
 
 #include "base/invariant.h"
 
-#define BUSY_FIRST 64 /* count; slots for busy workers at first */
-#define ON_FIRST 8    /* count; slots for a worker's tasks at first */
+#define BUSY_INITIAL_SLOTS 64 /* initial number of slots for busy workers */
+#define TASKS_INITIAL_SLOTS 8 /* initial number of slots for the tasks of a worker */
 
-WorkerOn *worker_on(Table *table, const char *worker)
+WorkerTasks *worker_tasks_of(Table *table, const char *worker)
 {
-    WorkerOn *its = map_get(table->on, worker);
-    if (its == NULL) {
-        its = talloc_zero(table->mem, WorkerOn);
-        its->name = talloc_strdup(its, worker);
-        map_set(table->on, its->name, its);
+    WorkerTasks *row = map_get(table->worker_tasks, worker);
+    if (row == NULL) {
+        row = talloc_zero(table->mem, WorkerTasks);
+        row->name = talloc_strdup(row, worker);
+        map_set(table->worker_tasks, row->name, row);
     }
-    return its;
+    return row;
 }
 
-void orders_touch(Table *table, const char *worker)
+void orders_changed(Table *table, const char *worker)
 {
     if (worker[0] == '\0')
         return;
-    worker_on(table, worker)->version++;
+    worker_tasks_of(table, worker)->orders_version++;
     if (table->orders_fn != NULL)
         table->orders_fn(table->orders_arg, worker);
 }
 
-static void busy_add(Table *table, WorkerOn *its)
+static void busy_add(Table *table, WorkerTasks *row)
 {
     if (table->busy_count == table->busy_capacity) {
-        table->busy_capacity = table->busy_capacity ? table->busy_capacity * 2 : BUSY_FIRST;
-        table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busy_capacity);
+        table->busy_capacity = table->busy_capacity ? table->busy_capacity * 2 : BUSY_INITIAL_SLOTS;
+        table->busy = talloc_realloc(table->mem, table->busy, WorkerTasks *, (unsigned)table->busy_capacity);
     }
-    its->busy_at = table->busy_count;
-    table->busy[table->busy_count++] = its;
+    row->busy_index = table->busy_count;
+    table->busy[table->busy_count++] = row;
 }
 
-static void busy_drop(Table *table, const WorkerOn *its)
+static void busy_remove(Table *table, const WorkerTasks *row)
 {
-    INVARIANT(WORKER_COUNTS, table->busy_count > its->busy_at);
-    WorkerOn *last = table->busy[--table->busy_count];
-    table->busy[its->busy_at] = last;
-    last->busy_at = its->busy_at;
+    INVARIANT(WORKER_COUNTS, table->busy_count > row->busy_index);
+    WorkerTasks *last = table->busy[--table->busy_count];
+    table->busy[row->busy_index] = last;
+    last->busy_index = row->busy_index;
 }
 
-static Resources *used_of(Table *table, const char *key)
+static Resources *used_sum(Table *table, const char *key)
 {
     Resources *used = map_get(table->used, key);
     if (used == NULL) {
@@ -68,15 +68,15 @@
     return key;
 }
 
-/* The three sums that a task on a worker counts in. */
+/* The three sums that include a task on a worker. */
 typedef struct UsedSums {
     Resources *worker, *cell, *tenant;
 } UsedSums;
 
-static UsedSums used_sums(Table *table, WorkerOn *its, const JobSpec *spec)
+static UsedSums used_sums(Table *table, WorkerTasks *row, const JobSpec *spec)
 {
     const TenantKey key = tenant_key(spec->cell, spec->tenant);
-    return (UsedSums){&its->used, used_of(table, spec->cell), used_of(table, key.text)};
+    return (UsedSums){&row->used, used_sum(table, spec->cell), used_sum(table, key.text)};
 }
 
 static void used_add(UsedSums sums, Resources resources)
@@ -86,7 +86,7 @@
     *sums.tenant = resources_more(*sums.tenant, resources);
 }
 
-static void used_drop(UsedSums sums, Resources resources)
+static void used_subtract(UsedSums sums, Resources resources)
 {
     INVARIANT(WORKER_COUNTS, resources_fits(resources, *sums.worker) && resources_fits(resources, *sums.cell) &&
                                  resources_fits(resources, *sums.tenant));
@@ -97,8 +97,8 @@
 
 Resources table_used_on(const Table *table, const char *worker)
 {
-    const WorkerOn *its = map_get(table->on, worker);
-    return its != NULL ? its->used : (Resources){0};
+    const WorkerTasks *row = map_get(table->worker_tasks, worker);
+    return row != NULL ? row->used : (Resources){0};
 }
 
 Resources table_used_by(const Table *table, const char *cell)
@@ -113,42 +113,42 @@
     return table_used_by(table, key.text);
 }
 
-void on_worker_add(Table *table, Job *job, JobTask *task)
+void worker_tasks_add(Table *table, Job *job, JobTask *task)
 {
     if (task->worker[0] == '\0')
         return;
-    WorkerOn *its = worker_on(table, task->worker);
-    if (its->count == 0)
-        busy_add(table, its);
-    if (its->count == its->capacity) {
-        its->capacity = its->capacity ? its->capacity * 2 : ON_FIRST;
-        its->on = talloc_realloc(its, its->on, TaskOn, (unsigned)its->capacity);
+    WorkerTasks *row = worker_tasks_of(table, task->worker);
+    if (row->count == 0)
+        busy_add(table, row);
+    if (row->count == row->capacity) {
+        row->capacity = row->capacity ? row->capacity * 2 : TASKS_INITIAL_SLOTS;
+        row->tasks = talloc_realloc(row, row->tasks, TaskOn, (unsigned)row->capacity);
     }
-    task->on_at = its->count;
-    its->on[its->count++] = (TaskOn){job, (size_t)(task - job->tasks)};
-    used_add(used_sums(table, its, &job->spec), job->spec.steps[task->step].resources);
+    task->on_at = row->count;
+    row->tasks[row->count++] = (TaskOn){job, (size_t)(task - job->tasks)};
+    used_add(used_sums(table, row, &job->spec), job->spec.steps[task->step].resources);
 }
 
-void on_worker_remove(Table *table, const JobTask *task)
+void worker_tasks_remove(Table *table, const JobTask *task)
 {
     if (task->worker[0] == '\0')
         return;
-    WorkerOn *its = worker_on(table, task->worker);
-    INVARIANT(WORKER_COUNTS, task->on_at < its->count);
-    const JobSpec *spec = &its->on[task->on_at].job->spec;
-    used_drop(used_sums(table, its, spec), spec->steps[task->step].resources);
-    /* the last one takes its place */
-    const TaskOn last = its->on[--its->count];
-    its->on[task->on_at] = last;
+    WorkerTasks *row = worker_tasks_of(table, task->worker);
+    INVARIANT(WORKER_COUNTS, task->on_at < row->count);
+    const JobSpec *spec = &row->tasks[task->on_at].job->spec;
+    used_subtract(used_sums(table, row, spec), spec->steps[task->step].resources);
+    /* Move the last task into the gap. */
+    const TaskOn last = row->tasks[--row->count];
+    row->tasks[task->on_at] = last;
     last.job->tasks[last.task].on_at = task->on_at;
-    if (its->count == 0)
-        busy_drop(table, its);
+    if (row->count == 0)
+        busy_remove(table, row);
 }
 
 uint64_t table_orders(const Table *table, const char *worker)
 {
-    const WorkerOn *its = map_get(table->on, worker);
-    return its != NULL ? its->version : 0;
+    const WorkerTasks *row = map_get(table->worker_tasks, worker);
+    return row != NULL ? row->orders_version : 0;
 }
 
 void table_orders_watch(Table *table, TableOrdersFn fn, void *arg)
@@ -165,9 +165,9 @@
 
 size_t table_tasks_on(const Table *table, const char *worker, const TaskOn **on)
 {
-    const WorkerOn *its = map_get(table->on, worker);
-    *on = its != NULL ? its->on : NULL;
-    return its != NULL ? its->count : 0;
+    const WorkerTasks *row = map_get(table->worker_tasks, worker);
+    *on = row != NULL ? row->tasks : NULL;
+    return row != NULL ? row->count : 0;
 }
 
 const char *table_busy(const Table *table, size_t at)
--- a/packages/state/src/orphan.c
+++ b/packages/state/src/orphan.c
@@ -1,4 +1,4 @@
-/* Orphaned attempts, from their report until their job is submitted again. */
+/* Orphaned attempts, recorded from their report until their job is submitted again. */
 #include "orphan.h"
 
 #include <string.h>
@@ -23,7 +23,7 @@
     table->orphans[at] = table->orphans[--table->orphan_count];
 }
 
-void orphans_take(Table *table, Job *job, int64_t at_ms)
+void orphans_apply(Table *table, Job *job, int64_t at_ms)
 {
     for (size_t i = 0; i < table->orphan_count;) {
         const Orphan orphan = table->orphans[i];
--- a/packages/state/src/phase.c
+++ b/packages/state/src/phase.c
@@ -1,4 +1,4 @@
-/* Every change of a task's or a job's phase, and the sums by cell and queue that follow it. */
+/* Every change of a task's or a job's phase, and the sums per cell and queue that depend on it. */
 #include "phase.h"
 
 #include <string.h>
@@ -7,8 +7,8 @@
 #include "base/invariant.h"
 #include "on_worker.h"
 
-/* A row for each cell ever named; a first one is made. */
-static CellSum *cell_of(Table *table, const char *cell)
+/* Returns the row of the cell, which is created at first use and never dropped. */
+static CellSum *cell_sum(Table *table, const char *cell)
 {
     CellSum *sum = map_get(table->cells, cell);
     if (sum == NULL) {
@@ -18,7 +18,7 @@
     return sum;
 }
 
-static QueueSum *queue_of(Table *table, const JobSpec *spec)
+static QueueSum *queue_sum(Table *table, const JobSpec *spec)
 {
     void *mem = talloc_new(NULL);
     const char *key = talloc_asprintf(mem, "%s/%s", spec->cell, spec->queue);
@@ -45,9 +45,9 @@
     return sum != NULL ? sum->jobs : 0;
 }
 
-/* Ended jobs are sorted by time. Changes come in the log's order, so the place is nearly
- * always the last. */
-static void ended_add(Table *table, Job *job)
+/* Inserts a job into the list of ended jobs, sorted by time. Changes come in log order, so it nearly always goes
+ * last. */
+static void ended_insert(Table *table, Job *job)
 {
     job_list_add(table->mem, &table->ended, job);
     size_t at = table->ended.count - 1;
@@ -56,28 +56,28 @@
     table->ended.jobs[at] = job;
 }
 
-void job_enter(Table *table, Job *job)
+void table_insert_job(Table *table, Job *job)
 {
     map_set(table->by_id, job->spec.id, job);
     job_list_add(table->mem, &table->order, job);
     if (job->number > table->last_number)
         table->last_number = job->number;
-    job_sum(job);
-    CellSum *cell = cell_of(table, job->spec.cell);
+    job_sums_compute(job);
+    CellSum *cell = cell_sum(table, job->spec.cell);
     for (size_t i = 0; i < job->tasks_count; i++) {
         cell->waiting += job->tasks[i].phase == TASK_WAITING;
-        on_worker_add(table, job, &job->tasks[i]);
+        worker_tasks_add(table, job, &job->tasks[i]);
     }
     if (job->phase == JOB_ACTIVE) {
         job_list_add(table->mem, &table->active, job);
-        queue_of(table, &job->spec)->jobs++;
+        queue_sum(table, &job->spec)->jobs++;
     } else {
-        ended_add(table, job);
+        ended_insert(table, job);
     }
 }
 
-/* The job ended: from the active to the ended ones. */
-static void job_leave_active(Table *table, Job *job)
+/* Moves a job that ended from the active to the ended jobs. */
+static void move_to_ended(Table *table, Job *job)
 {
     JobList *active = &table->active;
     const size_t at = job_list_find(active, job);
@@ -85,13 +85,13 @@
         return;
     memmove(&active->jobs[at], &active->jobs[at + 1], (active->count - at - 1) * sizeof(*active->jobs));
     active->count--;
-    QueueSum *queue = queue_of(table, &job->spec);
+    QueueSum *queue = queue_sum(table, &job->spec);
     INVARIANT(TASK_COUNTS, queue->jobs > 0);
     queue->jobs--;
-    ended_add(table, job);
+    ended_insert(table, job);
 }
 
-void task_text(Job *job, const char **at, const char *text)
+void job_set_text(Job *job, const char **at, const char *text)
 {
     if (strcmp(*at, text) == 0)
         return;
@@ -100,40 +100,40 @@
     *at = text[0] != '\0' ? talloc_strdup(job, text) : "";
 }
 
-/* Counts the change of phase in its cell and its job. */
-static void phase_count(Table *table, Job *job, const JobTask *task, TaskPhase phase)
+/* Updates the sums of the task's cell and job for a change of phase. */
+static void count_phase_change(Table *table, Job *job, const JobTask *task, TaskPhase phase)
 {
     if ((task->phase == TASK_WAITING) != (phase == TASK_WAITING)) {
-        CellSum *cell = cell_of(table, job->spec.cell);
+        CellSum *cell = cell_sum(table, job->spec.cell);
         INVARIANT(TASK_COUNTS, cell->waiting > 0 || phase == TASK_WAITING);
         cell->waiting += phase == TASK_WAITING ? 1 : (size_t)-1;
     }
-    job_sum_phase(job, task, phase);
+    job_sums_update(job, task, phase);
 }
 
-static void worker_change(Table *table, Job *job, JobTask *task, const char *worker)
+static void task_change_worker(Table *table, Job *job, JobTask *task, const char *worker)
 {
-    on_worker_remove(table, task);
-    task->worker = worker[0] != '\0' ? worker_on(table, worker)->name : "";
-    on_worker_add(table, job, task);
-    orders_touch(table, worker);
+    worker_tasks_remove(table, task);
+    task->worker = worker[0] != '\0' ? worker_tasks_of(table, worker)->name : "";
+    worker_tasks_add(table, job, task);
+    orders_changed(table, worker);
 }
 
 void task_set_phase(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms,
                     PhaseSource source)
 {
     INVARIANT(ENDED_STAYS, !task_ended(task->phase) || task->phase == phase);
-    phase_count(table, job, task, phase);
+    count_phase_change(table, job, task, phase);
     const bool leaves = strcmp(task->worker, worker) != 0;
     const bool confirmed = task->phase == TASK_PLACED && phase == TASK_RUNNING;
     const bool agent_knows = leaves && source == PHASE_BY_AGENT;
-    /* a confirmed start changes no order of its worker */
+    /* The confirmation of a start does not change the orders of the worker. */
     if (!confirmed && !agent_knows)
-        orders_touch(table, task->worker);
+        orders_changed(table, task->worker);
     if (leaves && !agent_knows && task->worker[0] != '\0' && table->left_fn != NULL)
         table->left_fn(table->left_arg, job, task);
     if (leaves)
-        worker_change(table, job, task, worker);
+        task_change_worker(table, job, task, worker);
     task->phase = phase;
     task->changed_ms = at_ms;
     if (!task_on_worker(phase))
@@ -160,5 +160,5 @@
     else
         job->phase = job->sums.undone == 0 ? JOB_DONE : JOB_FAILED;
     job->ended_ms = at_ms;
-    job_leave_active(table, job);
+    move_to_ended(table, job);
 }
--- a/packages/state/src/saved.c
+++ b/packages/state/src/saved.c
@@ -1,5 +1,4 @@
-/* The state as a snapshot, and back. What can be computed from the rest (lists, sums, the tasks on each worker) is not
- * saved. */
+/* Saving the state as a snapshot and loading it. Derived data (lists, sums, the tasks on each worker) is not saved. */
 #include "saved.h"
 
 #include <talloc.h>
@@ -10,7 +9,7 @@
 #include "orphan.h"
 #include "phase.h"
 
-/* The fields of a snapshot, in their order on disk: new ones are added at the end. */
+/* The fields of a snapshot in their order on disk: new ones are only appended. */
 #define SAVED_FIELDS(X)       \
     X(U64, last_number, 0)    \
     X(LST, jobs, Job)         \
@@ -36,7 +35,7 @@
     table->mem = talloc_new(table);
     table->by_id = map_new(table->mem);
     table->workers = map_new(table->mem);
-    table->on = map_new(table->mem);
+    table->worker_tasks = map_new(table->mem);
     table->cells = map_new(table->mem);
     table->used = map_new(table->mem);
     table->queues = map_new(table->mem);
@@ -46,7 +45,7 @@
 
 /* --- saving --------------------------------------------------------------------- */
 
-/* A zone's orders stand together, as zone_orders_load wants them. */
+/* Saves the zones. The orders of a zone are consecutive, as zone_orders_load requires. */
 static void zones_save(const Table *table, void *scratch, Saved *saved)
 {
     const char **zones;
@@ -87,8 +86,8 @@
 
 /* --- loading -------------------------------------------------------------------- */
 
-/* A task's step, turn and place come from its index: earlier releases did not save them.
- * The job owns its texts, the table the names of workers. */
+/* Loads a task. Its step, turn and index in the step follow from its index in the job, since earlier releases did not
+ * save them. The job owns the texts, the table the names of workers. */
 static void task_load(Table *table, Job *job, JobTask *task, const JobTask *from)
 {
     const JobTask begun = *task;
@@ -96,11 +95,11 @@
     task->step = begun.step;
     task->turn = begun.turn;
     task->at = begun.at;
-    task->worker = from->worker[0] != '\0' ? worker_on(table, from->worker)->name : "";
-    task->shunned = from->shunned[0] != '\0' ? worker_on(table, from->shunned)->name : "";
+    task->worker = from->worker[0] != '\0' ? worker_tasks_of(table, from->worker)->name : "";
+    task->shunned = from->shunned[0] != '\0' ? worker_tasks_of(table, from->shunned)->name : "";
     task->text = task->saved = "";
-    task_text(job, &task->text, from->text);
-    task_text(job, &task->saved, from->saved);
+    job_set_text(job, &task->text, from->text);
+    job_set_text(job, &task->saved, from->saved);
 }
 
 static void job_load(Table *table, const Job *from)
@@ -113,10 +112,10 @@
     job->ended_ms = from->ended_ms;
     for (size_t i = 0; i < job->tasks_count && i < from->tasks_count; i++)
         task_load(table, job, &job->tasks[i], &from->tasks[i]);
-    job_enter(table, job);
+    table_insert_job(table, job);
 }
 
-static void saved_take(Table *table, const Saved *saved)
+static void snapshot_install(Table *table, const Saved *saved)
 {
     table_clear(table);
     for (size_t i = 0; i < saved->jobs_count; i++)
@@ -145,7 +144,7 @@
     Saved saved;
     const Status status = shape_unpack(&Saved_shape, bytes, mem, &saved, NULL);
     if (status == STATUS_OK)
-        saved_take(table, &saved);
+        snapshot_install(table, &saved);
     talloc_free(mem);
     return status;
 }
--- a/packages/state/src/saved.h
+++ b/packages/state/src/saved.h
@@ -1,16 +1,16 @@
 #ifndef STATE_SRC_SAVED_H
 #define STATE_SRC_SAVED_H
 
-/* The state as a snapshot, and back. */
+/* Saving the state as a snapshot and loading it. */
 
 #include "inside.h"
 
-/* Makes the state empty, in new memory; the watchers stay. */
+/* Resets the state to empty, in new memory; the observers remain. */
 void table_clear(Table *table);
-/* arg: the Table. The whole state, on mem. */
+/* Returns the whole state as a snapshot, owned by mem. arg: the Table. */
 Bytes table_save(void *arg, void *mem);
-/* arg: the Table. Replaces the state by a saved one, by an empty one for no bytes; left as
- * it is when the bytes can't be read (the status of shape_unpack). */
+/* Replaces the state by a snapshot, or by an empty state when there are no bytes. arg: the Table. When the bytes can't
+ * be decoded the state is unchanged, and the status is that of shape_unpack. */
 Status table_load(void *arg, Bytes bytes);
 
 #endif
--- a/packages/state/src/sums.c
+++ b/packages/state/src/sums.c
@@ -1,4 +1,4 @@
-/* What a job's tasks add up to, updated with each change of a phase. */
+/* Sums over the tasks of a job, updated with each change of a phase. */
 #include <string.h>
 #include <talloc.h>
 
@@ -10,7 +10,7 @@
     return &job->sums.left[task->turn * job->spec.steps_count + task->step];
 }
 
-/* A bit for each step that must be done before this one; JOB_STEPS_MAX fit. */
+/* Returns a bit for each step that must be done before this one. JOB_STEPS_MAX steps fit. */
 static uint64_t before(const JobSpec *spec, const StepSpec *step)
 {
     uint64_t bits = 0;
@@ -21,10 +21,10 @@
     return bits;
 }
 
-void job_sum(Job *job)
+void job_sums_compute(Job *job)
 {
     const size_t steps = job->spec.steps_count, turns = (size_t)job_turn_count(&job->spec);
-    /* one block: 64-bit words for before and done, 32-bit ones for left */
+    /* One allocation: 64-bit words for before and done, 32-bit words for left. */
     uint64_t *words = talloc_zero_array(job, uint64_t, (unsigned)(steps + turns + (steps * turns + 1) / 2));
     job->sums.before = words;
     job->sums.done = words + steps;
@@ -45,7 +45,7 @@
                 job->sums.done[turn] |= UINT64_C(1) << i;
 }
 
-void job_sum_phase(Job *job, const JobTask *task, uint64_t phase)
+void job_sums_update(Job *job, const JobTask *task, uint64_t phase)
 {
     INVARIANT(TASK_COUNTS, job->sums.waiting > 0 || task->phase != TASK_WAITING);
     job->sums.waiting += phase == TASK_WAITING;
--- a/packages/state/src/table.c
+++ b/packages/state/src/table.c
@@ -1,5 +1,5 @@
-/* The state machine as the log uses it: an empty state, its getters, and the dispatch of each
- * log entry to the function that delivers it. */
+/* The state machine: the empty state, the getters, and the dispatch of each log entry to the function that delivers
+ * it. */
 #include <talloc.h>
 
 #include "deliver.h"
@@ -64,8 +64,8 @@
 
 /* --- delivering ----------------------------------------------------------------- */
 
-/* Null: a change of a later release. */
-static const Shape *shape_of(uint64_t kind)
+/* Returns the shape of a change's payload; null for an unknown kind, which a later release may have written. */
+static const Shape *payload_shape(uint64_t kind)
 {
     switch (kind) {
 #define X(name, number, shape) \
@@ -78,7 +78,7 @@
     }
 }
 
-/* Hands the body, unpacked by shape_of's shape, to its function. */
+/* Passes the body, unpacked with the shape from payload_shape, to the function that delivers it. */
 static void dispatch(Table *table, const Record *change, const void *body, ChangeResult *result)
 {
     switch ((ChangeKind)change->change) {
@@ -127,7 +127,7 @@
 static void table_deliver(void *arg, const Record *change, ChangeResult *result)
 {
     Table *table = arg;
-    const Shape *shape = shape_of(change->change);
+    const Shape *shape = payload_shape(change->change);
     if (shape == NULL)
         return;
     void *mem = talloc_new(NULL);
--- a/packages/state/src/versions.c
+++ b/packages/state/src/versions.c
@@ -1,4 +1,5 @@
-/* The versions of the operators' configuration: one whole text, merge patches on it, and the digests of older calls. */
+/* The version history of the operators' configuration: one whole text, merge patches on it, and the digests of older
+ * calls. */
 #include "state/versions.h"
 
 #include <string.h>
@@ -9,11 +10,11 @@
 
 SHAPE_TABLE(Version, VERSION_FIELDS)
 
-Versions *versions_new(void *mem, size_t keep, size_t known)
+Versions *versions_new(void *mem, size_t text_limit, size_t digest_limit)
 {
     Versions *versions = talloc_zero(mem, Versions);
-    versions->keep = keep;
-    versions->known = known;
+    versions->text_limit = text_limit;
+    versions->digest_limit = digest_limit;
     return versions;
 }
 
@@ -49,8 +50,8 @@
 
 /* --- reading ------------------------------------------------------------------- */
 
-/* The tree of a row, made from the last whole text before it or, where that is later,
- * from have, the tree of version have_version. The caller puts it. */
+/* Returns the tree of a row, built from the last whole text up to it or, if that is later, from have, the tree of
+ * version have_version. The caller releases it by json_object_put. */
 static json_object *tree_at(const Versions *versions, size_t at, json_object *have, uint64_t have_version)
 {
     size_t from = at;
@@ -70,7 +71,7 @@
 
 static const char *text_at(const Versions *versions, void *mem, size_t at)
 {
-    if (!versions->rows[at].patch) /* as it was sent */
+    if (!versions->rows[at].patch) /* return the text unchanged, as the caller sent it */
         return talloc_strdup(mem, versions->rows[at].text);
     json_object *tree = tree_at(versions, at, NULL, 0);
     const char *text = document_text(mem, tree);
@@ -101,14 +102,13 @@
     versions->bytes += strlen(text);
 }
 
-static void whole_measure(Versions *versions)
+static void measure_first_text(Versions *versions)
 {
-    versions->whole_bytes = versions->whole < versions->count ? strlen(versions->rows[versions->whole].text) : 0;
+    versions->first_text_bytes = versions->whole < versions->count ? strlen(versions->rows[versions->whole].text) : 0;
 }
 
-/* The row becomes the whole one, made from its patch if need be; the texts before it are
- * dropped. */
-static void whole_set(Versions *versions, size_t at)
+/* Makes the row the first one with a text: replaces a patch by the whole text and drops the texts before it. */
+static void set_first_text(Versions *versions, size_t at)
 {
     Version *row = &versions->rows[at];
     if (row->patch) {
@@ -118,10 +118,10 @@
     for (size_t i = versions->whole; i < at; i++)
         text_set(versions, &versions->rows[i], talloc_strdup(versions, ""));
     versions->whole = at;
-    whole_measure(versions);
+    measure_first_text(versions);
 }
 
-/* Drops the first rows; whole must be beyond them. */
+/* Drops the first count rows; whole must not be among them. */
 static void rows_drop(Versions *versions, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
@@ -133,41 +133,41 @@
     memmove(versions->rows, versions->rows + count, versions->count * sizeof(*versions->rows));
 }
 
-/* Keeps the bounds: of readable versions, of known calls, of bytes. Texts and rows are dropped
- * CONFIG_HISTORY_STEP at a time, since making a patch whole costs a parse. */
+/* Enforces the bounds on the numbers of texts and digests and on bytes. Texts and rows are dropped in batches of more
+ * than CONFIG_HISTORY_STEP, since replacing a patch by the whole text costs a parse. */
 static void trim(Versions *versions)
 {
-    if (versions->count - versions->whole > versions->keep + CONFIG_HISTORY_STEP)
-        whole_set(versions, versions->count - versions->keep);
-    if (versions->count > versions->known + CONFIG_HISTORY_STEP) {
-        const size_t drop = versions->count - versions->known;
+    if (versions->count - versions->whole > versions->text_limit + CONFIG_HISTORY_STEP)
+        set_first_text(versions, versions->count - versions->text_limit);
+    if (versions->count > versions->digest_limit + CONFIG_HISTORY_STEP) {
+        const size_t drop = versions->count - versions->digest_limit;
         if (versions->whole < drop)
-            whole_set(versions, drop);
+            set_first_text(versions, drop);
         rows_drop(versions, drop);
     }
-    size_t at = versions->whole, beside = versions->bytes - versions->whole_bytes;
-    if (beside <= CONFIG_HISTORY_BYTES)
+    size_t at = versions->whole, later_bytes = versions->bytes - versions->first_text_bytes;
+    if (later_bytes <= CONFIG_HISTORY_BYTES)
         return;
-    while (beside > CONFIG_HISTORY_BYTES / 2) /* at the newest it is 0 */
-        beside -= strlen(versions->rows[++at].text);
-    whole_set(versions, at);
+    while (later_bytes > CONFIG_HISTORY_BYTES / 2) /* 0 at the newest row, so the loop ends there */
+        later_bytes -= strlen(versions->rows[++at].text);
+    set_first_text(versions, at);
 }
 
 static void row_add(Versions *versions, const Version *row)
 {
     versions->rows = talloc_realloc(versions, versions->rows, Version, (unsigned)(versions->count + 1));
-    Version *kept = &versions->rows[versions->count++];
-    *kept = *row;
-    kept->text = talloc_strdup(versions, row->text);
-    kept->digest = talloc_strdup(versions, row->digest);
-    versions->bytes += strlen(kept->text);
+    Version *stored = &versions->rows[versions->count++];
+    *stored = *row;
+    stored->text = talloc_strdup(versions, row->text);
+    stored->digest = talloc_strdup(versions, row->digest);
+    versions->bytes += strlen(stored->text);
 }
 
 void versions_add(Versions *versions, const Version *row)
 {
     row_add(versions, row);
     if (versions->count == 1)
-        whole_measure(versions);
+        measure_first_text(versions);
     trim(versions);
 }
 
@@ -177,5 +177,5 @@
         row_add(versions, &rows[i]);
     while (versions->whole < versions->count && versions->rows[versions->whole].text[0] == '\0')
         versions->whole++;
-    whole_measure(versions);
+    measure_first_text(versions);
 }
--- a/packages/state/src/worker.c
+++ b/packages/state/src/worker.c
@@ -1,4 +1,4 @@
-/* The shapes of workers and of agents' updates on attempts, and the words of the latter. */
+/* Shapes of workers and of updates on attempts, and the names of the attempt status. */
 #include "state/worker.h"
 
 #include <string.h>
--- a/packages/state/test/attempts.c
+++ b/packages/state/test/attempts.c
@@ -1,20 +1,20 @@
-/* What becomes of a task by how its attempt ends: misses, losses, rests, limits, lasting work,
- * progress. */
+/* Tests of the effect of the end of an attempt on its task: counts of failures and losses, retry delays, limits,
+ * lasting tasks and checkpoints. */
 #include "board.h"
 
 static const uint64_t FIRST[] = {0};
 
-static StepSpec one(void)
+static StepSpec single_task_step(void)
 {
     return (StepSpec){.name = "s", .count = 1, .kind = "", .payload = "", .near = "", .saves = true};
 }
 
-/* One attempt of the first task, to its end. */
-static void attempt_ended(Board *board, uint64_t attempt, AttemptWord word)
+/* Places the first task and reports its attempt as running and then as ended. */
+static void run_attempt(Board *fixture, uint64_t attempt, AttemptWord word)
 {
-    assert_int_equal(place(board, "j", FIRST, 1, attempt, "w", ""), 1);
-    say(board, "j", 0, attempt, "w", ATTEMPT_RUNNING, "");
-    say(board, "j", 0, attempt, "w", word, "");
+    assert_int_equal(place(fixture, "j", FIRST, 1, attempt, "w", ""), 1);
+    say(fixture, "j", 0, attempt, "w", ATTEMPT_RUNNING, "");
+    say(fixture, "j", 0, attempt, "w", word, "");
 }
 
 static void each_end_counts_as_its_kind(void **state)
@@ -23,162 +23,163 @@
     static const struct {
         AttemptWord word;
         uint64_t misses, losses;
-        bool rests;
+        bool delayed;
     } WORDS[] = {{ATTEMPT_FAILED, 1, 0, true},   {ATTEMPT_LOST, 0, 1, false},   {ATTEMPT_LAPSED, 0, 1, false},
                  {ATTEMPT_STOPPED, 0, 0, false}, {ATTEMPT_BROKEN, 0, 0, false}, {ATTEMPT_ISOLATED, 0, 0, true},
                  {ATTEMPT_REFUSED, 0, 0, true}};
     for (size_t i = 0; i < sizeof(WORDS) / sizeof(WORDS[0]); i++) {
-        Board board = board_new();
-        StepSpec step = one();
+        Board fixture = board_new();
+        StepSpec step = single_task_step();
         const JobSpec spec = spec_of("j", &step, 1);
-        const Job *job = job_add(&board, &spec, (JobTerms){0});
-        attempt_ended(&board, 1, WORDS[i].word);
+        const Job *job = job_add(&fixture, &spec, (JobTerms){0});
+        run_attempt(&fixture, 1, WORDS[i].word);
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
         assert_int_equal(job->tasks[0].misses, WORDS[i].misses);
         assert_int_equal(job->tasks[0].losses, WORDS[i].losses);
-        assert_int_equal(job->tasks[0].rest_until_ms > board.at_ms, WORDS[i].rests);
-        assert_int_equal(table_waiting_in(board.table, "c", "q"), 1);
-        talloc_free(board.table);
+        assert_int_equal(job->tasks[0].rest_until_ms > fixture.at_ms, WORDS[i].delayed);
+        assert_int_equal(table_waiting_in(fixture.table, "c", "q"), 1);
+        talloc_free(fixture.table);
     }
 }
 
-/* The terms' limit counts where they have one, else the spec's. */
+/* The limit on attempts comes from the terms if they have one, else from the specification. */
 static void terms_limit_before_spec_limit(void **state)
 {
     (void)state;
     for (uint64_t limit = 0; limit < 6; limit += 5) {
-        Board board = board_new();
-        StepSpec step = one();
+        Board fixture = board_new();
+        StepSpec step = single_task_step();
         const JobSpec spec = spec_of("j", &step, 1);
-        const Job *job = job_add(&board, &spec, (JobTerms){.attempt_limit = limit});
-        const uint64_t most = limit > 0 ? limit : 3;
-        int64_t rest_ms = 0;
-        for (uint64_t attempt = 1; attempt <= most; attempt++) {
+        const Job *job = job_add(&fixture, &spec, (JobTerms){.attempt_limit = limit});
+        const uint64_t max_attempts = limit > 0 ? limit : 3;
+        int64_t delay_ms = 0;
+        for (uint64_t attempt = 1; attempt <= max_attempts; attempt++) {
             assert_int_equal(job->phase, JOB_ACTIVE);
-            attempt_ended(&board, attempt, ATTEMPT_FAILED);
-            const int64_t next_ms = job->tasks[0].rest_until_ms - board.at_ms;
-            assert_true(attempt == most || next_ms > rest_ms);
-            rest_ms = next_ms;
+            run_attempt(&fixture, attempt, ATTEMPT_FAILED);
+            const int64_t next_delay_ms = job->tasks[0].rest_until_ms - fixture.at_ms;
+            assert_true(attempt == max_attempts || next_delay_ms > delay_ms);
+            delay_ms = next_delay_ms;
         }
         assert_int_equal(job->phase, JOB_FAILED);
         assert_int_equal(job->tasks[0].phase, TASK_FAILED);
-        assert_int_equal(table_waiting_in(board.table, "c", "q"), 0);
-        talloc_free(board.table);
+        assert_int_equal(table_waiting_in(fixture.table, "c", "q"), 0);
+        talloc_free(fixture.table);
     }
 }
 
-/* A failure reported of an older attempt counts, reported again it does not, and one of an
- * attempt that the disks lost raises the number of the next. */
+/* A late failure report of an older attempt counts, but only once. A report of an attempt that the disks lost raises
+ * the task's attempt number. */
 static void late_failure_counts_once(void **state)
 {
     (void)state;
-    Board board = board_new();
-    StepSpec step = one();
+    Board fixture = board_new();
+    StepSpec step = single_task_step();
     const JobSpec spec = spec_of("j", &step, 1);
-    const Job *job = job_add(&board, &spec, (JobTerms){.attempt_limit = 3});
-    place(&board, "j", FIRST, 1, 1, "w", "");
-    lose(&board, "w");
-    assert_int_equal(place(&board, "j", FIRST, 1, 2, "v", ""), 1);
-    say(&board, "j", 0, 1, "w", ATTEMPT_FAILED, "");
-    say(&board, "j", 0, 1, "w", ATTEMPT_FAILED, "");
+    const Job *job = job_add(&fixture, &spec, (JobTerms){.attempt_limit = 3});
+    place(&fixture, "j", FIRST, 1, 1, "w", "");
+    lose(&fixture, "w");
+    assert_int_equal(place(&fixture, "j", FIRST, 1, 2, "v", ""), 1);
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_FAILED, "");
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_FAILED, "");
     assert_int_equal(job->tasks[0].misses, 1);
     assert_int_equal(job->tasks[0].phase, TASK_PLACED);
-    say(&board, "j", 0, 2, "v", ATTEMPT_FAILED, "");
-    say(&board, "j", 0, 2, "v", ATTEMPT_FAILED, "");
+    say(&fixture, "j", 0, 2, "v", ATTEMPT_FAILED, "");
+    say(&fixture, "j", 0, 2, "v", ATTEMPT_FAILED, "");
     assert_int_equal(job->tasks[0].misses, 2);
-    assert_int_equal(place(&board, "j", FIRST, 1, 2, "v", ""), 0); /* a number once given */
-    say(&board, "j", 0, 7, "u", ATTEMPT_FAILED, "");
+    assert_int_equal(place(&fixture, "j", FIRST, 1, 2, "v", ""), 0); /* the number is already used */
+    say(&fixture, "j", 0, 7, "u", ATTEMPT_FAILED, "");
     assert_int_equal(job->phase, JOB_FAILED);
     assert_int_equal(job->tasks[0].attempt, 7);
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
-/* An attempt's number far beyond what can have been lost would leave none for the next. */
+/* A report with an attempt number far above what the disks can have lost is ignored: accepting it would leave no number
+ * for the next attempt. */
 static void far_attempt_number_changes_nothing(void **state)
 {
     (void)state;
-    Board board = board_new();
-    StepSpec step = one();
+    Board fixture = board_new();
+    StepSpec step = single_task_step();
     const JobSpec spec = spec_of("j", &step, 1);
-    const Job *job = job_add(&board, &spec, (JobTerms){0});
+    const Job *job = job_add(&fixture, &spec, (JobTerms){0});
     for (int word = 0; word < ATTEMPT_WORD_COUNT; word++)
         if (word != ATTEMPT_DONE)
-            say(&board, "j", 0, UINT64_MAX, "w", (AttemptWord)word, "");
+            say(&fixture, "j", 0, UINT64_MAX, "w", (AttemptWord)word, "");
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
-    assert_int_equal(place(&board, "j", FIRST, 1, 1, "w", ""), 1);
-    talloc_free(board.table);
+    assert_int_equal(place(&fixture, "j", FIRST, 1, 1, "w", ""), 1);
+    talloc_free(fixture.table);
 }
 
-/* Done is done, in whichever attempt; the newer one's worker gets new orders. */
+/* A report that an older attempt is done ends the task, and the worker of the newer attempt gets new orders. */
 static void older_attempt_done_ends_the_task(void **state)
 {
     (void)state;
-    Board board = board_new();
-    StepSpec step = one();
+    Board fixture = board_new();
+    StepSpec step = single_task_step();
     const JobSpec spec = spec_of("j", &step, 1);
-    const Job *job = job_add(&board, &spec, (JobTerms){0});
-    place(&board, "j", FIRST, 1, 1, "w", "");
-    lose(&board, "w");
-    place(&board, "j", FIRST, 1, 2, "v", "");
-    const uint64_t orders = table_orders(board.table, "v");
-    say(&board, "j", 0, 1, "w", ATTEMPT_DONE, "");
+    const Job *job = job_add(&fixture, &spec, (JobTerms){0});
+    place(&fixture, "j", FIRST, 1, 1, "w", "");
+    lose(&fixture, "w");
+    place(&fixture, "j", FIRST, 1, 2, "v", "");
+    const uint64_t orders = table_orders(fixture.table, "v");
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_DONE, "");
     assert_int_equal(job->phase, JOB_DONE);
-    assert_true(table_orders(board.table, "v") > orders);
+    assert_true(table_orders(fixture.table, "v") > orders);
     const TaskOn *on;
-    assert_int_equal(table_tasks_on(board.table, "v", &on), 0);
-    say(&board, "j", 0, 2, "v", ATTEMPT_FAILED, "");
+    assert_int_equal(table_tasks_on(fixture.table, "v", &on), 0);
+    say(&fixture, "j", 0, 2, "v", ATTEMPT_FAILED, "");
     assert_int_equal(job->phase, JOB_DONE);
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
-/* An end that the worker's agent reported needs no new orders; one that the leader decided does. */
+/* An end that the worker's agent reported does not change the worker's orders; one that the leader decided does. */
 static void orders_grow_unless_agent_reported(void **state)
 {
     (void)state;
-    Board board = board_new();
-    StepSpec step = one();
+    Board fixture = board_new();
+    StepSpec step = single_task_step();
     const JobSpec spec = spec_of("j", &step, 1);
-    job_add(&board, &spec, (JobTerms){0});
-    place(&board, "j", FIRST, 1, 1, "w", "");
-    uint64_t orders = table_orders(board.table, "w");
-    say(&board, "j", 0, 1, "w", ATTEMPT_RUNNING, "");
-    say(&board, "j", 0, 1, "w", ATTEMPT_STOPPED, "");
-    assert_int_equal(table_orders(board.table, "w"), orders);
-    place(&board, "j", FIRST, 1, 2, "w", "");
-    assert_true(table_orders(board.table, "w") > orders);
-    orders = table_orders(board.table, "w");
-    say(&board, "j", 0, 2, "w", ATTEMPT_LOST, "");
-    assert_true(table_orders(board.table, "w") > orders);
-    place(&board, "j", FIRST, 1, 3, "w", "");
-    say(&board, "j", 0, 3, "w", ATTEMPT_RUNNING, "");
-    orders = table_orders(board.table, "w");
-    cancel(&board, "j");
-    assert_true(table_orders(board.table, "w") > orders);
-    talloc_free(board.table);
+    job_add(&fixture, &spec, (JobTerms){0});
+    place(&fixture, "j", FIRST, 1, 1, "w", "");
+    uint64_t orders = table_orders(fixture.table, "w");
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_RUNNING, "");
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_STOPPED, "");
+    assert_int_equal(table_orders(fixture.table, "w"), orders);
+    place(&fixture, "j", FIRST, 1, 2, "w", "");
+    assert_true(table_orders(fixture.table, "w") > orders);
+    orders = table_orders(fixture.table, "w");
+    say(&fixture, "j", 0, 2, "w", ATTEMPT_LOST, "");
+    assert_true(table_orders(fixture.table, "w") > orders);
+    place(&fixture, "j", FIRST, 1, 3, "w", "");
+    say(&fixture, "j", 0, 3, "w", ATTEMPT_RUNNING, "");
+    orders = table_orders(fixture.table, "w");
+    cancel(&fixture, "j");
+    assert_true(table_orders(fixture.table, "w") > orders);
+    talloc_free(fixture.table);
 }
 
-/* What was being stopped has stopped: no loss, however it becomes known. */
+/* The end of a task that was ordered to stop is not a loss, whether the agent reports it or the worker is lost. */
 static void stopped_is_no_loss(void **state)
 {
     (void)state;
     for (int by_update = 0; by_update < 2; by_update++) {
-        Board board = board_new();
-        StepSpec step = one();
+        Board fixture = board_new();
+        StepSpec step = single_task_step();
         JobSpec spec = spec_of("j", &step, 1);
-        spec.protection = PROTECTION_NONE; /* one loss would be its end */
-        const Job *job = job_add(&board, &spec, (JobTerms){0});
-        place(&board, "j", FIRST, 1, 1, "w", "");
+        spec.protection = PROTECTION_NONE; /* a single loss would fail the task */
+        const Job *job = job_add(&fixture, &spec, (JobTerms){0});
+        place(&fixture, "j", FIRST, 1, 1, "w", "");
         AttemptId id = {"j", 0, 1};
         const StopList list = {&id, 1, "pushed"};
-        notify(&board, CHANGE_STOP, &StopList_shape, &list);
+        deliver_change(&fixture, CHANGE_STOP, &StopList_shape, &list);
         assert_int_equal(job->tasks[0].phase, TASK_STOPPING);
         if (by_update)
-            say(&board, "j", 0, 1, "w", ATTEMPT_LAPSED, "");
+            say(&fixture, "j", 0, 1, "w", ATTEMPT_LAPSED, "");
         else
-            lose(&board, "w");
+            lose(&fixture, "w");
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
         assert_int_equal(job->tasks[0].losses, 0);
-        talloc_free(board.table);
+        talloc_free(fixture.table);
     }
 }
 
@@ -187,83 +188,83 @@
     (void)state;
     static const AttemptWord WORDS[] = {ATTEMPT_DONE, ATTEMPT_FAILED, ATTEMPT_STOPPED, ATTEMPT_LAPSED};
     for (size_t i = 0; i < sizeof(WORDS) / sizeof(WORDS[0]); i++) {
-        Board board = board_new();
-        StepSpec step = one();
+        Board fixture = board_new();
+        StepSpec step = single_task_step();
         const JobSpec spec = spec_of("j", &step, 1);
-        const Job *job = job_add(&board, &spec, (JobTerms){0});
-        place(&board, "j", FIRST, 1, 1, "w", "");
-        assert_int_equal(cancel(&board, "j").status, STATUS_OK);
+        const Job *job = job_add(&fixture, &spec, (JobTerms){0});
+        place(&fixture, "j", FIRST, 1, 1, "w", "");
+        assert_int_equal(cancel(&fixture, "j").status, STATUS_OK);
         assert_int_equal(job->phase, JOB_ACTIVE);
-        assert_int_equal(place(&board, "j", FIRST, 1, 2, "w", ""), 0);
-        say(&board, "j", 0, 1, "w", WORDS[i], "");
+        assert_int_equal(place(&fixture, "j", FIRST, 1, 2, "w", ""), 0);
+        say(&fixture, "j", 0, 1, "w", WORDS[i], "");
         assert_int_equal(job->phase, JOB_CANCELLED);
-        assert_int_equal(cancel(&board, "j").status, STATUS_OK);
-        talloc_free(board.table);
+        assert_int_equal(cancel(&fixture, "j").status, STATUS_OK);
+        talloc_free(fixture.table);
     }
 }
 
-/* However a lasting task's attempt ends it waits again; only a cancel ends the job. */
+/* A lasting task waits for another attempt however the last one ended; only a cancellation ends the job. */
 static void lasting_task_always_goes_on(void **state)
 {
     (void)state;
-    Board board = board_new();
-    StepSpec step = one();
+    Board fixture = board_new();
+    StepSpec step = single_task_step();
     JobSpec spec = spec_of("j", &step, 1);
     spec.lasting = true;
     spec.protection = PROTECTION_NONE;
-    const Job *job = job_add(&board, &spec, (JobTerms){.attempt_limit = 1});
+    const Job *job = job_add(&fixture, &spec, (JobTerms){.attempt_limit = 1});
     uint64_t attempt = 0;
     for (int word = 0; word < ATTEMPT_WORD_COUNT; word++) {
         if (word == ATTEMPT_RUNNING)
             continue;
-        attempt_ended(&board, ++attempt, (AttemptWord)word);
+        run_attempt(&fixture, ++attempt, (AttemptWord)word);
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
-        assert_true(job->tasks[0].rest_until_ms - board.at_ms <= LASTING_REST_MAX_MS);
+        assert_true(job->tasks[0].rest_until_ms - fixture.at_ms <= LASTING_REST_MAX_MS);
     }
-    /* quick failures rest longer each time, up to a bound; a long attempt forgives them */
+    /* The retry delay grows with each early failure up to a maximum, and a long attempt resets it. */
     for (int i = 0; i < 20; i++)
-        attempt_ended(&board, ++attempt, ATTEMPT_FAILED);
-    assert_int_equal(job->tasks[0].rest_until_ms - board.at_ms, LASTING_REST_MAX_MS);
-    place(&board, "j", FIRST, 1, ++attempt, "w", "");
-    say(&board, "j", 0, attempt, "w", ATTEMPT_RUNNING, "");
-    board.at_ms += LASTING_STEADY_MS;
-    say(&board, "j", 0, attempt, "w", ATTEMPT_FAILED, "");
-    assert_int_equal(job->tasks[0].rest_until_ms - board.at_ms, FAILED_REST_MS);
-    cancel(&board, "j");
+        run_attempt(&fixture, ++attempt, ATTEMPT_FAILED);
+    assert_int_equal(job->tasks[0].rest_until_ms - fixture.at_ms, LASTING_REST_MAX_MS);
+    place(&fixture, "j", FIRST, 1, ++attempt, "w", "");
+    say(&fixture, "j", 0, attempt, "w", ATTEMPT_RUNNING, "");
+    fixture.at_ms += LASTING_STEADY_MS;
+    say(&fixture, "j", 0, attempt, "w", ATTEMPT_FAILED, "");
+    assert_int_equal(job->tasks[0].rest_until_ms - fixture.at_ms, FAILED_REST_MS);
+    cancel(&fixture, "j");
     assert_int_equal(job->phase, JOB_CANCELLED);
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
 static void progress_goes_to_the_next_attempt(void **state)
 {
     (void)state;
-    Board board = board_new();
-    StepSpec steps[] = {one(), one()};
+    Board fixture = board_new();
+    StepSpec steps[] = {single_task_step(), single_task_step()};
     steps[1].name = "forgets";
     steps[1].saves = false;
     const JobSpec spec = spec_of("j", steps, 2);
-    const Job *job = job_add(&board, &spec, (JobTerms){0});
+    const Job *job = job_add(&fixture, &spec, (JobTerms){0});
     const uint64_t second = TASK_NUMBER(0, 1, 0);
-    place(&board, "j", FIRST, 1, 1, "w", "");
-    place(&board, "j", &second, 1, 1, "w", "");
-    say(&board, "j", 0, 1, "w", ATTEMPT_RUNNING, "p1");
-    say(&board, "j", second, 1, "w", ATTEMPT_STOPPED, "p1");
+    place(&fixture, "j", FIRST, 1, 1, "w", "");
+    place(&fixture, "j", &second, 1, 1, "w", "");
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_RUNNING, "p1");
+    say(&fixture, "j", second, 1, "w", ATTEMPT_STOPPED, "p1");
     assert_string_equal(job->tasks[0].saved, "p1");
     assert_string_equal(job->tasks[1].saved, "");
-    say(&board, "j", 0, 1, "w", ATTEMPT_STOPPED, "p2");
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_STOPPED, "p2");
     assert_string_equal(job->tasks[0].saved, "p2");
-    say(&board, "j", 0, 1, "w", ATTEMPT_LAPSED, ""); /* reported late, and empty: nothing to keep */
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_LAPSED, ""); /* a late report without a checkpoint */
     assert_string_equal(job->tasks[0].saved, "p2");
-    place(&board, "j", FIRST, 1, 2, "w", "p3"); /* the leader has heard more from heartbeats */
+    place(&fixture, "j", FIRST, 1, 2, "w", "p3"); /* the leader has a newer checkpoint from heartbeats */
     assert_string_equal(job->tasks[0].saved, "p3");
-    say(&board, "j", 0, 1, "w", ATTEMPT_STOPPED, "p2"); /* of an older attempt */
+    say(&fixture, "j", 0, 1, "w", ATTEMPT_STOPPED, "p2"); /* report of an older attempt */
     assert_string_equal(job->tasks[0].saved, "p3");
-    again(&board);
-    assert_string_equal(table_job(board.table, "j")->tasks[0].saved, "p3");
-    talloc_free(board.table);
+    again(&fixture);
+    assert_string_equal(table_job(fixture.table, "j")->tasks[0].saved, "p3");
+    talloc_free(fixture.table);
 }
 
-/* A number that the job does not have finds nothing and harms nothing. */
+/* Changes that name a task number that the job does not have are ignored. */
 static void unknown_task_number_changes_nothing(void **state)
 {
     (void)state;
@@ -276,23 +277,23 @@
                                        TASK_NUMBER(9999, 0, 0),
                                        UINT64_MAX,
                                        UINT64_MAX / 2};
-    Board board = board_new();
-    StepSpec step = one();
+    Board fixture = board_new();
+    StepSpec step = single_task_step();
     const JobSpec spec = spec_of("j", &step, 1);
-    const Job *job = job_add(&board, &spec, (JobTerms){0});
+    const Job *job = job_add(&fixture, &spec, (JobTerms){0});
     for (size_t i = 0; i < sizeof(NUMBERS) / sizeof(NUMBERS[0]); i++) {
         assert_int_equal(task_index(job, NUMBERS[i]), job->tasks_count);
-        assert_int_equal(place(&board, "j", &NUMBERS[i], 1, 1, "w", ""), 0);
+        assert_int_equal(place(&fixture, "j", &NUMBERS[i], 1, 1, "w", ""), 0);
         for (int word = 0; word < ATTEMPT_WORD_COUNT; word++)
-            say(&board, "j", NUMBERS[i], 1, "w", (AttemptWord)word, "x");
+            say(&fixture, "j", NUMBERS[i], 1, "w", (AttemptWord)word, "x");
         AttemptId id = {"j", NUMBERS[i], 0};
         const StopList list = {&id, 1, ""};
-        notify(&board, CHANGE_STOP, &StopList_shape, &list);
-        notify(&board, CHANGE_ASSURE, &StopList_shape, &list);
+        deliver_change(&fixture, CHANGE_STOP, &StopList_shape, &list);
+        deliver_change(&fixture, CHANGE_ASSURE, &StopList_shape, &list);
     }
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
     assert_int_equal(job->tasks[0].attempt, 0);
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
 int main(void)
--- a/packages/state/test/board.h
+++ b/packages/state/test/board.h
@@ -1,7 +1,7 @@
 #ifndef STATE_TEST_BOARD_H
 #define STATE_TEST_BOARD_H
 
-/* The fixture of the table's tests: a table driven by hand. Each call delivers one change. */
+/* The fixture of the tests of the state table: a table without a log, whose changes the test delivers one by one. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,21 +14,21 @@
 #include "base/constants.h"
 #include "state/table.h"
 
-/* The next change comes at log time at_ms. */
+/* A table with the log time of the next change and the index of the last one. */
 typedef struct Board {
     Table *table;
     int64_t at_ms;
     uint64_t index;
 } Board;
 
-/* Packs the body and delivers it as one change. */
-static inline ChangeResult notify(Board *board, ChangeKind kind, const Shape *shape, const void *body)
+/* Packs the body, delivers it as one change and returns the result. */
+static inline ChangeResult deliver_change(Board *fixture, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {.change = kind, .index = ++board->index, .at_ms = board->at_ms};
+    Record change = {.change = kind, .index = ++fixture->index, .at_ms = fixture->at_ms};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ReplicationState state = table_state(board->table);
+    const ReplicationState state = table_state(fixture->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
     return result;
@@ -39,22 +39,22 @@
     return (Board){table_new(NULL), 1000, 0};
 }
 
-/* A job of cell c, tenant t, queue q. */
+/* Returns the specification of a job of cell c, tenant t and queue q. */
 static inline JobSpec spec_of(const char *id, StepSpec *steps, size_t count)
 {
     return (JobSpec){
         .id = id, .cell = "c", .tenant = "t", .queue = "q", .attempt_limit = 3, .steps = steps, .steps_count = count};
 }
 
-static inline const Job *job_add(Board *board, const JobSpec *spec, JobTerms terms)
+static inline const Job *job_add(Board *fixture, const JobSpec *spec, JobTerms terms)
 {
     const JobAdd add = {*spec, terms};
-    assert_int_equal(notify(board, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OK);
-    return table_job(board->table, spec->id);
+    assert_int_equal(deliver_change(fixture, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OK);
+    return table_job(fixture->table, spec->id);
 }
 
-/* Places tasks, by their numbers, all under one attempt number; how many were taken. */
-static inline uint64_t place(Board *board, const char *job, const uint64_t *tasks, size_t count, uint64_t attempt,
+/* Places tasks, given by their numbers, under one attempt number. Returns how many placements were applied. */
+static inline uint64_t place(Board *fixture, const char *job, const uint64_t *tasks, size_t count, uint64_t attempt,
                              const char *worker, const char *saved)
 {
     Placement *places = talloc_zero_array(NULL, Placement, (unsigned)count);
@@ -62,39 +62,39 @@
         places[i] = (Placement){
             .job = job, .task = tasks[i], .attempt = attempt, .worker = worker, .incarnation = 1, .saved = saved};
     const PlaceList list = {places, count};
-    const ChangeResult result = notify(board, CHANGE_PLACE, &PlaceList_shape, &list);
+    const ChangeResult result = deliver_change(fixture, CHANGE_PLACE, &PlaceList_shape, &list);
     talloc_free(places);
     return result.number;
 }
 
-/* The worker's agent reports on an attempt. */
-static inline void say(Board *board, const char *job, uint64_t task, uint64_t attempt, const char *worker,
+/* Delivers a report of the worker's agent on an attempt. */
+static inline void say(Board *fixture, const char *job, uint64_t task, uint64_t attempt, const char *worker,
                        AttemptWord word, const char *saved)
 {
     AttemptUpdate updates = {
         .job = job, .task = task, .attempt = attempt, .worker = worker, .word = word, .text = "", .saved = saved};
     const AttemptList list = {&updates, 1};
-    notify(board, CHANGE_ATTEMPTS, &AttemptList_shape, &list);
+    deliver_change(fixture, CHANGE_ATTEMPTS, &AttemptList_shape, &list);
 }
 
-/* The worker is lost with all that is on it. */
-static inline void lose(Board *board, const char *worker)
+/* Delivers the loss of a worker, in every incarnation, with all tasks on it. */
+static inline void lose(Board *fixture, const char *worker)
 {
     const WorkerLost lost = {worker, UINT64_MAX};
-    notify(board, CHANGE_WORKER_LOST, &WorkerLost_shape, &lost);
+    deliver_change(fixture, CHANGE_WORKER_LOST, &WorkerLost_shape, &lost);
 }
 
-static inline ChangeResult cancel(Board *board, const char *job)
+static inline ChangeResult cancel(Board *fixture, const char *job)
 {
     const JobCancel body = {job};
-    return notify(board, CHANGE_JOB_CANCEL, &JobCancel_shape, &body);
+    return deliver_change(fixture, CHANGE_JOB_CANCEL, &JobCancel_shape, &body);
 }
 
-/* Saves and loads the state; pointers to jobs are invalid then. */
-static inline void again(Board *board)
+/* Saves and loads the state, and checks that it is saved the same again. Invalidates pointers to jobs. */
+static inline void again(Board *fixture)
 {
     void *mem = talloc_new(NULL);
-    const ReplicationState state = table_state(board->table);
+    const ReplicationState state = table_state(fixture->table);
     const Bytes bytes = state.save(state.arg, mem);
     assert_int_equal(state.load(state.arg, bytes), STATUS_OK);
     const Bytes twice = state.save(state.arg, mem);
--- a/packages/state/test/old_state.c
+++ b/packages/state/test/old_state.c
@@ -1,6 +1,6 @@
-/* What a release before wrote on its disks comes to the same state: the journals of packages/replication/test/fixtures,
- * whose values write_disk.c gave, each field another. No value here may ever follow a change of the sources: it is the
- * format that has changed then, and the disks of releases before are not read any more. */
+/* Tests that the journals of an earlier release (packages/replication/test/fixtures) lead to the same state.
+ * write_disk.c wrote them with a different value in each field. Never adapt an expected value here to a change of the
+ * sources: if a test fails, the format has changed, and the disks of earlier releases can no longer be read. */
 #include <inttypes.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,8 +14,8 @@
 
 #include "old_disk.h"
 
-/* Of a task of the job "tasks", whose other numbers are its place. */
-typedef struct KnownTask {
+/* The expected fields of a task of the job "tasks"; its step, turn and index follow from its position. */
+typedef struct ExpectedTask {
     uint64_t phase, attempt, misses, losses;
     const char *worker;
     uint64_t incarnation;
@@ -23,13 +23,13 @@
     int64_t rest_until_ms, changed_ms, started_ms;
     const char *text, *shunned, *saved;
     uint64_t miss_attempt;
-} KnownTask;
+} ExpectedTask;
 
 #define TASKS 6
 
-/* As the snapshot of core2 has them. Phases are numbers of the format: 0 waiting, 1 placed, 2 running, 3 stopping,
+/* The tasks in the snapshot of core2. Phases are the numbers of the format: 0 waiting, 1 placed, 2 running, 3 stopping,
  * 4 done, 6 cancelled. */
-static const KnownTask BEFORE_LOSS[TASKS] = {
+static const ExpectedTask TASKS_BEFORE_LOSS[TASKS] = {
     {2, 2, 0, 0, "w1", 201, true, 0, 10591, 10588, "", "", "saved0", 0},
     {0, 3, 1, 0, "", 201, false, 10641, 10591, 0, "text1", "w1", "saved1", 3},
     {4, 4, 0, 0, "", 201, false, 0, 10591, 10586, "text2", "", "", 0},
@@ -38,8 +38,8 @@
     {3, 8, 0, 0, "w1", 201, false, 0, 10591, 0, "why5", "w1", "", 0},
 };
 
-/* And when the entry after it is delivered: w1 is lost. */
-static const KnownTask AFTER_LOSS[TASKS] = {
+/* The tasks after delivery of the next entry: worker w1 is lost. */
+static const ExpectedTask TASKS_AFTER_LOSS[TASKS] = {
     {0, 2, 0, 1, "", 201, false, 0, 10606, 10588, "", "", "saved0", 0},
     {0, 3, 1, 0, "", 201, false, 10641, 10591, 0, "text1", "w1", "saved1", 3},
     {4, 4, 0, 0, "", 201, false, 0, 10591, 10586, "text2", "", "", 0},
@@ -142,25 +142,25 @@
     assert_int_equal(job->ended_ms, ended_ms);
 }
 
-static void assert_task(const JobTask *task, const KnownTask *known)
+static void assert_task(const JobTask *task, const ExpectedTask *expected)
 {
-    assert_int_equal(task->phase, known->phase);
-    assert_int_equal(task->attempt, known->attempt);
-    assert_int_equal(task->misses, known->misses);
-    assert_int_equal(task->losses, known->losses);
-    assert_string_equal(task->worker, known->worker);
-    assert_int_equal(task->incarnation, known->incarnation);
-    assert_int_equal(task->assured, known->assured);
-    assert_int_equal(task->rest_until_ms, known->rest_until_ms);
-    assert_int_equal(task->changed_ms, known->changed_ms);
-    assert_int_equal(task->started_ms, known->started_ms);
-    assert_string_equal(task->text, known->text);
-    assert_string_equal(task->shunned, known->shunned);
-    assert_string_equal(task->saved, known->saved);
-    assert_int_equal(task->miss_attempt, known->miss_attempt);
+    assert_int_equal(task->phase, expected->phase);
+    assert_int_equal(task->attempt, expected->attempt);
+    assert_int_equal(task->misses, expected->misses);
+    assert_int_equal(task->losses, expected->losses);
+    assert_string_equal(task->worker, expected->worker);
+    assert_int_equal(task->incarnation, expected->incarnation);
+    assert_int_equal(task->assured, expected->assured);
+    assert_int_equal(task->rest_until_ms, expected->rest_until_ms);
+    assert_int_equal(task->changed_ms, expected->changed_ms);
+    assert_int_equal(task->started_ms, expected->started_ms);
+    assert_string_equal(task->text, expected->text);
+    assert_string_equal(task->shunned, expected->shunned);
+    assert_string_equal(task->saved, expected->saved);
+    assert_int_equal(task->miss_attempt, expected->miss_attempt);
 }
 
-static void assert_jobs(const Table *table, const KnownTask tasks[TASKS])
+static void assert_jobs(const Table *table, const ExpectedTask tasks[TASKS])
 {
     assert_null(table_job(table, "forgotten"));
     assert_job(table, "cancelled", 2, 3, 10591);
@@ -211,11 +211,11 @@
     assert_int_equal(drain->move, move);
     assert_int_equal(drain->based, based);
     assert_int_equal(drain->base, base);
-    /* the order is remembered by its name */
+    /* The order is recognised by its name. */
     assert_int_equal(table_drain_known(table, drain), DRAIN_TAKEN);
 }
 
-static void assert_state(const Table *table, const KnownTask tasks[TASKS])
+static void assert_state(const Table *table, const ExpectedTask tasks[TASKS])
 {
     assert_workers(table);
     assert_full(table);
@@ -228,18 +228,19 @@
     assert_int_equal(table_oldest_ms(table), 10591);
 }
 
-/* The snapshot alone, for nothing tells yet that what follows it is committed. */
+/* A controller that starts alone has only the snapshot, since it can't know yet that later entries are committed. */
 static void only_a_snapshot(void **state)
 {
     (void)state;
     Fleet *fleet = fleet_of();
     opened(fleet, 1, "snapshot-core2");
-    assert_state(controller_table(fleet_node(fleet, FLEET_CONTROLLER, 1)->controller), BEFORE_LOSS);
+    assert_state(controller_table(fleet_node(fleet, FLEET_CONTROLLER, 1)->controller), TASKS_BEFORE_LOSS);
     talloc_free(fleet);
 }
 
-/* The controllers with the disks of one moment, until one leads and has delivered up to index; that one. */
-static FleetNode *together(Fleet *fleet, const char *moment, uint64_t index)
+/* Starts the controllers with the disks of one moment and runs them until one leads and has delivered up to index.
+ * Returns that controller. */
+static FleetNode *start_together(Fleet *fleet, const char *moment, uint64_t index)
 {
     for (int i = 0; i < CONTROLLERS; i++)
         put(fleet, i, talloc_asprintf(fleet, "%s-core%d", moment, i + 1));
@@ -255,7 +256,7 @@
     abort(); /* not reached: fail_msg ends the test */
 }
 
-/* The end of a task whose job was not known is remembered: the job is handed in, and has it. */
+/* The end of a task of an unknown job is remembered: once the job is submitted, the task is done. */
 static void assert_orphan(Fleet *fleet, const FleetNode *leader)
 {
     void *mem = talloc_new(NULL);
@@ -276,8 +277,8 @@
 static void assert_together(const char *moment, uint64_t index)
 {
     Fleet *fleet = fleet_of();
-    const FleetNode *leader = together(fleet, moment, index);
-    assert_state(controller_table(leader->controller), AFTER_LOSS);
+    const FleetNode *leader = start_together(fleet, moment, index);
+    assert_state(controller_table(leader->controller), TASKS_AFTER_LOSS);
     assert_orphan(fleet, leader);
     talloc_free(fleet);
 }
--- a/packages/state/test/state.c
+++ b/packages/state/test/state.c
@@ -1,11 +1,11 @@
-/* The state as a whole: turns and steps, sums beside it, forgetting, snapshots, also those of an
- * earlier release. */
+/* Tests of the state as a whole: turns and steps, derived sums, dropping of old jobs, and snapshots, including those of
+ * an earlier release. */
 #include "../../base/test/draw.h"
 #include "board.h"
 
 static StepSpec three_steps[3];
 
-static JobSpec turning(const char *id)
+static JobSpec spec_with_turns(const char *id)
 {
     static const char *after[] = {"a", "b"};
     three_steps[0] = (StepSpec){.name = "a", .count = 2};
@@ -18,18 +18,18 @@
     return spec;
 }
 
-static void finish(Board *board, const char *id, uint64_t number, uint64_t attempt)
+static void complete_task(Board *fixture, const char *id, uint64_t number, uint64_t attempt)
 {
-    assert_int_equal(place(board, id, &number, 1, attempt, "w", ""), 1);
-    say(board, id, number, attempt, "w", ATTEMPT_DONE, "");
+    assert_int_equal(place(fixture, id, &number, 1, attempt, "w", ""), 1);
+    say(fixture, id, number, attempt, "w", ATTEMPT_DONE, "");
 }
 
 static void turns_wait_for_their_own_steps_only(void **state)
 {
     (void)state;
-    Board board = board_new();
-    const JobSpec spec = turning("j");
-    const Job *job = job_add(&board, &spec, (JobTerms){0});
+    Board fixture = board_new();
+    const JobSpec spec = spec_with_turns("j");
+    const Job *job = job_add(&fixture, &spec, (JobTerms){0});
     assert_int_equal(job->tasks_count, 15);
     for (size_t i = 0; i < job->tasks_count; i++) {
         const JobTask *task = &job->tasks[i];
@@ -39,78 +39,79 @@
         assert_int_equal(task_steps_done(job, task), task->step != 2);
         assert_int_equal(task_first(job, task), i - task->at);
     }
-    /* the second turn is done while the first stands still */
+    /* Complete the second turn while the first makes no progress. */
     const size_t last = 9;
-    finish(&board, "j", TASK_NUMBER(1, 0, 0), 1);
-    finish(&board, "j", TASK_NUMBER(1, 1, 0), 1);
+    complete_task(&fixture, "j", TASK_NUMBER(1, 0, 0), 1);
+    complete_task(&fixture, "j", TASK_NUMBER(1, 1, 0), 1);
     assert_false(task_steps_done(job, &job->tasks[last]));
-    finish(&board, "j", TASK_NUMBER(1, 0, 1), 1);
+    complete_task(&fixture, "j", TASK_NUMBER(1, 0, 1), 1);
     assert_true(task_steps_done(job, &job->tasks[last]));
     assert_false(task_steps_done(job, &job->tasks[4]));
     assert_false(task_steps_done(job, &job->tasks[14]));
-    finish(&board, "j", TASK_NUMBER(1, 2, 0), 1);
-    finish(&board, "j", TASK_NUMBER(1, 2, 1), 1);
-    again(&board);
-    job = table_job(board.table, "j");
+    complete_task(&fixture, "j", TASK_NUMBER(1, 2, 0), 1);
+    complete_task(&fixture, "j", TASK_NUMBER(1, 2, 1), 1);
+    again(&fixture);
+    job = table_job(fixture.table, "j");
     assert_true(task_steps_done(job, &job->tasks[last]));
     assert_false(task_steps_done(job, &job->tasks[4]));
     assert_int_equal(job->phase, JOB_ACTIVE);
     for (uint64_t turn = 0; turn < 3; turn += 2)
         for (uint64_t step = 0; step < 3; step++)
             for (uint64_t at = 0; at < three_steps[step].count; at++)
-                finish(&board, "j", TASK_NUMBER(turn, step, at), 1);
+                complete_task(&fixture, "j", TASK_NUMBER(turn, step, at), 1);
     assert_int_equal(job->phase, JOB_DONE);
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
-/* Terms stay as they were accepted; the body alone says whether it is the same job. */
+/* A job retains the terms with which it was accepted, and only the body decides whether a submission is the same
+ * job. */
 static void terms_stay_as_accepted(void **state)
 {
     (void)state;
-    Board board = board_new();
-    JobSpec spec = turning("j");
+    Board fixture = board_new();
+    JobSpec spec = spec_with_turns("j");
     const JobTerms first = {.attempt_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .priority = 2, .kind = "std"};
-    job_add(&board, &spec, first);
-    const Job *job = job_add(&board, &spec, (JobTerms){.attempt_limit = 9});
+    job_add(&fixture, &spec, first);
+    const Job *job = job_add(&fixture, &spec, (JobTerms){.attempt_limit = 9});
     assert_int_equal(job->terms.attempt_limit, 4);
     spec.period_ms++;
     const JobAdd add = {spec, first};
-    assert_int_equal(notify(&board, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
-    again(&board);
-    job = table_job(board.table, "j");
+    assert_int_equal(deliver_change(&fixture, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
+    again(&fixture);
+    job = table_job(fixture.table, "j");
     assert_string_equal(job->terms.kind, "std");
     assert_int_equal(job->terms.stretch_milli, 2200);
     assert_int_equal(job->spec.turns, 3);
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
-/* Sums against a walk over everything. */
-static void sums_lease(const Board *board)
+/* Compares all sums with an iteration over all jobs and tasks. */
+static void check_sums(const Board *fixture)
 {
     Job *const *jobs;
-    const size_t count = table_jobs(board->table, &jobs);
-    size_t active = 0, waiting = 0, on_w[3] = {0};
+    const size_t count = table_jobs(fixture->table, &jobs);
+    size_t active = 0, waiting = 0, on_worker_count[3] = {0};
     for (size_t j = 0; j < count; j++) {
         const Job *job = jobs[j];
-        size_t open = 0, undone = 0, still = 0;
+        size_t open = 0, undone = 0, waiting_tasks = 0;
         assert_true(j == 0 || jobs[j - 1]->number < job->number);
         active += job->phase == JOB_ACTIVE;
         for (size_t t = 0; t < job->tasks_count; t++) {
             const JobTask *task = &job->tasks[t];
             open += !task_ended(task->phase);
             undone += task->phase != TASK_DONE;
-            still += task->phase == TASK_WAITING;
+            waiting_tasks += task->phase == TASK_WAITING;
             assert_int_equal(task_on_worker(task->phase), task->worker[0] != '\0');
             if (task->worker[0] == '\0')
                 continue;
             const TaskOn *on;
-            assert_true(task->on_at < table_tasks_on(board->table, task->worker, &on));
+            assert_true(task->on_at < table_tasks_on(fixture->table, task->worker, &on));
             assert_ptr_equal(on[task->on_at].job, job);
             assert_int_equal(on[task->on_at].task, t);
-            on_w[task->worker[1] - '0']++;
+            on_worker_count[task->worker[1] - '0']++;
         }
-        waiting += still;
-        assert_int_equal(job->sums.waiting, still);
+        waiting += waiting_tasks;
+        assert_int_equal(job->sums.waiting, waiting_tasks);
         assert_int_equal(job->sums.open, open);
         assert_int_equal(job->sums.undone, undone);
         assert_int_equal(open > 0, job->phase == JOB_ACTIVE);
@@ -122,19 +123,19 @@
             assert_int_equal(task_steps_done(job, &job->tasks[t]), done);
         }
     }
-    Job *const *those;
-    assert_int_equal(table_active(board->table, &those), active);
-    assert_int_equal(table_waiting(board->table, "c"), waiting);
-    assert_int_equal(table_waiting_in(board->table, "c", "q"), active);
-    assert_int_equal(table_waiting_in(board->table, "c", "other"), 0);
+    Job *const *active_jobs;
+    assert_int_equal(table_active(fixture->table, &active_jobs), active);
+    assert_int_equal(table_waiting(fixture->table, "c"), waiting);
+    assert_int_equal(table_waiting_in(fixture->table, "c", "q"), active);
+    assert_int_equal(table_waiting_in(fixture->table, "c", "other"), 0);
     size_t busy = 0;
-    while (table_busy(board->table, busy) != NULL)
+    while (table_busy(fixture->table, busy) != NULL)
         busy++;
-    assert_int_equal(busy, (on_w[0] > 0) + (on_w[1] > 0) + (on_w[2] > 0));
+    assert_int_equal(busy, (on_worker_count[0] > 0) + (on_worker_count[1] > 0) + (on_worker_count[2] > 0));
     for (int w = 0; w < 3; w++) {
         const char name[] = {'w', (char)('0' + w), '\0'};
         const TaskOn *on;
-        assert_int_equal(table_tasks_on(board->table, name, &on), on_w[w]);
+        assert_int_equal(table_tasks_on(fixture->table, name, &on), on_worker_count[w]);
     }
 }
 
@@ -142,85 +143,85 @@
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 20; seed++) {
-        uint64_t lot = seed;
-        Board board = board_new();
+        uint64_t random = seed;
+        Board fixture = board_new();
         for (int i = 0; i < 400; i++) {
-            board.at_ms += (int64_t)draw(&lot, 50);
-            const char id[] = {'j', (char)('0' + draw(&lot, 8)), '\0'};
-            const char worker[] = {'w', (char)('0' + draw(&lot, 3)), '\0'};
-            const Job *job = table_job(board.table, id);
-            const JobTask *task = job != NULL ? &job->tasks[draw(&lot, job->tasks_count)] : NULL;
-            const uint64_t number = task != NULL ? task_number(task) : draw(&lot, 20);
-            switch (draw(&lot, 12)) {
+            fixture.at_ms += (int64_t)draw(&random, 50);
+            const char id[] = {'j', (char)('0' + draw(&random, 8)), '\0'};
+            const char worker[] = {'w', (char)('0' + draw(&random, 3)), '\0'};
+            const Job *job = table_job(fixture.table, id);
+            const JobTask *task = job != NULL ? &job->tasks[draw(&random, job->tasks_count)] : NULL;
+            const uint64_t number = task != NULL ? task_number(task) : draw(&random, 20);
+            switch (draw(&random, 12)) {
             case 0:
             case 1: {
-                JobSpec spec = turning(id);
+                JobSpec spec = spec_with_turns(id);
                 three_steps[0].gang = (id[1] & 1) != 0;
                 spec.lasting = id[1] == '7';
                 const JobAdd add = {spec, {.attempt_limit = 2}};
-                notify(&board, CHANGE_JOB_ADD, &JobAdd_shape, &add);
+                deliver_change(&fixture, CHANGE_JOB_ADD, &JobAdd_shape, &add);
                 break;
             }
             case 2:
-                if (draw(&lot, 4) == 0)
-                    cancel(&board, id);
+                if (draw(&random, 4) == 0)
+                    cancel(&fixture, id);
                 break;
             case 3:
-                if (draw(&lot, 4) == 0)
-                    lose(&board, worker);
+                if (draw(&random, 4) == 0)
+                    lose(&fixture, worker);
                 break;
             case 4: {
-                const Forget forget = {board.at_ms - 2000};
-                notify(&board, CHANGE_FORGET, &Forget_shape, &forget);
-                assert_true(table_oldest_ms(board.table) >= forget.before_ms);
+                const Forget forget = {fixture.at_ms - 2000};
+                deliver_change(&fixture, CHANGE_FORGET, &Forget_shape, &forget);
+                assert_true(table_oldest_ms(fixture.table) >= forget.before_ms);
                 break;
             }
             case 5:
-                if (draw(&lot, 3) == 0)
-                    again(&board);
+                if (draw(&random, 3) == 0)
+                    again(&fixture);
                 break;
             case 6:
             case 7:
             case 8: {
                 const uint64_t both[] = {number, number + 1};
-                place(&board, id, both, 2, (task != NULL ? task->attempt : 0) + 1, worker, "");
+                place(&fixture, id, both, 2, (task != NULL ? task->attempt : 0) + 1, worker, "");
                 break;
             }
             default:
-                say(&board, id, number, task != NULL ? task->attempt : 1, task != NULL ? task->worker : worker,
-                    (AttemptWord)draw(&lot, ATTEMPT_WORD_COUNT), "s");
+                say(&fixture, id, number, task != NULL ? task->attempt : 1, task != NULL ? task->worker : worker,
+                    (AttemptWord)draw(&random, ATTEMPT_WORD_COUNT), "s");
             }
-            sums_lease(&board);
+            check_sums(&fixture);
         }
-        talloc_free(board.table);
+        talloc_free(fixture.table);
     }
 }
 
 static void ended_jobs_are_forgotten_by_age(void **state)
 {
     (void)state;
-    Board board = board_new();
+    Board fixture = board_new();
     const char *const ids[] = {"j0", "j1", "j2"};
     for (int i = 0; i < 3; i++) {
-        const JobSpec spec = turning(ids[i]);
-        job_add(&board, &spec, (JobTerms){0});
+        const JobSpec spec = spec_with_turns(ids[i]);
+        job_add(&fixture, &spec, (JobTerms){0});
     }
-    board.at_ms = 2000, cancel(&board, "j2");
-    board.at_ms = 3000, cancel(&board, "j0");
-    assert_int_equal(table_oldest_ms(board.table), 2000);
+    fixture.at_ms = 2000, cancel(&fixture, "j2");
+    fixture.at_ms = 3000, cancel(&fixture, "j0");
+    assert_int_equal(table_oldest_ms(fixture.table), 2000);
     const Forget forget = {3000};
-    assert_int_equal(notify(&board, CHANGE_FORGET, &Forget_shape, &forget).number, 1);
-    assert_null(table_job(board.table, "j2"));
-    assert_non_null(table_job(board.table, "j0"));
+    assert_int_equal(deliver_change(&fixture, CHANGE_FORGET, &Forget_shape, &forget).number, 1);
+    assert_null(table_job(fixture.table, "j2"));
+    assert_non_null(table_job(fixture.table, "j0"));
     Job *const *jobs;
-    assert_int_equal(table_jobs(board.table, &jobs), 2);
-    assert_int_equal(cancel(&board, "j2").status, STATUS_UNKNOWN_JOB);
-    const JobSpec spec = turning("j2");
-    assert_int_equal(job_add(&board, &spec, (JobTerms){0})->number, 4); /* no number is used twice */
-    talloc_free(board.table);
+    assert_int_equal(table_jobs(fixture.table, &jobs), 2);
+    assert_int_equal(cancel(&fixture, "j2").status, STATUS_UNKNOWN_JOB);
+    const JobSpec spec = spec_with_turns("j2");
+    assert_int_equal(job_add(&fixture, &spec, (JobTerms){0})->number, 4); /* numbers are never reused */
+    talloc_free(fixture.table);
 }
 
-/* --- a state as the release before the turns saved it ------------------------------- */
+/* --- a snapshot in the format of the last release without turns ---------------------- */
 
 #define OLD_TASK_FIELDS(X)   \
     X(U64, step, 0)          \
@@ -305,28 +306,28 @@
         .tasks = tasks,
         .tasks_count = 4};
     const OldSaved saved = {5, &job, 1};
-    Board board = board_new();
+    Board fixture = board_new();
     void *mem = talloc_new(NULL);
     Bytes bytes = {0};
     shape_pack(&OldSaved_shape, &saved, mem, &bytes);
-    const ReplicationState replication = table_state(board.table);
+    const ReplicationState replication = table_state(fixture.table);
     assert_int_equal(replication.load(replication.arg, bytes), STATUS_OK);
     talloc_free(mem);
-    const Job *known = table_job(board.table, "j");
+    const Job *known = table_job(fixture.table, "j");
     assert_int_equal(known->tasks[3].at, 1);
     assert_int_equal(task_number(&known->tasks[3]), TASK_NUMBER(0, 1, 1));
     assert_int_equal(task_index(known, TASK_NUMBER(0, 1, 1)), 3);
-    /* changes of that release name a task by its index */
+    /* Changes written by that release identify a task by its index. */
     assert_int_equal(task_index(known, 3), 3);
     assert_int_equal(task_index(known, 4), 4);
     assert_false(task_steps_done(known, &known->tasks[3]));
-    say(&board, "j", 1, 1, "w", ATTEMPT_DONE, "");
+    say(&fixture, "j", 1, 1, "w", ATTEMPT_DONE, "");
     assert_true(task_steps_done(known, &known->tasks[3]));
     const uint64_t third = 2;
-    assert_int_equal(place(&board, "j", &third, 1, 1, "w", ""), 1);
+    assert_int_equal(place(&fixture, "j", &third, 1, 1, "w", ""), 1);
     assert_int_equal(known->tasks[2].phase, TASK_PLACED);
-    assert_int_equal(table_last_number(board.table), 5);
-    talloc_free(board.table);
+    assert_int_equal(table_last_number(fixture.table), 5);
+    talloc_free(fixture.table);
 }
 
 /* --- workers ------------------------------------------------------------------------ */
@@ -334,31 +335,31 @@
 static void workers_are_sorted_and_busy_ones_listed(void **state)
 {
     (void)state;
-    Board board = board_new();
+    Board fixture = board_new();
     static const char *const NAMES[] = {"m", "z", "a", "q", "m", "b"};
     for (size_t i = 0; i < 6; i++) {
         const Worker worker = {.name = NAMES[i], .zone = i == 4 ? "new" : "old"};
-        notify(&board, CHANGE_WORKER_SET, &Worker_shape, &worker);
+        deliver_change(&fixture, CHANGE_WORKER_SET, &Worker_shape, &worker);
     }
-    again(&board);
+    again(&fixture);
     const Worker **list;
     void *mem = talloc_new(NULL);
-    assert_int_equal(table_workers(board.table, mem, &list), 5);
+    assert_int_equal(table_workers(fixture.table, mem, &list), 5);
     for (size_t i = 0; i < 5; i++)
         assert_true(i == 0 || strcmp(list[i - 1]->name, list[i]->name) < 0);
-    assert_string_equal(table_worker(board.table, "m")->zone, "new");
-    assert_ptr_equal(table_worker(board.table, "m"), list[2]);
-    assert_null(table_busy(board.table, 0));
-    const JobSpec spec = turning("j");
-    job_add(&board, &spec, (JobTerms){0});
+    assert_string_equal(table_worker(fixture.table, "m")->zone, "new");
+    assert_ptr_equal(table_worker(fixture.table, "m"), list[2]);
+    assert_null(table_busy(fixture.table, 0));
+    const JobSpec spec = spec_with_turns("j");
+    job_add(&fixture, &spec, (JobTerms){0});
     const uint64_t first = 0;
-    place(&board, "j", &first, 1, 1, "unheard-of", "");
-    assert_string_equal(table_busy(board.table, 0), "unheard-of");
-    assert_null(table_busy(board.table, 1));
-    lose(&board, "unheard-of");
-    assert_null(table_busy(board.table, 0));
+    place(&fixture, "j", &first, 1, 1, "unheard-of", "");
+    assert_string_equal(table_busy(fixture.table, 0), "unheard-of");
+    assert_null(table_busy(fixture.table, 1));
+    lose(&fixture, "unheard-of");
+    assert_null(table_busy(fixture.table, 0));
     talloc_free(mem);
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
 int main(void)
--- a/packages/state/test/versions.c
+++ b/packages/state/test/versions.c
@@ -1,4 +1,5 @@
-/* The versions of the configuration: what can be read back, what is kept, calls sent again. */
+/* Tests of the version history of the configuration: which texts can be read back, the bounds of the history, and
+ * retried calls. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +13,7 @@
 #include "base/constants.h"
 #include "document/document.h"
 
-#define DIGEST_BYTES 32 /* bytes; of a call, as text */
+#define DIGEST_BYTES 32 /* size of a call's digest as text, in bytes */
 
 static ChangeResult deliver(Versions *versions, ConfigSet set)
 {
@@ -28,14 +29,14 @@
     return (ConfigSet){.base = base, .version = version, .text = text, .patch = patch, .digest = digest};
 }
 
-static void expect_text(const Versions *versions, uint64_t version, const char *wanted)
+static void expect_text(const Versions *versions, uint64_t version, const char *expected)
 {
     void *mem = talloc_new(NULL);
     const char *text = versions_text(versions, mem, version);
-    if (wanted == NULL)
+    if (expected == NULL)
         assert_null(text);
     else
-        assert_string_equal(text, wanted);
+        assert_string_equal(text, expected);
     talloc_free(mem);
 }
 
@@ -45,34 +46,34 @@
     Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
     assert_int_equal(versions_newest(versions), 0);
     assert_null(versions_tree(versions, NULL, 0));
-    /* no patch can come first */
+    /* The first version can't be a patch. */
     assert_int_equal(deliver(versions, set_of(0, 1, "{}", true, "")).status, STATUS_STALE_VERSION);
     assert_int_equal(deliver(versions, set_of(0, 5, "{ \"r\": 1.0 }", false, "")).number, 5);
     assert_int_equal(deliver(versions, set_of(5, 7, "{\"a\":{\"b\":2.50}}", true, "")).number, 7);
     assert_int_equal(deliver(versions, set_of(7, 0, "{\"a\":{\"c\":1},\"r\":null}", true, "")).number, 8);
     assert_int_equal(deliver(versions, set_of(8, 20, "{\"x\":1}", false, "")).number, 20);
-    expect_text(versions, 5, "{ \"r\": 1.0 }"); /* as it was sent */
+    expect_text(versions, 5, "{ \"r\": 1.0 }"); /* unchanged, as the caller sent it */
     expect_text(versions, 7, "{\"r\":1.0,\"a\":{\"b\":2.50}}");
     expect_text(versions, 8, "{\"a\":{\"b\":2.50,\"c\":1}}");
     expect_text(versions, 20, "{\"x\":1}");
     expect_text(versions, 6, NULL);
-    /* a tree that was had before is gone on from */
+    /* The newest tree is built from an existing one and shares unchanged parts with it. */
     assert_int_equal(deliver(versions, set_of(20, 21, "{\"y\":2}", true, "")).number, 21);
-    json_object *whole = versions_tree(versions, NULL, 0), *had = document_parse("{\"x\":{\"kept\":1}}");
-    json_object *onward = versions_tree(versions, had, 20);
+    json_object *whole = versions_tree(versions, NULL, 0), *existing = document_parse("{\"x\":{\"kept\":1}}");
+    json_object *extended = versions_tree(versions, existing, 20);
     void *mem = talloc_new(NULL);
     assert_string_equal(document_text(mem, whole), "{\"x\":1,\"y\":2}");
-    assert_string_equal(document_text(mem, onward), "{\"x\":{\"kept\":1},\"y\":2}");
-    assert_ptr_equal(json_object_object_get(onward, "x"), json_object_object_get(had, "x"));
+    assert_string_equal(document_text(mem, extended), "{\"x\":{\"kept\":1},\"y\":2}");
+    assert_ptr_equal(json_object_object_get(extended, "x"), json_object_object_get(existing, "x"));
     json_object_put(whole);
-    json_object_put(had);
-    json_object_put(onward);
+    json_object_put(existing);
+    json_object_put(extended);
     talloc_free(mem);
     talloc_free(versions);
 }
 
-/* Of two calls on one version the first delivered wins; the same call again, at any later
- * time, has the result that it had. */
+/* Of two calls based on the same version, the one delivered first wins. A retry of that call gets the same result again
+ * at any later time. */
 static void same_call_has_its_result_again(void **state)
 {
     (void)state;
@@ -85,7 +86,7 @@
     assert_int_equal(result.number, 9);
     result = deliver(versions, set_of(3, 12, "{\"a\":2}", true, "three"));
     assert_int_equal(result.status, STATUS_STALE_VERSION);
-    /* on the newest, but not above it */
+    /* Based on the newest version, but not above it. */
     result = deliver(versions, set_of(9, 9, "{\"a\":2}", true, "four"));
     assert_int_equal(result.status, STATUS_STALE_VERSION);
     result = deliver(versions, set_of(3, 9, "{\"a\":1}", true, "one"));
@@ -96,13 +97,13 @@
     assert_int_equal(result.status, STATUS_OK);
     assert_int_equal(result.number, 9);
     assert_int_equal(versions_newest(versions), 14);
-    /* without a digest nothing is known again */
+    /* A call without a digest is not recognised. */
     assert_int_equal(deliver(versions, set_of(14, 0, "{\"a\":4}", true, "")).number, 15);
     assert_int_equal(deliver(versions, set_of(14, 0, "{\"a\":4}", true, "")).status, STATUS_STALE_VERSION);
     talloc_free(versions);
 }
 
-/* Proposed again in a repair: what is newer counts, a patch only on its base. */
+/* Of the versions proposed again by a repair, only newer ones are applied, and a patch only on its base. */
 static void restored_counts_when_newer(void **state)
 {
     (void)state;
@@ -141,13 +142,13 @@
             assert_true(versions->rows[i].version > versions->rows[i - 1].version);
     }
     assert_int_equal(bytes, versions->bytes);
-    assert_int_equal(versions->whole_bytes, strlen(versions->rows[versions->whole].text));
+    assert_int_equal(versions->first_text_bytes, strlen(versions->rows[versions->whole].text));
     assert_true(bytes - strlen(versions->rows[versions->whole].text) <= CONFIG_HISTORY_BYTES);
-    assert_true(versions->count - versions->whole <= versions->keep + CONFIG_HISTORY_STEP);
-    assert_true(versions->count <= versions->known + CONFIG_HISTORY_STEP);
+    assert_true(versions->count - versions->whole <= versions->text_limit + CONFIG_HISTORY_STEP);
+    assert_true(versions->count <= versions->digest_limit + CONFIG_HISTORY_STEP);
 }
 
-/* What the rows take whose texts are dropped, each with a digest as calls have it. */
+/* Returns the memory of the rows without a text, in bytes, each with a digest of the usual size. */
 static size_t known_bytes(const Versions *versions)
 {
     size_t bytes = 0;
@@ -156,8 +157,8 @@
     return bytes;
 }
 
-/* Hundreds of changes of a small document: the last 200 can be read back, and the calls of
- * the last thousand are known. */
+/* After 1500 changes of a small document, the last 200 versions can be read back, and the calls of the last 1000 are
+ * recognised. */
 static void last_texts_and_calls_remain(void **state)
 {
     (void)state;
@@ -184,8 +185,8 @@
     talloc_free(mem);
 }
 
-/* As an entry point keeps them: few texts, and no more rows than texts. Large ones move the first
- * whole text on before the rows go. */
+/* The history of an entry point holds few texts, and digests only for those. Large texts advance the first text before
+ * rows are dropped. */
 static void short_history_stays_bounded(void **state)
 {
     (void)state;
@@ -203,8 +204,8 @@
     talloc_free(mem);
 }
 
-/* Whole texts of 300 KB, and large patches: the bytes stay bounded, the newest
- * and all calls are known. */
+/* With whole texts of 300 KB and large patches the size stays bounded, the newest version can be read back, and all
+ * calls are recognised. */
 static void large_texts_stay_bounded_in_bytes(void **state)
 {
     (void)state;
@@ -227,7 +228,7 @@
     for (uint64_t i = 1; i <= 150; i++)
         assert_int_equal(versions_digest(versions, talloc_asprintf(mem, "d%d", (int)i)), i * 3);
     assert_null(versions_text(versions, mem, 3));
-    /* saved and loaded, all is as it was */
+    /* Saving and loading the history preserves it. */
     Versions *loaded = versions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
     versions_load(loaded, versions->rows, versions->count);
     check_invariants(loaded);
--- a/packages/state/test/zones.c
+++ b/packages/state/test/zones.c
@@ -1,4 +1,4 @@
-/* Orders for a zone: which are recognised, which are overtaken, and what is forgotten. */
+/* Tests of orders for a zone: which are recognised as retries, which are superseded, and which are forgotten. */
 #include <stdio.h>
 
 #include "board.h"
@@ -13,80 +13,81 @@
                        .base = base >= 0 ? base : 0};
 }
 
-static Status take(Board *board, ZoneDrain drain)
+static Status deliver_order(Board *fixture, ZoneDrain drain)
 {
-    return notify(board, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain).status;
+    return deliver_change(fixture, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain).status;
 }
 
-static DrainKnown known(const Board *board, const char *name, int64_t base)
+static DrainKnown drain_known(const Board *fixture, const char *name, int64_t base)
 {
     const ZoneDrain drain = order_of(name, true, 0, base);
-    return table_drain_known(board->table, &drain);
+    return table_drain_known(fixture->table, &drain);
 }
 
-/* A start, delivered twice with an end between: the end stays, also over a snapshot. */
+/* An order that starts a drain is delivered a second time after the order that ended the drain: the zone stays open,
+ * also after a snapshot is loaded. */
 static void late_copy_of_an_order_changes_nothing(void **state)
 {
     (void)state;
-    Board board = board_new();
-    assert_int_equal(known(&board, "start", 0), DRAIN_NEW);
-    assert_int_equal(take(&board, order_of("start", true, 10, 0)), STATUS_OK);
-    assert_true(table_drained(board.table, "z"));
-    assert_int_equal(known(&board, "start", 0), DRAIN_TAKEN);
-    assert_int_equal(take(&board, order_of("end", false, 11, 10)), STATUS_OK);
+    Board fixture = board_new();
+    assert_int_equal(drain_known(&fixture, "start", 0), DRAIN_NEW);
+    assert_int_equal(deliver_order(&fixture, order_of("start", true, 10, 0)), STATUS_OK);
+    assert_true(table_drained(fixture.table, "z"));
+    assert_int_equal(drain_known(&fixture, "start", 0), DRAIN_TAKEN);
+    assert_int_equal(deliver_order(&fixture, order_of("end", false, 11, 10)), STATUS_OK);
     for (int loaded = 0; loaded < 2; loaded++) {
-        assert_int_equal(take(&board, order_of("start", true, 12 + loaded, 0)),
-                         STATUS_OK); /* as its first was answered */
-        assert_int_equal(take(&board, order_of("never", true, 12 + loaded, 10)), STATUS_STALE_ORDER);
-        assert_false(table_drained(board.table, "z"));
-        assert_int_equal(table_drain_stamp(board.table, "z"), 11);
-        assert_int_equal(known(&board, "start", 0), DRAIN_TAKEN);
-        assert_int_equal(known(&board, "never", 10), DRAIN_OVERTAKEN);
-        assert_int_equal(known(&board, "next", 11), DRAIN_NEW);
-        again(&board);
+        assert_int_equal(deliver_order(&fixture, order_of("start", true, 12 + loaded, 0)),
+                         STATUS_OK); /* same answer as for the first delivery */
+        assert_int_equal(deliver_order(&fixture, order_of("never", true, 12 + loaded, 10)), STATUS_STALE_ORDER);
+        assert_false(table_drained(fixture.table, "z"));
+        assert_int_equal(table_drain_stamp(fixture.table, "z"), 11);
+        assert_int_equal(drain_known(&fixture, "start", 0), DRAIN_TAKEN);
+        assert_int_equal(drain_known(&fixture, "never", 10), DRAIN_OVERTAKEN);
+        assert_int_equal(drain_known(&fixture, "next", 11), DRAIN_NEW);
+        again(&fixture);
     }
-    talloc_free(board.table);
+    talloc_free(fixture.table);
 }
 
-/* What is remembered is bounded: an order that may be a forgotten one is told so, and
- * changes nothing; one on the newest stamp is taken. */
+/* The number of remembered orders is bounded. An order that may be a forgotten one is refused as expired; one based on
+ * the newest stamp is applied. */
 static void forgotten_order_is_refused(void **state)
 {
     (void)state;
-    Board board = board_new();
+    Board fixture = board_new();
     for (int i = 1; i <= 3 * ZONE_ORDERS_MAX; i++) {
         char name[16];
         snprintf(name, sizeof(name), "o%d", i);
-        assert_int_equal(take(&board, order_of(name, i % 2 == 1, i, i - 1)), STATUS_OK);
+        assert_int_equal(deliver_order(&fixture, order_of(name, i % 2 == 1, i, i - 1)), STATUS_OK);
     }
     const int64_t newest = 3 * ZONE_ORDERS_MAX;
     for (int loaded = 0; loaded < 2; loaded++) {
-        assert_int_equal(known(&board, "o1", 0), DRAIN_FORGOTTEN);
-        assert_int_equal(take(&board, order_of("o1", true, newest + 1, 0)), STATUS_EXPIRED);
-        assert_int_equal(known(&board, "o47", newest - 2), DRAIN_TAKEN);
-        assert_int_equal(known(&board, "other", newest - 1), DRAIN_OVERTAKEN);
-        assert_false(table_drained(board.table, "z"));
-        again(&board);
+        assert_int_equal(drain_known(&fixture, "o1", 0), DRAIN_FORGOTTEN);
+        assert_int_equal(deliver_order(&fixture, order_of("o1", true, newest + 1, 0)), STATUS_EXPIRED);
+        assert_int_equal(drain_known(&fixture, "o47", newest - 2), DRAIN_TAKEN);
+        assert_int_equal(drain_known(&fixture, "other", newest - 1), DRAIN_OVERTAKEN);
+        assert_false(table_drained(fixture.table, "z"));
+        again(&fixture);
     }
-    assert_int_equal(take(&board, order_of("new", true, newest + 1, newest)), STATUS_OK);
-    assert_true(table_drained(board.table, "z"));
-    talloc_free(board.table);
+    assert_int_equal(deliver_order(&fixture, order_of("new", true, newest + 1, newest)), STATUS_OK);
+    assert_true(table_drained(fixture.table, "z"));
+    talloc_free(fixture.table);
 }
 
-/* An order of an earlier release has neither name nor base: it counts by its stamp. */
+/* An order of an earlier release has neither name nor base and is judged by its stamp alone. */
 static void unnamed_order_counts_by_its_stamp(void **state)
 {
     (void)state;
-    Board board = board_new();
-    assert_int_equal(take(&board, order_of("", true, 5, -1)), STATUS_OK);
-    assert_int_equal(take(&board, order_of("", false, 4, -1)), STATUS_OK);
-    assert_true(table_drained(board.table, "z"));
-    /* whether it was one of those that have no name is not known */
-    assert_int_equal(known(&board, "x", 0), DRAIN_FORGOTTEN);
-    assert_int_equal(known(&board, "x", 5), DRAIN_NEW);
-    assert_int_equal(take(&board, order_of("x", false, 6, -1)), STATUS_OK);
-    assert_false(table_drained(board.table, "z"));
-    talloc_free(board.table);
+    Board fixture = board_new();
+    assert_int_equal(deliver_order(&fixture, order_of("", true, 5, -1)), STATUS_OK);
+    assert_int_equal(deliver_order(&fixture, order_of("", false, 4, -1)), STATUS_OK);
+    assert_true(table_drained(fixture.table, "z"));
+    /* The order may be one of those delivered without a name. */
+    assert_int_equal(drain_known(&fixture, "x", 0), DRAIN_FORGOTTEN);
+    assert_int_equal(drain_known(&fixture, "x", 5), DRAIN_NEW);
+    assert_int_equal(deliver_order(&fixture, order_of("x", false, 6, -1)), STATUS_OK);
+    assert_false(table_drained(fixture.table, "z"));
+    talloc_free(fixture.table);
 }
 
 int main(void)
--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -1,9 +1,9 @@
-/* Writes journals as this release has them on its disks, for the tests olddisk and oldstate of later releases.
+/* Writes journals in the format of this release, as fixtures for the tests olddisk and oldstate of later releases.
  *
  *     spancart-writedisk FOLDER
  *
- * Four simulated controllers, three of them voters; every change has other values in each of its fields. FOLDER
- * gets a journal of each moment; packages/replication/test/fixtures/README.md says what each holds. */
+ * Simulates four controllers, three of them voters. Every change has different values in each of its fields. FOLDER
+ * receives a journal for each moment; packages/replication/test/fixtures/README.md describes them. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <talloc.h>
@@ -14,7 +14,7 @@
 
 #define PATH "data/journal"
 #define CONTROLLERS 4
-#define TORN_BYTES 7 /* of the last block */
+#define TORN_BYTES 7 /* number of bytes missing from the last block */
 
 static Fleet *fleet;
 static const char *folder;
@@ -51,7 +51,7 @@
     offer(CHANGE_WORKER_SET, &Worker_shape, &second);
 }
 
-/* A job with all fields; its flags differ from each other in one of the two steps. */
+/* Offers a job with all fields set; any two flags differ in at least one of the two steps. */
 static void offer_full(void)
 {
     const char *after[] = {"first"}, *labels[] = {"label1", "label2"};
@@ -112,8 +112,8 @@
     offer(CHANGE_JOB_ADD, &JobAdd_shape, &add);
 }
 
-/* Tasks of the job "tasks" in each phase: 0 runs, 1 failed once, 2 is done, 3 was lost with its worker, 4 is placed,
- * 5 is being stopped. */
+/* Brings the tasks of the job "tasks" into different phases: 0 is running, 1 failed once, 2 is done, 3 was lost with
+ * its worker, 4 is placed, 5 is stopping. */
 static void offer_attempts(void)
 {
     Placement places[] = {{"tasks", 0, 2, "w1", 201, true, ""},        {"tasks", 1, 3, "w1", 201, false, ""},
@@ -163,7 +163,8 @@
     offer(CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &third);
 }
 
-/* Of three jobs one is forgotten again, one was cancelled, and of one it is told again that it failed. */
+/* Offers three jobs that end: one is dropped again by FORGET, one is cancelled, and one is ended as failed by
+ * JOB_END. */
 static void offer_ended(void)
 {
     const JobCancel forgotten = {"forgotten"}, cancelled = {"cancelled"};
@@ -217,7 +218,7 @@
         write_file(talloc_asprintf(fleet, "%s-core%d", moment, i + 1), journal_of(i));
 }
 
-/* The last block is torn, as by a loss of power. */
+/* Writes a journal whose last block is torn, as after a power failure. */
 static void write_torn(int controller)
 {
     Bytes torn = journal_of(controller);
@@ -225,7 +226,7 @@
     write_file(talloc_asprintf(fleet, "torn-core%d", controller + 1), torn);
 }
 
-/* A journal of a release that is too new to be read. */
+/* Writes a journal of a later release, whose version is too new to be read. */
 static void write_later(void)
 {
     const Record first = {.kind = RECORD_IDENTITY, .term = JOURNAL_VERSION + 1, .index = 99, .name = "core1"};
@@ -235,7 +236,7 @@
     write_file("later-core1", block);
 }
 
-/* A record of a kind that releases before wrote and this one passes over. */
+/* Writes a journal with a record of a kind that earlier releases wrote and this one skips. */
 static void write_commit(int controller)
 {
     const Record commit = {.kind = RECORD_COMMIT, .index = 21, .name = ""};
@@ -245,7 +246,8 @@
     write_file(talloc_asprintf(fleet, "commit-core%d", controller + 1), all);
 }
 
-/* A leader that is cut off has entries that nobody else has; they are trimmed once it is back. */
+/* Writes the journals around a trim: an isolated leader has entries that no other controller has, and they are trimmed
+ * after it reconnects. */
 static void write_trimmed(void)
 {
     const int leader = fleet_leader(fleet);
@@ -271,7 +273,7 @@
     fleet_start(fleet);
     if (!fleet_settle(fleet, 30000))
         return 1;
-    fleet_run(fleet, 10000); /* the learner follows */
+    fleet_run(fleet, 10000); /* the learner catches up */
     offer_all();
     fleet_run(fleet, 300);
     write_all("entries");
