--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -1,69 +1,69 @@
 #ifndef CONFIG_CHECK_H
 #define CONFIG_CHECK_H
 
-/* Checked reading of JSON from outside: bodies of operators, callers and workers, and the
- * configuration. Each function notes what is wrong, with its path, and goes on, so that a
- * caller learns of all faults at once. Nothing here waits. */
+/* Checked reading of external JSON: request bodies of operators, callers and workers, and the configuration. Each
+ * function records faults with their paths and continues, so that a caller learns of all faults at once. No function
+ * here waits. */
 
 #include <json-c/json.h>
 
 #include "state/job.h"
 
-/* One thing that is wrong with a document. Texts are on the list's mem. */
+/* One error in a document. The texts are owned by the mem of the list. */
 typedef struct Fault {
     Status status;
-    const char *path; /* "cells.main.queues.q.attempts"; empty: the whole */
-    const char *text; /* what is wrong, for people */
+    const char *path; /* for example "cells.main.queues.q.attempts"; empty: the whole document */
+    const char *text; /* description for people */
 } Fault;
 
-#define FAULTS_MAX 64 /* count; enough to correct a document by */
+#define FAULTS_MAX 64 /* maximum number of listed faults; enough to correct a document */
 
-/* Invariants: count is at most FAULTS_MAX and at most seen; further faults are only counted in
- * seen. */
+/* A list of faults. seen counts all faults, of which the first FAULTS_MAX are listed. Invariant: count is at most
+ * FAULTS_MAX and at most seen. */
 typedef struct Faults {
     void *mem;
     size_t count, seen;
     Fault list[FAULTS_MAX];
 } Faults;
 
-/* An empty list on mem, which owns it and its texts. */
-Faults *faults_make(void *mem);
-/* Counts a fault and, while the list is not full, adds it. The path is copied. */
+/* Creates an empty list. mem owns the list and its texts. */
+Faults *fault_list_new(void *mem);
+/* Counts a fault and, unless the list is full, adds it. Copies the path. */
 void fault_add(Faults *faults, Status status, const char *path, const char *format, ...)
     __attribute__((format(printf, 4, 5)));
 
-/* Parses count bytes as one JSON value (RFC 8259; no key twice, limited nesting); null and
- * faults when they are none. The caller ends the use by json_object_put. */
+/* Parses count bytes as one JSON value (RFC 8259, without duplicate keys and with limited nesting). Returns null, and
+ * records faults, when the text is not valid. The caller releases the result by json_object_put. */
 json_object *check_parse(Faults *faults, const char *text, size_t count);
 
-/* Whether it is an object; a fault when not, and for each of its keys that is not among keys
- * (a list that ends with null). */
+/* Returns whether the value is an object and records a fault if it is not. Records a fault for each key that is not in
+ * keys, a list that ends with null. */
 bool check_keys(Faults *faults, json_object *object, const char *path, const char *const *keys);
-/* The following each read one key of an object and note a fault, at path.key, when its value is
- * not as wanted. What they return in that case, and where the key is absent, is otherwise,
- * or else empty. */
+/* Each of the following functions reads one key of an object and records a fault at path.key when the value is not
+ * valid. In that case, and when the key is absent, it returns the fallback, or an empty value if it has no such
+ * parameter. */
 
-/* A whole number from least to most. */
-int64_t check_int(Faults *faults, json_object *object, const char *path, const char *key, int64_t least, int64_t most,
-                  int64_t otherwise);
-/* True or false. */
-bool check_flag(Faults *faults, json_object *object, const char *path, const char *key, bool otherwise);
-/* A number, which may have a fraction; it is returned in thousandths, and least and most are
- * in thousandths. */
-uint64_t check_milli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t least_milli,
-                     uint64_t most_milli, uint64_t otherwise_milli);
-/* Any text of at most so many bytes without a zero, on the faults' mem. */
-const char *check_text(Faults *faults, json_object *object, const char *path, const char *key, size_t most_bytes);
-/* A name, on the faults' mem. otherwise null: the key must be there. */
-const char *check_name(Faults *faults, json_object *object, const char *path, const char *key, const char *otherwise);
-/* Whether it is a name: 1 to ID_MAX letters, digits and ._:- */
+/* Reads an integer from min to max. */
+int64_t check_int(Faults *faults, json_object *object, const char *path, const char *key, int64_t min, int64_t max,
+                  int64_t fallback);
+/* Reads true or false. */
+bool check_flag(Faults *faults, json_object *object, const char *path, const char *key, bool fallback);
+/* Reads a number, which may have a fraction, and returns it in thousandths. The other parameters are in thousandths,
+ * too. */
+uint64_t check_milli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t min_milli,
+                     uint64_t max_milli, uint64_t fallback_milli);
+/* Reads a string of at most max_bytes bytes without a zero byte. Owned by faults->mem. */
+const char *check_text(Faults *faults, json_object *object, const char *path, const char *key, size_t max_bytes);
+/* Reads a name, owned by faults->mem. fallback null: the key is required. */
+const char *check_name(Faults *faults, json_object *object, const char *path, const char *key, const char *fallback);
+/* Returns whether the text is a valid name: 1 to ID_MAX letters, digits and ._:- */
 bool check_name_text(const char *text);
-/* An array of at most JOB_STEPS_MAX names, on the faults' mem; their number goes to *count. */
+/* Reads an array of at most JOB_STEPS_MAX names, owned by faults->mem; *count is set to their number. */
 const char **check_names(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
-/* {"cpu": cores, "memMb": MB, "gpu": count}; cores may have a fraction down to a thousandth, gpu may be absent. needed:
- * the key must be there. */
-Resources check_resources(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
-/* "path.key", or key alone below an empty path; on the faults' mem. */
+/* Reads {"cpu": cores, "memMb": MB, "gpu": count}. The number of cores may have a fraction, rounded to thousandths; gpu
+ * may be absent. required: the key must be present. */
+Resources check_resources(Faults *faults, json_object *object, const char *path, const char *key, bool required);
+/* Returns "path.key", or key alone when path is empty; owned by faults->mem. */
 const char *check_path(Faults *faults, const char *path, const char *key);
 
 #endif
--- a/packages/config/src/cells.c
+++ b/packages/config/src/cells.c
@@ -7,48 +7,48 @@
 #include "reading.h"
 #include "tenants.h"
 
-#define SHARE_MAX 1000    /* a larger share of a cell is a mistake */
-#define LIMIT_MAX 1000000 /* count; a larger limit of waiting tasks is a mistake */
+#define SHARE_MAX 1000            /* a larger share of a cell is considered a mistake */
+#define WAITING_LIMIT_MAX 1000000 /* number of tasks; a larger limit of waiting tasks is considered a mistake */
 
-static void read_queues(const Reading *reading, json_object *object, const char *path, ConfigCell *cell)
+static void read_queues(const ConfigReader *reader, json_object *object, const char *path, ConfigCell *cell)
 {
-    json_object *all = read_members(reading->faults, object, path, "queues", &cell->queue_count);
-    const ConfigQueue **queues = talloc_zero_array(reading->config, const ConfigQueue *, (unsigned)cell->queue_count);
+    json_object *all = read_members(reader->faults, object, path, "queues", &cell->queue_count);
+    const ConfigQueue **queues = talloc_zero_array(reader->config, const ConfigQueue *, (unsigned)cell->queue_count);
     cell->queues = queues;
     if (all == NULL)
         return;
-    const ConfigCell *earlier = reading->earlier != NULL ? config_cell(reading->earlier, cell->name) : NULL;
-    const char *here = check_path(reading->faults, path, "queues");
+    const ConfigCell *earlier = reader->earlier != NULL ? config_cell(reader->earlier, cell->name) : NULL;
+    const char *here = check_path(reader->faults, path, "queues");
     size_t at = 0;
     json_object_object_foreach(all, name, value)
     {
         const ConfigQueue *known = earlier != NULL ? config_queue(earlier, name) : NULL;
         if (known == NULL)
-            check_named(reading->faults, name, path, "queues");
-        const ConfigQueue *queue = queues[at++] = queue_part(value, name, here, known, reading->faults);
+            check_member_name(reader->faults, name, path, "queues");
+        const ConfigQueue *queue = queues[at++] = shared_queue_get(value, name, here, known, reader->faults);
         g_hash_table_insert(cell->queue_names, (gpointer)(uintptr_t)queue->name, (gpointer)(uintptr_t)queue);
     }
 }
 
-static void read_cell(const Reading *reading, json_object *value, const char *path, ConfigCell *cell)
+static void read_cell(const ConfigReader *reader, json_object *value, const char *path, ConfigCell *cell)
 {
     static const char *const KEYS[] = {"share", "limit", "policy", "strict", "keyed", "tenants", "queues", NULL};
-    Faults *faults = reading->faults;
+    Faults *faults = reader->faults;
     if (!check_keys(faults, value, path, KEYS))
         return;
     cell->share = (uint64_t)check_int(faults, value, path, "share", 1, SHARE_MAX, 1);
-    cell->limit = (uint64_t)check_int(faults, value, path, "limit", 1, LIMIT_MAX, QUEUE_LIMIT_DEFAULT);
-    cell->policy = talloc_strdup(reading->config, check_name(faults, value, path, "policy", ""));
+    cell->limit = (uint64_t)check_int(faults, value, path, "limit", 1, WAITING_LIMIT_MAX, QUEUE_LIMIT_DEFAULT);
+    cell->policy = talloc_strdup(reader->config, check_name(faults, value, path, "policy", ""));
     cell->strict = check_flag(faults, value, path, "strict", true);
-    read_tenants(reading->config, value, path, cell, faults);
+    read_tenants(reader->config, value, path, cell, faults);
     cell->keyed = check_flag(faults, value, path, "keyed", cell->keyed);
-    read_queues(reading, value, path, cell);
+    read_queues(reader, value, path, cell);
 }
 
-void read_cells(const Reading *reading, json_object *object)
+void read_cells(const ConfigReader *reader, json_object *object)
 {
-    Config *config = reading->config;
-    json_object *all = read_members(reading->faults, object, "", "cells", &config->cell_count);
+    Config *config = reader->config;
+    json_object *all = read_members(reader->faults, object, "", "cells", &config->cell_count);
     ConfigCell *cells = talloc_zero_array(config, ConfigCell, (unsigned)config->cell_count);
     config->cells = cells;
     for (size_t i = 0; i < config->cell_count; i++) {
@@ -63,8 +63,8 @@
     {
         ConfigCell *cell = &cells[at++];
         cell->name = talloc_strdup(config, name);
-        check_named(reading->faults, name, "", "cells");
+        check_member_name(reader->faults, name, "", "cells");
         g_hash_table_insert(config->cell_names, (gpointer)(uintptr_t)cell->name, cell);
-        read_cell(reading, value, check_path(reading->faults, "cells", name), cell);
+        read_cell(reader, value, check_path(reader->faults, "cells", name), cell);
     }
 }
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -11,9 +11,9 @@
 #include "duplicate_keys.h"
 #include "scan.h"
 
-#define DEPTH_MAX 16 /* count; levels of nesting: more than any document of ours needs */
+#define DEPTH_MAX 16 /* maximum levels of nesting; more than any document needs */
 
-Faults *faults_make(void *mem)
+Faults *fault_list_new(void *mem)
 {
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
@@ -39,18 +39,18 @@
 
 json_object *check_parse(Faults *faults, const char *text, size_t count)
 {
-    Scan scan = {.text = text, .count = count, .depth_most = DEPTH_MAX};
+    Scan scan = {.text = text, .count = count, .depth_max = DEPTH_MAX};
     if (count == 0 || count > INT32_MAX) {
         fault_add(faults, STATUS_BAD_JSON, "", count == 0 ? "the body is empty" : "the body is too long");
         return NULL;
     }
     if (!scan_text(&scan)) {
-        fault_add(faults, STATUS_BAD_JSON, "", "at byte %zu: %s", scan.at, scan.wrong);
+        fault_add(faults, STATUS_BAD_JSON, "", "at byte %zu: %s", scan.at, scan.error);
         return NULL;
     }
     json_tokener *tokener = json_tokener_new_ex(DEPTH_MAX + 1);
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
-    /* with a zero after it: the parser then knows that a number at the very end is complete */
+    /* Pass the terminating zero as well, so that the parser knows that a number at the end is complete. */
     const char *whole = talloc_strndup(faults->mem, text, count);
     json_object *object = json_tokener_parse_ex(tokener, whole, (int)count + 1);
     const enum json_tokener_error error = json_tokener_get_error(tokener);
@@ -65,7 +65,7 @@
         return NULL;
     }
     if (scan.members != json_member_count(object)) {
-        duplicate_keys_find(faults, whole);
+        report_duplicate_keys(faults, whole);
         json_object_put(object);
         return NULL;
     }
@@ -90,63 +90,63 @@
     return true;
 }
 
-int64_t check_int(Faults *faults, json_object *object, const char *path, const char *key, int64_t least, int64_t most,
-                  int64_t otherwise)
+int64_t check_int(Faults *faults, json_object *object, const char *path, const char *key, int64_t min, int64_t max,
+                  int64_t fallback)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
-        return otherwise;
+        return fallback;
     const int64_t number = json_object_is_type(value, json_type_int) ? json_object_get_int64(value) : INT64_MIN;
-    /* json-c clamps what does not fit; a clamped number is out of our ranges */
-    if (!json_object_is_type(value, json_type_int) || number < least || number > most) {
+    /* json-c clamps numbers that do not fit; a clamped number is outside of every range used here. */
+    if (!json_object_is_type(value, json_type_int) || number < min || number > max) {
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key),
-                  "must be a whole number from %" PRId64 " to %" PRId64, least, most);
-        return otherwise;
+                  "must be a whole number from %" PRId64 " to %" PRId64, min, max);
+        return fallback;
     }
     return number;
 }
 
-bool check_flag(Faults *faults, json_object *object, const char *path, const char *key, bool otherwise)
+bool check_flag(Faults *faults, json_object *object, const char *path, const char *key, bool fallback)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
-        return otherwise;
+        return fallback;
     if (!json_object_is_type(value, json_type_boolean)) {
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "must be true or false");
-        return otherwise;
+        return fallback;
     }
     return json_object_get_boolean(value);
 }
 
-uint64_t check_milli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t least_milli,
-                     uint64_t most_milli, uint64_t otherwise_milli)
+uint64_t check_milli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t min_milli,
+                     uint64_t max_milli, uint64_t fallback_milli)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
-        return otherwise_milli;
+        return fallback_milli;
     const bool number = json_object_is_type(value, json_type_int) || json_object_is_type(value, json_type_double);
     const double milli = number ? json_object_get_double(value) * 1000 : NAN;
-    /* in doubles first: a huge number does not fit any other type */
-    const bool near = milli >= 0 && milli <= (double)most_milli + 0.5;
-    const uint64_t rounded = near ? (uint64_t)llround(milli) : 0;
-    if (!near || rounded < least_milli || rounded > most_milli) {
+    /* Compare as doubles first, since a huge number fits no other type. */
+    const bool in_range = milli >= 0 && milli <= (double)max_milli + 0.5;
+    const uint64_t rounded = in_range ? (uint64_t)llround(milli) : 0;
+    if (!in_range || rounded < min_milli || rounded > max_milli) {
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "must be a number from %g to %g",
-                  (double)least_milli / 1000, (double)most_milli / 1000);
-        return otherwise_milli;
+                  (double)min_milli / 1000, (double)max_milli / 1000);
+        return fallback_milli;
     }
     return rounded;
 }
 
-const char *check_text(Faults *faults, json_object *object, const char *path, const char *key, size_t most_bytes)
+const char *check_text(Faults *faults, json_object *object, const char *path, const char *key, size_t max_bytes)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
         return "";
     const size_t length =
         json_object_is_type(value, json_type_string) ? (size_t)json_object_get_string_len(value) : SIZE_MAX;
-    if (length > most_bytes || memchr(json_object_get_string(value), 0, length) != NULL) {
+    if (length > max_bytes || memchr(json_object_get_string(value), 0, length) != NULL) {
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key),
-                  "must be a text of at most %zu bytes without a zero", most_bytes);
+                  "must be a string of at most %zu bytes without zero bytes", max_bytes);
         return "";
     }
     return talloc_strndup(faults->mem, json_object_get_string(value), length);
@@ -159,8 +159,8 @@
            strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:-") == count;
 }
 
-/* The value as a name; a fault and "" when it is none. */
-static const char *name_of(Faults *faults, json_object *value, const char *path)
+/* Returns the value as a name; records a fault and returns "" when it is not a valid name. */
+static const char *parse_name(Faults *faults, json_object *value, const char *path)
 {
     const char *text = json_object_is_type(value, json_type_string) ? json_object_get_string(value) : NULL;
     if (text == NULL || strlen(text) != (size_t)json_object_get_string_len(value) || !check_name_text(text)) {
@@ -170,15 +170,15 @@
     return talloc_strdup(faults->mem, text);
 }
 
-const char *check_name(Faults *faults, json_object *object, const char *path, const char *key, const char *otherwise)
+const char *check_name(Faults *faults, json_object *object, const char *path, const char *key, const char *fallback)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value)) {
-        if (otherwise == NULL)
+        if (fallback == NULL)
             fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "is missing");
-        return otherwise != NULL ? otherwise : "";
+        return fallback != NULL ? fallback : "";
     }
-    return name_of(faults, value, check_path(faults, path, key));
+    return parse_name(faults, value, check_path(faults, path, key));
 }
 
 const char **check_names(Faults *faults, json_object *object, const char *path, const char *key, size_t *count)
@@ -195,13 +195,14 @@
     const size_t length = json_object_array_length(value);
     const char **names = talloc_array(faults->mem, const char *, (unsigned)length);
     for (size_t i = 0; i < length; i++)
-        names[i] = name_of(faults, json_object_array_get_idx(value, i), talloc_asprintf(faults->mem, "%s[%zu]", at, i));
+        names[i] =
+            parse_name(faults, json_object_array_get_idx(value, i), talloc_asprintf(faults->mem, "%s[%zu]", at, i));
     *count = length;
     return names;
 }
 
-/* A number that must be there, times scale, rounded; at most RESOURCES_MAX. */
-static uint64_t amount_of(Faults *faults, json_object *object, const char *path, const char *key, double scale)
+/* Reads a required number and returns it times scale, rounded. The result is at most RESOURCES_MAX. */
+static uint64_t parse_amount(Faults *faults, json_object *object, const char *path, const char *key, double scale)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value)) {
@@ -218,22 +219,22 @@
     return (uint64_t)llround(amount);
 }
 
-Resources check_resources(Faults *faults, json_object *object, const char *path, const char *key, bool needed)
+Resources check_resources(Faults *faults, json_object *object, const char *path, const char *key, bool required)
 {
     static const char *const KEYS[] = {"cpu", "memMb", "gpu", NULL};
     json_object *value;
     Resources resources = {0};
     const char *at = check_path(faults, path, key);
     if (!json_object_object_get_ex(object, key, &value)) {
-        if (needed)
+        if (required)
             fault_add(faults, STATUS_BAD_FIELD, at, "is missing");
         return resources;
     }
     if (!check_keys(faults, value, at, KEYS))
         return resources;
-    resources.cpu_milli = amount_of(faults, value, at, "cpu", 1000);
-    resources.mem_mb = amount_of(faults, value, at, "memMb", 1);
+    resources.cpu_milli = parse_amount(faults, value, at, "cpu", 1000);
+    resources.mem_mb = parse_amount(faults, value, at, "memMb", 1);
     if (json_object_object_get_ex(value, "gpu", NULL))
-        resources.gpu = amount_of(faults, value, at, "gpu", 1);
+        resources.gpu = parse_amount(faults, value, at, "gpu", 1);
     return resources;
 }
--- a/packages/config/src/config.c
+++ b/packages/config/src/config.c
@@ -1,4 +1,4 @@
-/* One version of the configuration: reading it as a whole, patching it, and finding in it. */
+/* One version of the configuration: reading, patching and look-ups. */
 #include "config/config.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
     return "{\"r\":1,\"zoneLoss\":false,\"cells\":{},\"policies\":{}}";
 }
 
-void check_named(Faults *faults, const char *name, const char *path, const char *key)
+void check_member_name(Faults *faults, const char *name, const char *path, const char *key)
 {
     if (!check_name_text(name))
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, check_path(faults, path, key), name),
@@ -39,10 +39,10 @@
 
 /* --- policies, kinds and limits ------------------------------------------------------ */
 
-static void read_policies(const Reading *reading, json_object *object)
+static void read_policies(const ConfigReader *reader, json_object *object)
 {
-    Config *config = reading->config;
-    json_object *all = read_members(reading->faults, object, "", "policies", &config->policy_count);
+    Config *config = reader->config;
+    json_object *all = read_members(reader->faults, object, "", "policies", &config->policy_count);
     const ConfigPolicy **policies = talloc_zero_array(config, const ConfigPolicy *, (unsigned)config->policy_count);
     config->policies = policies;
     if (all == NULL)
@@ -50,9 +50,9 @@
     size_t at = 0;
     json_object_object_foreach(all, name, value)
     {
-        const ConfigPolicy *known = reading->earlier != NULL ? config_policy(reading->earlier, name) : NULL;
-        check_named(reading->faults, name, "", "policies");
-        policies[at++] = policy_part(value, name, "policies", known, reading->faults);
+        const ConfigPolicy *known = reader->earlier != NULL ? config_policy(reader->earlier, name) : NULL;
+        check_member_name(reader->faults, name, "", "policies");
+        policies[at++] = shared_policy_get(value, name, "policies", known, reader->faults);
     }
 }
 
@@ -69,7 +69,7 @@
     {
         const char *path = check_path(faults, "kinds", name);
         ConfigKind *kind = &kinds[at++];
-        check_named(faults, name, "", "kinds");
+        check_member_name(faults, name, "", "kinds");
         *kind = (ConfigKind){.name = talloc_strdup(config, name), .health_path = "", .note = ""};
         g_hash_table_insert(config->kind_names, (gpointer)(uintptr_t)kind->name, kind);
         if (!check_keys(faults, value, path, KEYS))
@@ -92,18 +92,18 @@
     limits->idle_ms = check_int(faults, value, "limits", "idleMs", 1, CONFIG_SPAN_MAX_MS, 0);
 }
 
-/* --- the whole ------------------------------------------------------------------------ */
+/* --- the whole document ---------------------------------------------------------------- */
 
 static int config_free(Config *config)
 {
     for (size_t i = 0; i < config->cell_count; i++) {
         for (size_t k = 0; k < config->cells[i].queue_count; k++)
-            queue_part_leave(config->cells[i].queues[k]);
+            shared_queue_release(config->cells[i].queues[k]);
         g_hash_table_destroy(config->cells[i].queue_names);
         g_hash_table_destroy(config->cells[i].tenant_names);
     }
     for (size_t i = 0; i < config->policy_count; i++)
-        policy_part_leave(config->policies[i]);
+        shared_policy_release(config->policies[i]);
     g_hash_table_destroy(config->cell_names);
     g_hash_table_destroy(config->kind_names);
     json_object_put(config->tree);
@@ -122,18 +122,18 @@
     config->cell_names = g_hash_table_new(g_str_hash, g_str_equal);
     config->kind_names = g_hash_table_new(g_str_hash, g_str_equal);
     talloc_set_destructor(config, config_free);
-    const Reading reading = {config, earlier, faults};
+    const ConfigReader reader = {config, earlier, faults};
     if (check_keys(faults, tree, "", KEYS)) {
         config->r_named = json_object_object_get_ex(tree, "r", NULL);
         config->r = (uint64_t)check_int(faults, tree, "", "r", 0, PLAN_R_MAX, 1);
         config->zone_loss = check_flag(faults, tree, "", "zoneLoss", false);
         config->rack_loss = check_flag(faults, tree, "", "rackLoss", false);
         config->note = talloc_strdup(config, check_text(faults, tree, "", "note", CONFIG_NOTE_MAX));
-        read_policies(&reading, tree);
+        read_policies(&reader, tree);
         read_kinds(config, tree, faults);
         read_limits(&config->limits, tree, faults);
-        read_cells(&reading, tree);
-        check_cells(&reading, tree);
+        read_cells(&reader, tree);
+        check_cells(&reader, tree);
     }
     if (faults->seen == before)
         return config;
@@ -174,7 +174,7 @@
     return out;
 }
 
-/* --- finding ---------------------------------------------------------------------------- */
+/* --- look-ups --------------------------------------------------------------------------- */
 
 const ConfigCell *config_cell(const Config *config, const char *name)
 {
@@ -203,7 +203,7 @@
 
 const ConfigPlace *config_entry(const Config *config, const char *host, const char *path)
 {
-    return entries_find(config->entries, host, path);
+    return routes_find(config->routes, host, path);
 }
 
 const ConfigPolicy *config_policy(const Config *config, const char *name)
--- a/packages/config/src/duplicate_keys.c
+++ b/packages/config/src/duplicate_keys.c
@@ -1,4 +1,4 @@
-/* Finding duplicate keys of objects, by a walk over the text. */
+/* Search for duplicate keys of objects in a text. */
 #include "duplicate_keys.h"
 
 #include <glib.h>
@@ -22,10 +22,10 @@
     return count;
 }
 
-/* A walk over a text that is known to be JSON. */
+/* A walk over a text that is valid JSON. */
 typedef struct Walk {
     Faults *faults;
-    const char *at;
+    const char *at; /* current position */
 } Walk;
 
 static void skip_blanks(Walk *walk)
@@ -43,12 +43,12 @@
 
 static void walk_value(Walk *walk, const char *path);
 
-/* The key that begins here, on mem. */
-static char *key_next(Walk *walk, void *mem)
+/* Reads the key at the current position; owned by mem. */
+static char *read_key(Walk *walk, void *mem)
 {
     const char *from = walk->at;
     skip_string(walk);
-    /* two ways to write a letter make one key */
+    /* Resolve escapes: the same key can be written in several ways. */
     json_object *key = json_tokener_parse(talloc_strndup(mem, from, (size_t)(walk->at - from)));
     char *name = talloc_strdup(mem, json_object_get_string(key));
     json_object_put(key);
@@ -62,12 +62,12 @@
     walk->at++;
     skip_blanks(walk);
     while (*walk->at != '}') {
-        char *name = key_next(walk, mem);
+        char *name = read_key(walk, mem);
         const char *here = path[0] != '\0' ? talloc_asprintf(mem, "%s.%s", path, name) : name;
         if (!g_hash_table_add(seen, name))
-            fault_add(walk->faults, STATUS_BAD_FIELD, here, "stands twice");
+            fault_add(walk->faults, STATUS_BAD_FIELD, here, "duplicate key");
         skip_blanks(walk);
-        walk->at++; /* the colon */
+        walk->at++; /* skip the colon */
         walk_value(walk, here);
         if (*walk->at == ',')
             walk->at++;
@@ -93,7 +93,7 @@
     walk->at++;
 }
 
-/* Ends after the value and the blanks that follow. */
+/* Walks over a value and the blanks around it. */
 static void walk_value(Walk *walk, const char *path)
 {
     skip_blanks(walk);
@@ -108,7 +108,7 @@
     skip_blanks(walk);
 }
 
-void duplicate_keys_find(Faults *faults, const char *text)
+void report_duplicate_keys(Faults *faults, const char *text)
 {
     Walk walk = {faults, text};
     walk_value(&walk, "");
--- a/packages/config/src/duplicate_keys.h
+++ b/packages/config/src/duplicate_keys.h
@@ -1,14 +1,15 @@
 #ifndef CONFIG_SRC_DUPLICATE_KEYS_H
 #define CONFIG_SRC_DUPLICATE_KEYS_H
 
-/* Keys that one object has twice, of which json-c silently drops one. They are noticed by the number of members, and
- * only then searched for. */
+/* Detection of duplicate keys in an object, of which json-c silently drops one. The number of members reveals them, and
+ * only then the text is searched. */
 
 #include "config/check.h"
 
-/* The number of members of all objects of a tree; when scan_text has counted more, some object has a key twice. */
+/* Returns the total number of members of all objects of a tree. When scan_text counted more, some object has a
+ * duplicate key. */
 size_t json_member_count(json_object *tree);
-/* Adds a fault for each key that an object of the text has twice; the text must be JSON. */
-void duplicate_keys_find(Faults *faults, const char *text);
+/* Records a fault for each duplicate key in an object of the text, which must be valid JSON. */
+void report_duplicate_keys(Faults *faults, const char *text);
 
 #endif
--- a/packages/config/src/entries.c
+++ b/packages/config/src/entries.c
@@ -1,4 +1,4 @@
-/* The index of entries by host and prefix. */
+/* The index of routes by host and prefix. */
 #include "entries.h"
 
 #include <ctype.h>
@@ -7,31 +7,32 @@
 
 #include "base/constants.h"
 
-/* The prefix need not end with a zero: a path is looked up by its beginnings. */
-typedef struct EntryKey {
+/* The key of a route. prefix need not be zero-terminated, since look-ups pass the beginning of a path. */
+typedef struct RouteKey {
     const char *host, *prefix;
     size_t prefix_length;
     guint hash;
-} EntryKey;
+} RouteKey;
 
-typedef struct Entry {
-    EntryKey key; /* first */
+typedef struct RouteEntry {
+    RouteKey key; /* must be first */
     ConfigPlace place;
-} Entry;
+} RouteEntry;
 
-typedef struct HostLengths {
+/* The distinct lengths of a host's prefixes. */
+typedef struct PrefixLengths {
     size_t count;
-    size_t *lengths; /* of prefixes, the longest first, each once */
-} HostLengths;
+    size_t *lengths; /* in bytes, the longest first */
+} PrefixLengths;
 
-struct ConfigEntries {
+struct ConfigRoutes {
     GHashTable *by_key;
-    GHashTable *by_host; /* to HostLengths */
-    Entry *list;
+    GHashTable *by_host; /* host to PrefixLengths */
+    RouteEntry *list;
     size_t count;
 };
 
-guint entry_hash(const char *host, const char *prefix, size_t prefix_length)
+guint route_hash(const char *host, const char *prefix, size_t prefix_length)
 {
     guint hash = g_str_hash(host);
     for (size_t i = 0; i < prefix_length; i++)
@@ -41,70 +42,70 @@
 
 static guint key_hash(gconstpointer data)
 {
-    return ((const EntryKey *)data)->hash;
+    return ((const RouteKey *)data)->hash;
 }
 
 static gboolean key_equal(gconstpointer a, gconstpointer b)
 {
-    const EntryKey *one = a, *other = b;
+    const RouteKey *one = a, *other = b;
     return one->hash == other->hash && one->prefix_length == other->prefix_length &&
            memcmp(one->prefix, other->prefix, one->prefix_length) == 0 && strcmp(one->host, other->host) == 0;
 }
 
-static int entries_free(ConfigEntries *entries)
+static int routes_free(ConfigRoutes *routes)
 {
-    g_hash_table_destroy(entries->by_key);
-    g_hash_table_destroy(entries->by_host);
+    g_hash_table_destroy(routes->by_key);
+    g_hash_table_destroy(routes->by_host);
     return 0;
 }
 
-ConfigEntries *entries_new(void *mem, size_t count)
+ConfigRoutes *routes_new(void *mem, size_t count)
 {
-    ConfigEntries *entries = talloc_zero(mem, ConfigEntries);
-    entries->by_key = g_hash_table_new(key_hash, key_equal);
-    entries->by_host = g_hash_table_new(g_str_hash, g_str_equal);
-    entries->list = talloc_array(entries, Entry, (unsigned)count);
-    talloc_set_destructor(entries, entries_free);
-    return entries;
+    ConfigRoutes *routes = talloc_zero(mem, ConfigRoutes);
+    routes->by_key = g_hash_table_new(key_hash, key_equal);
+    routes->by_host = g_hash_table_new(g_str_hash, g_str_equal);
+    routes->list = talloc_array(routes, RouteEntry, (unsigned)count);
+    talloc_set_destructor(routes, routes_free);
+    return routes;
 }
 
-/* Notes that the host has a prefix of that length. */
-static void length_add(ConfigEntries *entries, const char *host, size_t length)
+/* Records that the host has a prefix of this length, in bytes. */
+static void add_prefix_length(ConfigRoutes *routes, const char *host, size_t length)
 {
-    HostLengths *of = g_hash_table_lookup(entries->by_host, host);
-    if (of == NULL) {
-        of = talloc_zero(entries, HostLengths);
-        g_hash_table_insert(entries->by_host, (gpointer)(uintptr_t)host, of);
+    PrefixLengths *lengths = g_hash_table_lookup(routes->by_host, host);
+    if (lengths == NULL) {
+        lengths = talloc_zero(routes, PrefixLengths);
+        g_hash_table_insert(routes->by_host, (gpointer)(uintptr_t)host, lengths);
     }
     size_t at = 0;
-    while (at < of->count && of->lengths[at] > length)
+    while (at < lengths->count && lengths->lengths[at] > length)
         at++;
-    if (at < of->count && of->lengths[at] == length)
+    if (at < lengths->count && lengths->lengths[at] == length)
         return;
-    of->lengths = talloc_realloc(entries, of->lengths, size_t, (unsigned)(of->count + 1));
-    memmove(of->lengths + at + 1, of->lengths + at, (of->count - at) * sizeof(size_t));
-    of->lengths[at] = length;
-    of->count++;
+    lengths->lengths = talloc_realloc(routes, lengths->lengths, size_t, (unsigned)(lengths->count + 1));
+    memmove(lengths->lengths + at + 1, lengths->lengths + at, (lengths->count - at) * sizeof(size_t));
+    lengths->lengths[at] = length;
+    lengths->count++;
 }
 
-bool entries_add(ConfigEntries *entries, const ConfigPlace *place, guint hash, const ConfigPlace **other)
+bool routes_add(ConfigRoutes *routes, const ConfigPlace *place, guint hash, const ConfigPlace **other)
 {
-    Entry *entry = &entries->list[entries->count];
+    RouteEntry *entry = &routes->list[routes->count];
     const ConfigQueue *queue = place->queue;
-    *entry = (Entry){{queue->host, queue->prefix, place->prefix_length, hash}, *place};
-    if (!g_hash_table_insert(entries->by_key, &entry->key, entry)) { /* the key there stays, and gets its entry back */
+    *entry = (RouteEntry){{queue->host, queue->prefix, place->prefix_length, hash}, *place};
+    if (!g_hash_table_insert(routes->by_key, &entry->key, entry)) { /* restore the value of the existing key */
         gpointer known;
-        g_hash_table_lookup_extended(entries->by_key, &entry->key, &known, NULL);
-        g_hash_table_insert(entries->by_key, known, known);
-        *other = &((Entry *)known)->place;
+        g_hash_table_lookup_extended(routes->by_key, &entry->key, &known, NULL);
+        g_hash_table_insert(routes->by_key, known, known);
+        *other = &((RouteEntry *)known)->place;
         return false;
     }
-    entries->count++;
-    length_add(entries, queue->host, place->prefix_length);
+    routes->count++;
+    add_prefix_length(routes, queue->host, place->prefix_length);
     return true;
 }
 
-const ConfigPlace *entries_find(const ConfigEntries *entries, const char *host, const char *path)
+const ConfigPlace *routes_find(const ConfigRoutes *routes, const char *host, const char *path)
 {
     char name[CONFIG_PATH_MAX + 1];
     size_t length = strcspn(host, ":");
@@ -113,14 +114,14 @@
     for (size_t i = 0; i < length; i++)
         name[i] = (char)tolower((unsigned char)host[i]);
     name[length] = '\0';
-    const HostLengths *of = g_hash_table_lookup(entries->by_host, name);
-    const size_t path_length = of != NULL ? strlen(path) : 0;
-    for (size_t i = 0; of != NULL && i < of->count; i++) {
-        if (of->lengths[i] > path_length)
+    const PrefixLengths *lengths = g_hash_table_lookup(routes->by_host, name);
+    const size_t path_length = lengths != NULL ? strlen(path) : 0;
+    for (size_t i = 0; lengths != NULL && i < lengths->count; i++) {
+        if (lengths->lengths[i] > path_length)
             continue;
-        const size_t prefix_length = of->lengths[i];
-        const EntryKey key = {name, path, prefix_length, entry_hash(name, path, prefix_length)};
-        const Entry *entry = g_hash_table_lookup(entries->by_key, &key);
+        const size_t prefix_length = lengths->lengths[i];
+        const RouteKey key = {name, path, prefix_length, route_hash(name, path, prefix_length)};
+        const RouteEntry *entry = g_hash_table_lookup(routes->by_key, &key);
         if (entry != NULL)
             return &entry->place;
     }
--- a/packages/config/src/entries.h
+++ b/packages/config/src/entries.h
@@ -1,20 +1,20 @@
 #ifndef CONFIG_SRC_ENTRIES_H
 #define CONFIG_SRC_ENTRIES_H
 
-/* All entries of a document, by which requests find their queue, without a walk over them:
- * for each host its prefixes' different lengths, the longest first, and all entries by
- * host and prefix. */
+/* The routes of a document, indexed so that a request finds its queue without a scan: for each host the distinct
+ * lengths of its prefixes, the longest first, and all routes by host and prefix. */
 
 #include "config/config.h"
 
-/* For at most count entries. Owned by mem. */
-ConfigEntries *entries_new(void *mem, size_t count);
-/* Adds an entry; its texts must outlive the entries. hash: entry_hash of its host and prefix.
- * False: *other, which has this host and prefix already, stays instead. */
-bool entries_add(ConfigEntries *entries, const ConfigPlace *place, guint hash, const ConfigPlace **other);
-guint entry_hash(const char *host, const char *prefix, size_t prefix_length);
-/* The entry of the host (in any case, without its port) with the longest prefix that starts the
- * path; null: none. */
-const ConfigPlace *entries_find(const ConfigEntries *entries, const char *host, const char *path);
+/* Creates an index for at most count routes, owned by mem. */
+ConfigRoutes *routes_new(void *mem, size_t count);
+/* Adds a route; its texts must outlive the index. hash: route_hash of its host and prefix. Returns false when the index
+ * already has a route with this host and prefix, which remains; *other is set to it. */
+bool routes_add(ConfigRoutes *routes, const ConfigPlace *place, guint hash, const ConfigPlace **other);
+/* Returns the hash of a host and a prefix. */
+guint route_hash(const char *host, const char *prefix, size_t prefix_length);
+/* Returns the route with this host (case-insensitive, without its port) and the longest prefix of the path; null:
+ * none. */
+const ConfigPlace *routes_find(const ConfigRoutes *routes, const char *host, const char *path);
 
 #endif
--- a/packages/config/src/keys.c
+++ b/packages/config/src/keys.c
@@ -1,4 +1,4 @@
-/* Digests of keys, and the index of a cell's keys by them. */
+/* Digests of keys, and the index of the keys of a cell by their digests. */
 #include "keys.h"
 
 #include <assert.h>
@@ -7,19 +7,19 @@
 
 #include "base/constants.h"
 
-/* The places of the index are by hash; digests of keys are evenly spread as they are. */
+/* A key in the index. Digests are uniformly distributed, so their first bytes serve as the hash. */
 typedef struct KeyEntry {
-    uint8_t digest[KEY_DIGEST_BYTES]; /* first */
+    uint8_t digest[KEY_DIGEST_BYTES]; /* must be first */
     const ConfigTenant *tenant;
 } KeyEntry;
 
 struct ConfigKeys {
-    GHashTable *by_digest; /* of KeyEntry, each to itself */
+    GHashTable *by_digest; /* set of KeyEntry */
     KeyEntry *list;
-    size_t count, most;
+    size_t count, capacity;
 };
 
-bool key_valid(const char *text)
+bool key_is_valid(const char *text)
 {
     const size_t length = strlen(text);
     for (size_t i = 0; i < length; i++)
@@ -40,7 +40,7 @@
 Bytes key_digest_bytes(void *mem, const char *key)
 {
     Bytes bytes = {0};
-    if (key == NULL || !key_valid(key))
+    if (key == NULL || !key_is_valid(key))
         return bytes;
     uint8_t digest[KEY_DIGEST_BYTES];
     key_digest(key, digest);
@@ -55,7 +55,7 @@
     return hash;
 }
 
-/* In constant time: how long it takes tells nothing of where two digests differ. */
+/* Compares in constant time, so that the duration does not reveal where two digests differ. */
 static gboolean digest_equal(gconstpointer a, gconstpointer b)
 {
     const uint8_t *one = a, *other = b;
@@ -76,7 +76,7 @@
     ConfigKeys *keys = talloc_zero(mem, ConfigKeys);
     keys->by_digest = g_hash_table_new(digest_hash, digest_equal);
     keys->list = talloc_array(keys, KeyEntry, (unsigned)count);
-    keys->most = count;
+    keys->capacity = count;
     talloc_set_destructor(keys, keys_free);
     return keys;
 }
@@ -86,7 +86,7 @@
     const ConfigTenant *known = keys_find(keys, digest);
     if (known != NULL)
         return known;
-    assert(keys->count < keys->most);
+    assert(keys->count < keys->capacity);
     KeyEntry *entry = &keys->list[keys->count++];
     memcpy(entry->digest, digest, KEY_DIGEST_BYTES);
     entry->tenant = tenant;
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -1,4 +1,4 @@
-/* Reading queues and policies, and sharing them between versions. */
+/* Reading of queues and policies, and sharing them between versions. */
 #include "parts.h"
 
 #include <ctype.h>
@@ -10,12 +10,12 @@
 
 /* --- queues -------------------------------------------------------------------- */
 
-static QueuePart *part_of_queue(const ConfigQueue *queue)
+static SharedQueue *shared_queue_of(const ConfigQueue *queue)
 {
-    return (QueuePart *)(uintptr_t)queue;
+    return (SharedQueue *)(uintptr_t)queue;
 }
 
-static void read_entry(json_object *object, const char *path, QueuePart *part, Faults *faults)
+static void read_entry(json_object *object, const char *path, SharedQueue *part, Faults *faults)
 {
     static const char *const KEYS[] = {"host", "prefix", NULL};
     json_object *value;
@@ -30,16 +30,16 @@
     const char *prefix = check_text(faults, value, here, "prefix", CONFIG_PATH_MAX);
     if (prefix[0] != '/' || strpbrk(prefix, "?# ") != NULL)
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, here, "prefix"),
-                  "must be the beginning of a path: /...");
+                  "must be a path prefix starting with /");
     if (strchr(host, ':') != NULL)
-        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, here, "host"), "must be a host without its port");
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, here, "host"), "must be a host without a port");
     part->queue.host = host;
     part->queue.prefix = talloc_strdup(part, prefix);
     part->prefix_length = strlen(prefix);
-    part->entry_hash = entry_hash(host, prefix, part->prefix_length);
+    part->route_hash = route_hash(host, prefix, part->prefix_length);
 }
 
-static void read_queue(json_object *value, const char *path, QueuePart *part, Faults *faults)
+static void read_queue(json_object *value, const char *path, SharedQueue *part, Faults *faults)
 {
     static const char *const KEYS[] = {"priority", "kind",   "rounds", "stretch", "targetMs", "expiryMs",
                                        "entry",    "tenant", "public", "note",    NULL};
@@ -58,66 +58,66 @@
     read_entry(value, path, part, faults);
 }
 
-const ConfigQueue *queue_part(json_object *value, const char *name, const char *path, const ConfigQueue *earlier,
-                              Faults *faults)
+const ConfigQueue *shared_queue_get(json_object *value, const char *name, const char *path, const ConfigQueue *earlier,
+                                    Faults *faults)
 {
-    QueuePart *part = earlier != NULL ? part_of_queue(earlier) : NULL;
-    if (part == NULL || part->from != value) {
-        part = talloc_zero(NULL, QueuePart);
-        part->from = json_object_get(value);
+    SharedQueue *part = earlier != NULL ? shared_queue_of(earlier) : NULL;
+    if (part == NULL || part->source != value) {
+        part = talloc_zero(NULL, SharedQueue);
+        part->source = json_object_get(value);
         part->queue = (ConfigQueue){
             .name = talloc_strdup(part, name), .kind = "", .host = "", .prefix = "", .tenant = "", .note = ""};
         read_queue(value, check_path(faults, path, name), part, faults);
     }
-    part->users++;
+    part->references++;
     return &part->queue;
 }
 
-void queue_part_leave(const ConfigQueue *queue)
+void shared_queue_release(const ConfigQueue *queue)
 {
-    QueuePart *part = part_of_queue(queue);
-    if (part == NULL || --part->users > 0)
+    SharedQueue *part = shared_queue_of(queue);
+    if (part == NULL || --part->references > 0)
         return;
-    json_object_put(part->from);
+    json_object_put(part->source);
     talloc_free(part);
 }
 
 /* --- policies -------------------------------------------------------------------- */
 
-static PolicyPart *part_of_policy(const ConfigPolicy *policy)
+static SharedPolicy *shared_policy_of(const ConfigPolicy *policy)
 {
-    return (PolicyPart *)(uintptr_t)policy;
+    return (SharedPolicy *)(uintptr_t)policy;
 }
 
-static void read_policy(json_object *value, const char *path, PolicyPart *part, Faults *faults)
+static void read_policy(json_object *value, const char *path, SharedPolicy *part, Faults *faults)
 {
     Failure failure = {0};
     const char *text = json_object_is_type(value, json_type_string) ? json_object_get_string(value) : NULL;
     if (text == NULL || strlen(text) != (size_t)json_object_get_string_len(value))
-        fault_add(faults, STATUS_BAD_FIELD, path, "must be the text of a program");
+        fault_add(faults, STATUS_BAD_FIELD, path, "must be the source text of a program");
     else if (lua_policy_new(part, part->policy.name, text, &part->policy.lua, &failure) != STATUS_OK)
         fault_add(faults, STATUS_BAD_POLICY, path, "%s", failure.text);
 }
 
-const ConfigPolicy *policy_part(json_object *value, const char *name, const char *path, const ConfigPolicy *earlier,
-                                Faults *faults)
+const ConfigPolicy *shared_policy_get(json_object *value, const char *name, const char *path,
+                                      const ConfigPolicy *earlier, Faults *faults)
 {
-    PolicyPart *part = earlier != NULL ? part_of_policy(earlier) : NULL;
-    if (part == NULL || part->from != value) {
-        part = talloc_zero(NULL, PolicyPart);
-        part->from = json_object_get(value);
+    SharedPolicy *part = earlier != NULL ? shared_policy_of(earlier) : NULL;
+    if (part == NULL || part->source != value) {
+        part = talloc_zero(NULL, SharedPolicy);
+        part->source = json_object_get(value);
         part->policy.name = talloc_strdup(part, name);
         read_policy(value, check_path(faults, path, name), part, faults);
     }
-    part->users++;
+    part->references++;
     return &part->policy;
 }
 
-void policy_part_leave(const ConfigPolicy *policy)
+void shared_policy_release(const ConfigPolicy *policy)
 {
-    PolicyPart *part = part_of_policy(policy);
-    if (part == NULL || --part->users > 0)
+    SharedPolicy *part = shared_policy_of(policy);
+    if (part == NULL || --part->references > 0)
         return;
-    json_object_put(part->from);
+    json_object_put(part->source);
     talloc_free(part);
 }
--- a/packages/config/src/parts.h
+++ b/packages/config/src/parts.h
@@ -1,36 +1,37 @@
 #ifndef CONFIG_SRC_PARTS_H
 #define CONFIG_SRC_PARTS_H
 
-/* The parts that versions of the configuration share: a queue, a policy. Each is read once from
- * its place in the tree and lives as long as any Config uses it. */
+/* Parts that versions of the configuration share: queues and policies. Each is read once from its value in the tree and
+ * is reference-counted by the Configs that use it. */
 
 #include "config/config.h"
 
-/* Invariants: users is above 0; from is the value that the part was read from, kept, so that no
- * other value can come to stand at the same address. */
-typedef struct QueuePart {
-    ConfigQueue queue; /* first */
-    json_object *from;
-    size_t users;
+/* A shared queue. Invariants: references is above 0; source is a reference to the value that the part was read from, so
+ * that no other value can be allocated at the same address. */
+typedef struct SharedQueue {
+    ConfigQueue queue; /* must be first */
+    json_object *source;
+    size_t references;
     size_t prefix_length;
-    guint entry_hash;
-} QueuePart;
+    guint route_hash;
+} SharedQueue;
 
-typedef struct PolicyPart {
-    ConfigPolicy policy; /* first */
-    json_object *from;
-    size_t users;
-} PolicyPart;
+/* A shared policy, with the same invariants. */
+typedef struct SharedPolicy {
+    ConfigPolicy policy; /* must be first */
+    json_object *source;
+    size_t references;
+} SharedPolicy;
 
-/* Each gives the caller a use of a part of that name: of earlier (may be null), when that was
- * read from the same value, else of a new one. path: where the value's parent is. A part is
- * returned also when there are faults. */
-const ConfigQueue *queue_part(json_object *value, const char *name, const char *path, const ConfigQueue *earlier,
-                              Faults *faults);
-const ConfigPolicy *policy_part(json_object *value, const char *name, const char *path, const ConfigPolicy *earlier,
-                                Faults *faults);
-/* Ends a use; the last one frees the part. Nothing for null. */
-void queue_part_leave(const ConfigQueue *queue);
-void policy_part_leave(const ConfigPolicy *policy);
+/* Return a reference, owned by the caller, to the part with this name: to earlier (may be null) if that was read from
+ * the same value, else to a new one. path: path of the value's parent. A part is returned even when faults are
+ * recorded. */
+const ConfigQueue *shared_queue_get(json_object *value, const char *name, const char *path, const ConfigQueue *earlier,
+                                    Faults *faults);
+const ConfigPolicy *shared_policy_get(json_object *value, const char *name, const char *path,
+                                      const ConfigPolicy *earlier, Faults *faults);
+/* Release a reference; the last one frees the part. Do nothing for null. */
+void shared_queue_release(const ConfigQueue *queue);
+void shared_policy_release(const ConfigPolicy *policy);
 
 #endif
--- a/packages/config/src/reading.h
+++ b/packages/config/src/reading.h
@@ -1,25 +1,26 @@
 #ifndef CONFIG_SRC_READING_H
 #define CONFIG_SRC_READING_H
 
-/* Reading one version of the document, in parts: each fills its part of the Config and notes
- * faults. */
+/* Functions that read one version of the document: each fills its part of the Config and records faults. */
 
 #include "config/config.h"
 
-typedef struct Reading {
+/* The state of reading one version. */
+typedef struct ConfigReader {
     Config *config;
     const Config *earlier; /* may be null */
     Faults *faults;
-} Reading;
+} ConfigReader;
 
-/* The object under a key, whose members are the things by name, and their number; null, and
- * 0, when the key is absent or no object. */
+/* Returns the object at a key, whose members are named items, and sets *count to their number; null and 0 when the key
+ * is absent or its value is not an object. */
 json_object *read_members(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
-/* Notes a fault when the member's name is none. */
-void check_named(Faults *faults, const char *name, const char *path, const char *key);
+/* Records a fault when the key of a member of path.key is not a valid name. */
+void check_member_name(Faults *faults, const char *name, const char *path, const char *key);
 
-void read_cells(const Reading *reading, json_object *object);
-/* What names something elsewhere in the document, once all is read; and the entries. */
-void check_cells(const Reading *reading, json_object *tree);
+/* Reads all cells with their tenants and queues. */
+void read_cells(const ConfigReader *reader, json_object *object);
+/* Checks references to other parts of the document, once all of it is read, and builds the index of routes. */
+void check_cells(const ConfigReader *reader, json_object *tree);
 
 #endif
--- a/packages/config/src/scan.c
+++ b/packages/config/src/scan.c
@@ -1,19 +1,19 @@
-/* The grammar of JSON (RFC 8259), by recursive descent. Each function takes one thing off the
- * text; false: it is not there, and wrong says so. */
+/* A recursive descent parser for the grammar of JSON (RFC 8259). Each function consumes one element of the text, or
+ * returns false and sets error when there is none. */
 #include "scan.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* Notes the first error; false, for the caller to return. */
-static bool stop(Scan *scan, const char *wrong)
+/* Records the first error. Returns false, for the caller to return. */
+static bool scan_failed(Scan *scan, const char *error)
 {
-    if (scan->wrong == NULL)
-        scan->wrong = wrong;
+    if (scan->error == NULL)
+        scan->error = error;
     return false;
 }
 
-/* The next byte; 0 at the end, since there is no zero byte inside. */
+/* Returns the next byte; 0 at the end, which is unambiguous since the text contains no zero byte. */
 static char peek(const Scan *scan)
 {
     return scan->at < scan->count ? scan->text[scan->at] : '\0';
@@ -25,114 +25,115 @@
         scan->at++;
 }
 
-static bool take_word(Scan *scan, const char *word)
+static bool scan_literal(Scan *scan, const char *word)
 {
     const size_t length = strlen(word);
     if (scan->count - scan->at < length || memcmp(scan->text + scan->at, word, length) != 0)
-        return stop(scan, "is no value");
+        return scan_failed(scan, "expected a JSON value");
     scan->at += length;
     return true;
 }
 
-static bool take_digits(Scan *scan)
+static bool scan_digits(Scan *scan)
 {
     const size_t from = scan->at;
     while (peek(scan) >= '0' && peek(scan) <= '9')
         scan->at++;
-    return scan->at > from || stop(scan, "a digit is missing");
+    return scan->at > from || scan_failed(scan, "expected a digit");
 }
 
-static bool take_number(Scan *scan)
+static bool scan_number(Scan *scan)
 {
     if (peek(scan) == '-')
         scan->at++;
     const bool zero = peek(scan) == '0';
     const size_t from = scan->at;
-    if (!take_digits(scan))
+    if (!scan_digits(scan))
         return false;
     if (zero && scan->at > from + 1)
-        return stop(scan, "a number begins with 0");
+        return scan_failed(scan, "a number must not begin with 0");
     if (peek(scan) == '.') {
         scan->at++;
-        if (!take_digits(scan))
+        if (!scan_digits(scan))
             return false;
     }
     if (peek(scan) == 'e' || peek(scan) == 'E') {
         scan->at++;
         if (peek(scan) == '+' || peek(scan) == '-')
             scan->at++;
-        if (!take_digits(scan))
+        if (!scan_digits(scan))
             return false;
     }
     return true;
 }
 
-/* The four hexadecimal digits after \u. */
-static bool take_unit(Scan *scan, unsigned *unit)
+/* Consumes the four hexadecimal digits after \u. */
+static bool scan_code_unit(Scan *scan, unsigned *unit)
 {
     *unit = 0;
     for (int i = 0; i < 4; i++, scan->at++) {
         const int digit = g_ascii_xdigit_value(peek(scan));
         if (digit < 0)
-            return stop(scan, "four digits must follow \\u");
+            return scan_failed(scan, "four hexadecimal digits must follow \\u");
         *unit = *unit * 16 + (unsigned)digit;
     }
     return true;
 }
 
-/* What follows a backslash. A key must not have a zero in it: json-c would cut it there. */
-static bool take_escape(Scan *scan, bool key)
+/* Consumes an escape sequence after its backslash. A key must not contain a zero character, where json-c would truncate
+ * it. */
+static bool scan_escape(Scan *scan, bool key)
 {
     const char letter = peek(scan);
     if (letter == '\0' || strchr("\"\\/bfnrtu", letter) == NULL)
-        return stop(scan, "is no escape");
+        return scan_failed(scan, "invalid escape sequence");
     scan->at++;
     unsigned unit, low;
     if (letter != 'u')
         return true;
-    if (!take_unit(scan, &unit))
+    if (!scan_code_unit(scan, &unit))
         return false;
     if (key && unit == 0)
-        return stop(scan, "a zero in a key");
+        return scan_failed(scan, "zero character in a key");
     if (unit < 0xd800 || unit > 0xdfff)
         return true;
     if (unit > 0xdbff || peek(scan) != '\\')
-        return stop(scan, "half a pair of \\u");
+        return scan_failed(scan, "unpaired surrogate");
     scan->at++;
     if (peek(scan) != 'u')
-        return stop(scan, "half a pair of \\u");
+        return scan_failed(scan, "unpaired surrogate");
     scan->at++;
-    if (!take_unit(scan, &low))
+    if (!scan_code_unit(scan, &low))
         return false;
-    return (low >= 0xdc00 && low <= 0xdfff) || stop(scan, "half a pair of \\u");
+    return (low >= 0xdc00 && low <= 0xdfff) || scan_failed(scan, "unpaired surrogate");
 }
 
-static bool take_string(Scan *scan, bool key)
+static bool scan_string(Scan *scan, bool key)
 {
-    scan->at++; /* the opening quote */
+    scan->at++; /* skip the opening quote */
     for (;;) {
         if (scan->at >= scan->count)
-            return stop(scan, "the text ends too early");
+            return scan_failed(scan, "unexpected end of text");
         const char letter = scan->text[scan->at];
         if (letter == '"') {
             scan->at++;
             return true;
         }
         if ((unsigned char)letter < ' ')
-            return stop(scan, "a control character in a string");
+            return scan_failed(scan, "unescaped control character in a string");
         scan->at++;
-        if (letter == '\\' && !take_escape(scan, key))
+        if (letter == '\\' && !scan_escape(scan, key))
             return false;
     }
 }
 
-static bool take_value(Scan *scan);
+static bool scan_value(Scan *scan);
 
-/* The members of an object, or the elements of an array, up to the closing bracket. */
-static bool take_many(Scan *scan, char close, bool members)
+/* Consumes the members of an object, or the elements of an array, up to and including the closing bracket. */
+static bool scan_members(Scan *scan, char close, bool members)
 {
-    if (++scan->depth > scan->depth_most)
-        return stop(scan, "is nested too deeply");
+    if (++scan->depth > scan->depth_max)
+        return scan_failed(scan, "nested too deeply");
     scan->at++;
     skip_blanks(scan);
     bool more = peek(scan) != close;
@@ -140,50 +141,51 @@
         skip_blanks(scan);
         if (members) {
             if (peek(scan) != '"')
-                return stop(scan, scan->at < scan->count ? "a key is missing" : "the text ends too early");
-            if (!take_string(scan, true))
+                return scan_failed(scan, scan->at < scan->count ? "expected a key" : "unexpected end of text");
+            if (!scan_string(scan, true))
                 return false;
             scan->members++;
             skip_blanks(scan);
             if (peek(scan) != ':')
-                return stop(scan, scan->at < scan->count ? "a colon is missing" : "the text ends too early");
+                return scan_failed(scan, scan->at < scan->count ? "expected a colon" : "unexpected end of text");
             scan->at++;
         }
-        if (!take_value(scan))
+        if (!scan_value(scan))
             return false;
         skip_blanks(scan);
         more = peek(scan) == ',';
         if (more)
             scan->at++;
         else if (peek(scan) != close)
-            return stop(scan, scan->at < scan->count ? "a comma or the end is missing" : "the text ends too early");
+            return scan_failed(scan, scan->at < scan->count ? "expected a comma or a closing bracket"
+                                                            : "unexpected end of text");
     }
     scan->at++;
     scan->depth--;
     return true;
 }
 
-static bool take_value(Scan *scan)
+static bool scan_value(Scan *scan)
 {
     skip_blanks(scan);
     const char letter = peek(scan);
     switch (letter) {
     case '{':
-        return take_many(scan, '}', true);
+        return scan_members(scan, '}', true);
     case '[':
-        return take_many(scan, ']', false);
+        return scan_members(scan, ']', false);
     case '"':
-        return take_string(scan, false);
+        return scan_string(scan, false);
     case 't':
-        return take_word(scan, "true");
+        return scan_literal(scan, "true");
     case 'f':
-        return take_word(scan, "false");
+        return scan_literal(scan, "false");
     case 'n':
-        return take_word(scan, "null");
+        return scan_literal(scan, "null");
     default:
         if (letter == '-' || (letter >= '0' && letter <= '9'))
-            return take_number(scan);
-        return stop(scan, scan->at < scan->count ? "is no value" : "the text ends too early");
+            return scan_number(scan);
+        return scan_failed(scan, scan->at < scan->count ? "expected a JSON value" : "unexpected end of text");
     }
 }
 
@@ -192,10 +194,10 @@
     const char *end;
     if (!g_utf8_validate(scan->text, (gssize)scan->count, &end)) {
         scan->at = (size_t)(end - scan->text);
-        return stop(scan, *end == '\0' ? "a zero byte in the text" : "is no UTF-8");
+        return scan_failed(scan, *end == '\0' ? "zero byte in the text" : "invalid UTF-8");
     }
-    if (!take_value(scan))
+    if (!scan_value(scan))
         return false;
     skip_blanks(scan);
-    return scan->at == scan->count || stop(scan, "something follows the document");
+    return scan->at == scan->count || scan_failed(scan, "unexpected text after the document");
 }
--- a/packages/config/src/scan.h
+++ b/packages/config/src/scan.h
@@ -1,23 +1,23 @@
 #ifndef CONFIG_SRC_SCAN_H
 #define CONFIG_SRC_SCAN_H
 
-/* A strict check of a text before json-c parses it: whether it is one JSON value as RFC 8259
- * has it, no more and no less. json-c is laxer, and of two equal keys keeps only the last. */
+/* A strict check that a text is exactly one JSON value according to RFC 8259, before json-c parses it. json-c is more
+ * lenient, and of duplicate keys it retains only the last. */
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/* text, count and depth_most are set by the caller, the rest is 0 at first.
- * Invariant: wrong is null until the first error; then at is the byte where it is. */
+/* The state of a scan. The caller sets text, count and depth_max; all other fields start as 0. Invariant: error is null
+ * until the first error, and then at is its offset in bytes. */
 typedef struct Scan {
     const char *text;
     size_t count, at;
-    size_t members; /* of all objects together */
-    size_t depth, depth_most;
-    const char *wrong;
+    size_t members; /* total number of members of all objects */
+    size_t depth, depth_max;
+    const char *error; /* description of the first error; null: none */
 } Scan;
 
-/* Whether it is one; else wrong and at are set. */
+/* Returns whether the text is valid; otherwise sets error and at. */
 bool scan_text(Scan *scan);
 
 #endif
--- a/packages/config/src/tenants.c
+++ b/packages/config/src/tenants.c
@@ -1,4 +1,4 @@
-/* Reading a cell's tenants: quotas, weights, keys. Faults name keys by their place, never by their text. */
+/* Reading the tenants of a cell: quotas, weights and keys. Faults identify keys by position, never by their text. */
 #include "tenants.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "keys.h"
 #include "reading.h"
 
-/* The tenant's list of keys; null: it has none, which is a fault unless nothing stands there. */
+/* Returns the tenant's list of keys; null when there is none. Records a fault when the value is not a list. */
 static json_object *key_list(Faults *faults, json_object *object, const char *path)
 {
     json_object *list;
@@ -20,18 +20,18 @@
     return NULL;
 }
 
-/* Adds the tenant's key; what is wrong with it, or null. */
+/* Adds a key of the tenant. Returns null or, owned by mem, a description of what is wrong with the key. */
 static const char *add_key(ConfigKeys *keys, json_object *value, const ConfigTenant *tenant, void *mem)
 {
     const char *text = json_object_is_type(value, json_type_string) ? json_object_get_string(value) : NULL;
-    if (text == NULL || strlen(text) != (size_t)json_object_get_string_len(value) || !key_valid(text))
+    if (text == NULL || strlen(text) != (size_t)json_object_get_string_len(value) || !key_is_valid(text))
         return talloc_asprintf(mem, "must be a key of 1 to %d visible ASCII characters", CONFIG_KEY_MAX);
     uint8_t digest[KEY_DIGEST_BYTES];
     key_digest(text, digest);
     const ConfigTenant *other = keys_add(keys, digest, tenant);
     if (other == NULL)
         return NULL;
-    return other == tenant ? "is there twice" : talloc_asprintf(mem, "tenant %s has this key", other->name);
+    return other == tenant ? "duplicate key" : talloc_asprintf(mem, "this key belongs to tenant %s", other->name);
 }
 
 static void read_keys(ConfigKeys *keys, json_object *list, const char *path, ConfigTenant *tenant, Faults *faults)
@@ -39,9 +39,9 @@
     tenant->keyed = list != NULL;
     tenant->key_count = list != NULL ? json_object_array_length(list) : 0;
     for (size_t i = 0; i < tenant->key_count; i++) {
-        const char *wrong = add_key(keys, json_object_array_get_idx(list, i), tenant, faults->mem);
-        if (wrong != NULL)
-            fault_add(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "%s.keys[%zu]", path, i), "%s", wrong);
+        const char *error = add_key(keys, json_object_array_get_idx(list, i), tenant, faults->mem);
+        if (error != NULL)
+            fault_add(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "%s.keys[%zu]", path, i), "%s", error);
     }
 }
 
@@ -56,26 +56,26 @@
     tenant->note = talloc_strdup(config, check_text(faults, value, path, "note", CONFIG_NOTE_MAX));
 }
 
-/* An upper bound on the number of keys of all tenants. */
-static size_t keys_most(json_object *tenants)
+/* Returns an upper bound on the number of keys of all tenants. */
+static size_t max_key_count(json_object *tenants)
 {
-    size_t most = 0;
+    size_t max = 0;
     json_object_object_foreach(tenants, name, value)
     {
         json_object *list;
         (void)name;
         if (json_object_is_type(value, json_type_object) && json_object_object_get_ex(value, "keys", &list) &&
             json_object_is_type(list, json_type_array))
-            most += json_object_array_length(list);
+            max += json_object_array_length(list);
     }
-    return most;
+    return max;
 }
 
 void read_tenants(Config *config, json_object *object, const char *path, ConfigCell *cell, Faults *faults)
 {
     json_object *all = read_members(faults, object, path, "tenants", &cell->tenant_count);
     ConfigTenant *tenants = talloc_zero_array(config, ConfigTenant, (unsigned)cell->tenant_count);
-    ConfigKeys *keys = keys_new(config, all != NULL ? keys_most(all) : 0);
+    ConfigKeys *keys = keys_new(config, all != NULL ? max_key_count(all) : 0);
     cell->tenants = tenants;
     cell->keys = keys;
     if (all == NULL)
@@ -85,7 +85,7 @@
     {
         const char *here = check_path(faults, check_path(faults, path, "tenants"), name);
         ConfigTenant *tenant = &tenants[at++];
-        check_named(faults, name, path, "tenants");
+        check_member_name(faults, name, path, "tenants");
         *tenant = (ConfigTenant){.name = talloc_strdup(config, name), .weight_milli = 1000, .note = ""};
         g_hash_table_insert(cell->tenant_names, (gpointer)(uintptr_t)tenant->name, tenant);
         read_tenant(config, value, here, tenant, faults);
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -1,11 +1,11 @@
-/* Documents of operators: what is read of them, what is refused and why, and where requests
- * find their queue. */
+/* Tests of operators' documents: which fields are read, which documents are refused with which fault, and how requests
+ * are routed to queues. */
 #include "../../base/test/draw.h"
 #include "base/constants.h"
 #include "config/key.h"
 #include "fixture.h"
 
-static const char WHOLE[] =
+static const char FULL_DOCUMENT[] =
     "{\"r\":2,\"zoneLoss\":true,\"note\":\"all of it\","
     "\"kinds\":{\"huvo11a\":{\"guards\":true,\"healthPath\":\"/health\",\"note\":\"{\\\"max\\\":64}\"},\"plain\":{}},"
     "\"limits\":{\"headBytes\":16384,\"bodyBytes\":262144,\"headMs\":3000,\"idleMs\":15000},"
@@ -22,7 +22,7 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    const Config *config = read_good(mem, WHOLE);
+    const Config *config = read_good(mem, FULL_DOCUMENT);
     assert_int_equal(config->r, 2);
     assert_string_equal(config->note, "all of it");
     assert_int_equal(config->limits.head_bytes, 16384);
@@ -69,7 +69,7 @@
     talloc_free(mem);
 }
 
-static const char *found(const Config *config, const char *host, const char *path)
+static const char *route_of(const Config *config, const char *host, const char *path)
 {
     const ConfigPlace *place = config_entry(config, host, path);
     return place != NULL ? place->queue->name : "";
@@ -87,22 +87,22 @@
                        "\"d\":{\"entry\":{\"host\":\"h.example\",\"prefix\":\"/half\"}},"
                        "\"e\":{}}},"
                        "\"d\":{\"queues\":{\"all\":{\"entry\":{\"host\":\"i.example\",\"prefix\":\"/\"}}}}}}");
-    assert_string_equal(found(config, "h.example", "/x/0123"), "a");
-    assert_string_equal(found(config, "h.example", "/x/"), "a");
-    assert_string_equal(found(config, "h.example", "/x/y/0123"), "b");
-    assert_string_equal(found(config, "h.example", "/x/y"), "a");
-    assert_string_equal(found(config, "H.Example:8080", "/x/y/"), "b");
-    assert_string_equal(found(config, "g.example", "/x/y/"), "c");
-    assert_string_equal(found(config, "h.example", "/halfway"), "d");
-    assert_string_equal(found(config, "i.example", "/anything"), "all");
-    assert_string_equal(found(config, "h.example", "/x"), "");
-    assert_string_equal(found(config, "h.example", "/"), "");
-    assert_string_equal(found(config, "h.example", ""), "");
-    assert_string_equal(found(config, "j.example", "/x/"), "");
-    assert_string_equal(found(config, "", "/x/"), "");
+    assert_string_equal(route_of(config, "h.example", "/x/0123"), "a");
+    assert_string_equal(route_of(config, "h.example", "/x/"), "a");
+    assert_string_equal(route_of(config, "h.example", "/x/y/0123"), "b");
+    assert_string_equal(route_of(config, "h.example", "/x/y"), "a");
+    assert_string_equal(route_of(config, "H.Example:8080", "/x/y/"), "b");
+    assert_string_equal(route_of(config, "g.example", "/x/y/"), "c");
+    assert_string_equal(route_of(config, "h.example", "/halfway"), "d");
+    assert_string_equal(route_of(config, "i.example", "/anything"), "all");
+    assert_string_equal(route_of(config, "h.example", "/x"), "");
+    assert_string_equal(route_of(config, "h.example", "/"), "");
+    assert_string_equal(route_of(config, "h.example", ""), "");
+    assert_string_equal(route_of(config, "j.example", "/x/"), "");
+    assert_string_equal(route_of(config, "", "/x/"), "");
     char *host = talloc_zero_size(mem, 5001);
     memset(host, 'h', 5000);
-    assert_string_equal(found(config, host, "/x/"), "");
+    assert_string_equal(route_of(config, host, "/x/"), "");
     const ConfigPlace *place = config_entry(config, "h.example", "/x/0123");
     assert_string_equal(place->tenant, "t");
     assert_string_equal(place->cell->name, "c");
@@ -112,7 +112,7 @@
     talloc_free(mem);
 }
 
-/* Each alone, in an otherwise good document: the text, and the path of its one fault. */
+/* Documents with a single fault, and the path of that fault. */
 static const struct {
     const char *text, *path;
 } FAULTY[] = {
@@ -183,7 +183,7 @@
     {"{\"cells\":{\"c\":{\"queues\":{\"q\":{\"rounds\":1,\"rounds\":2}}}}}", "cells.c.queues.q.rounds"},
 };
 
-/* The path in the one tenant of a cell, the tenant, and the path of its one fault there. */
+/* Tenants with a single fault, and the path of that fault within the tenant. */
 static const struct {
     const char *tenant, *path;
 } FAULTY_TENANTS[] = {
@@ -215,13 +215,14 @@
     {"{\"keys\":[\"l\",\"taken\"]}", ".keys[1]"},
 };
 
-/* CONFIG: a document with a key that can't be one, or that is another's, was acknowledged. */
+/* Guards against an earlier failure (safety property CONFIG): a document with an invalid key, or with a key of another
+ * tenant, was acknowledged. */
 static void each_fault_of_a_tenant_is_named_by_its_path(void **state)
 {
     (void)state;
     for (size_t i = 0; i < sizeof(FAULTY_TENANTS) / sizeof(FAULTY_TENANTS[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_make(mem);
+        Faults *faults = fault_list_new(mem);
         const char *text =
             talloc_asprintf(mem, "{\"cells\":{\"c\":{\"tenants\":{\"first\":{\"keys\":[\"taken\"]},\"t\":%s}}}}",
                             FAULTY_TENANTS[i].tenant);
@@ -230,7 +231,7 @@
         if (config != NULL || faults->count != 1 || strcmp(faults->list[0].path, path) != 0)
             fail_msg("%s: %zu faults, %s: %s", text, faults->count, faults->count > 0 ? faults->list[0].path : "",
                      faults->count > 0 ? faults->list[0].text : "");
-        /* no key stands in what operators and logs are told */
+        /* The text goes to operators and logs and must not contain a key. */
         assert_null(strstr(faults->list[0].text, "taken"));
         talloc_free(mem);
     }
@@ -244,13 +245,14 @@
         char *key = talloc_zero_size(mem, length + 1);
         memset(key, 'k', length);
         const char *text = talloc_asprintf(mem, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{\"keys\":[\"%s\"]}}}}}", key);
-        Faults *faults = faults_make(mem);
+        Faults *faults = fault_list_new(mem);
         assert_true((config_read(mem, text, strlen(text), 1, faults) != NULL) == (length == CONFIG_KEY_MAX));
     }
     talloc_free(mem);
 }
 
-/* A key of one cell says nothing in another. A tenant without any key still makes its cell ask for one. */
+/* A key is valid only in its own cell. A cell requires keys as soon as a tenant has a list of keys, even an empty
+ * one. */
 static void keys_are_of_their_cell(void **state)
 {
     (void)state;
@@ -275,7 +277,7 @@
     (void)state;
     for (size_t i = 0; i < sizeof(FAULTY) / sizeof(FAULTY[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_make(mem);
+        Faults *faults = fault_list_new(mem);
         const Config *config = config_read(mem, FAULTY[i].text, strlen(FAULTY[i].text), 1, faults);
         if (config != NULL || faults->count != 1 || strcmp(faults->list[0].path, FAULTY[i].path) != 0 ||
             faults->list[0].text[0] == '\0')
@@ -285,7 +287,7 @@
     }
 }
 
-/* A document that is too large is one fault. */
+/* The list of faults is bounded, but all faults are counted. A document that is too large has a single fault. */
 static void all_faults_are_listed_up_to_a_bound(void **state)
 {
     (void)state;
@@ -294,19 +296,20 @@
     for (int i = 1; i <= 100; i++)
         text = talloc_asprintf_append(text, ",\"q%d\":{\"rounds\":0,\"kind\":\"\"}", i);
     text = talloc_strdup_append(text, "}}}}");
-    Faults *faults = faults_make(mem);
+    Faults *faults = fault_list_new(mem);
     assert_null(config_read(mem, text, strlen(text), 1, faults));
     assert_int_equal(faults->count, FAULTS_MAX);
     assert_int_equal(faults->seen, 200);
     char *large = talloc_size(mem, CONFIG_BODY_MAX + 1);
     memset(large, ' ', CONFIG_BODY_MAX + 1);
-    faults = faults_make(mem);
+    faults = fault_list_new(mem);
     assert_null(config_read(mem, large, CONFIG_BODY_MAX + 1, 1, faults));
     assert_int_equal(faults->list[0].status, STATUS_TOO_LARGE);
     talloc_free(mem);
 }
 
-/* Bytes of good documents changed, cut and repeated: a result, typed, and no crash. */
+/* Documents with random bytes changed, truncated or repeated are either read or refused with faults, without a
+ * crash. */
 static void spoilt_documents_are_read_or_refused(void **state)
 {
     (void)state;
@@ -315,16 +318,17 @@
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
         char *text = talloc_strdup(
-            mem, i % 2 ? WHOLE : "{\"cells\":{\"c\":{\"queues\":{\"q\":{\"stretch\":2.2,\"note\":\"\\u00e9\"}}}}}");
+            mem,
+            i % 2 ? FULL_DOCUMENT : "{\"cells\":{\"c\":{\"queues\":{\"q\":{\"stretch\":2.2,\"note\":\"\\u00e9\"}}}}}");
         size_t count = strlen(text);
         for (uint64_t times = draw(&seed, 3); times > 0; times--)
             text[draw(&seed, count)] =
                 draw(&seed, 4) == 0 ? (char)draw(&seed, 256) : "{}[]\",:0123456789.-+eE\\utfn /"[draw(&seed, 29)];
-        if (draw(&seed, 5) == 0) /* a piece of it comes again */
+        if (draw(&seed, 5) == 0) /* repeat a piece of the text */
             memmove(text + draw(&seed, count / 2), text + draw(&seed, count / 2), count / 4);
         if (draw(&seed, 5) == 0)
             count = 1 + draw(&seed, count);
-        Faults *faults = faults_make(mem);
+        Faults *faults = fault_list_new(mem);
         if (config_read(mem, text, count, 1, faults) != NULL) {
             assert_int_equal(faults->seen, 0);
             good++;
--- a/packages/config/test/fixture.h
+++ b/packages/config/test/fixture.h
@@ -1,7 +1,7 @@
 #ifndef CONFIG_TEST_FIXTURE_H
 #define CONFIG_TEST_FIXTURE_H
 
-/* Reading documents in tests. */
+/* Helper of the tests that read documents. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,10 +14,10 @@
 
 #include "config/config.h"
 
-/* The text read as version 1, on mem; the test fails at its first fault. */
+/* Returns the text read as version 1, owned by mem. Fails the test with the first fault if there is any. */
 static inline const Config *read_good(void *mem, const char *text)
 {
-    Faults *faults = faults_make(mem);
+    Faults *faults = fault_list_new(mem);
     const Config *config = config_read(mem, text, strlen(text), 1, faults);
     if (config == NULL)
         fail_msg("%s: %s", faults->list[0].path, faults->list[0].text);
--- a/packages/config/test/parse.c
+++ b/packages/config/test/parse.c
@@ -1,5 +1,5 @@
-/* Texts of JSON that are read as a whole, or refused with the byte: by the parser that bodies of
- * operators and callers go through. */
+/* Tests of the JSON parser for the request bodies of operators and callers: valid texts are accepted, and others are
+ * refused with the offset of the error. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -28,7 +28,7 @@
     };
     for (size_t i = 0; i < sizeof(TEXTS) / sizeof(TEXTS[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_make(mem);
+        Faults *faults = fault_list_new(mem);
         json_object *object = check_parse(faults, TEXTS[i], strlen(TEXTS[i]));
         if (object == NULL || faults->seen > 0)
             fail_msg("%s: %s", TEXTS[i], faults->list[0].text);
@@ -37,60 +37,60 @@
     }
 }
 
-/* Each text with the type, the path and some words of its one fault. */
+/* Invalid texts, each with the status, the path and part of the text of its single fault. */
 static const struct {
     const char *text;
     Status status;
     const char *path, *words;
 } REFUSED[] = {
     {"", STATUS_BAD_JSON, "", "empty"},
-    {" ", STATUS_BAD_JSON, "", "at byte 1: the text ends too early"},
+    {" ", STATUS_BAD_JSON, "", "at byte 1: unexpected end of text"},
     {"null", STATUS_BAD_JSON, "", "null"},
-    {"{", STATUS_BAD_JSON, "", "at byte 1: the text ends too early"},
-    {"{\"a\"", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
-    {"{\"a\":", STATUS_BAD_JSON, "", "at byte 5: the text ends too early"},
-    {"{\"a\":1", STATUS_BAD_JSON, "", "at byte 6: the text ends too early"},
-    {"{\"a\":1,", STATUS_BAD_JSON, "", "at byte 7: the text ends too early"},
-    {"[1,2", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
-    {"\"abc", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
-    {"tru", STATUS_BAD_JSON, "", "at byte 0: is no value"},
-    {"{}x", STATUS_BAD_JSON, "", "at byte 2: something follows"},
-    {"{}{}", STATUS_BAD_JSON, "", "at byte 2: something follows"},
-    {"{\"a\":1}]", STATUS_BAD_JSON, "", "at byte 7: something follows"},
-    {"{\"a\":1,}", STATUS_BAD_JSON, "", "at byte 7: a key is missing"},
-    {"[1,]", STATUS_BAD_JSON, "", "at byte 3: is no value"},
-    {"{a:1}", STATUS_BAD_JSON, "", "at byte 1: a key is missing"},
-    {"{'a':1}", STATUS_BAD_JSON, "", "at byte 1: a key is missing"},
-    {"{\"a\" 1}", STATUS_BAD_JSON, "", "at byte 5: a colon is missing"},
-    {"{\"a\":1 \"b\":2}", STATUS_BAD_JSON, "", "at byte 7: a comma"},
-    {"/* x */{}", STATUS_BAD_JSON, "", "at byte 0: is no value"},
-    {"{}// x", STATUS_BAD_JSON, "", "at byte 2: something follows"},
-    {"NaN", STATUS_BAD_JSON, "", "is no value"},
-    {"[Infinity]", STATUS_BAD_JSON, "", "is no value"},
-    {"[-Infinity]", STATUS_BAD_JSON, "", "a digit is missing"},
-    {"[01]", STATUS_BAD_JSON, "", "begins with 0"},
-    {"[-01]", STATUS_BAD_JSON, "", "begins with 0"},
-    {"[1.]", STATUS_BAD_JSON, "", "a digit is missing"},
-    {"[.5]", STATUS_BAD_JSON, "", "is no value"},
-    {"[1e]", STATUS_BAD_JSON, "", "a digit is missing"},
-    {"[+1]", STATUS_BAD_JSON, "", "is no value"},
-    {"[0x10]", STATUS_BAD_JSON, "", "a comma"},
-    {"True", STATUS_BAD_JSON, "", "is no value"},
-    {"\"a\nb\"", STATUS_BAD_JSON, "", "at byte 2: a control character"},
-    {"\"\\x41\"", STATUS_BAD_JSON, "", "is no escape"},
-    {"\"\\u12\"", STATUS_BAD_JSON, "", "four digits"},
-    {"\"\\ud800\"", STATUS_BAD_JSON, "", "half a pair"},
-    {"\"\\udc00\"", STATUS_BAD_JSON, "", "half a pair"},
-    {"\"\\ud800\\u0041\"", STATUS_BAD_JSON, "", "half a pair"},
-    {"{\"a\\u0000b\":1}", STATUS_BAD_JSON, "", "a zero in a key"},
-    {"\"\xff\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
-    {"\"\xc0\xaf\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
-    {"\"\xed\xa0\x80\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
-    {"\"\xc3", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
+    {"{", STATUS_BAD_JSON, "", "at byte 1: unexpected end of text"},
+    {"{\"a\"", STATUS_BAD_JSON, "", "at byte 4: unexpected end of text"},
+    {"{\"a\":", STATUS_BAD_JSON, "", "at byte 5: unexpected end of text"},
+    {"{\"a\":1", STATUS_BAD_JSON, "", "at byte 6: unexpected end of text"},
+    {"{\"a\":1,", STATUS_BAD_JSON, "", "at byte 7: unexpected end of text"},
+    {"[1,2", STATUS_BAD_JSON, "", "at byte 4: unexpected end of text"},
+    {"\"abc", STATUS_BAD_JSON, "", "at byte 4: unexpected end of text"},
+    {"tru", STATUS_BAD_JSON, "", "at byte 0: expected a JSON value"},
+    {"{}x", STATUS_BAD_JSON, "", "at byte 2: unexpected text after"},
+    {"{}{}", STATUS_BAD_JSON, "", "at byte 2: unexpected text after"},
+    {"{\"a\":1}]", STATUS_BAD_JSON, "", "at byte 7: unexpected text after"},
+    {"{\"a\":1,}", STATUS_BAD_JSON, "", "at byte 7: expected a key"},
+    {"[1,]", STATUS_BAD_JSON, "", "at byte 3: expected a JSON value"},
+    {"{a:1}", STATUS_BAD_JSON, "", "at byte 1: expected a key"},
+    {"{'a':1}", STATUS_BAD_JSON, "", "at byte 1: expected a key"},
+    {"{\"a\" 1}", STATUS_BAD_JSON, "", "at byte 5: expected a colon"},
+    {"{\"a\":1 \"b\":2}", STATUS_BAD_JSON, "", "at byte 7: expected a comma"},
+    {"/* x */{}", STATUS_BAD_JSON, "", "at byte 0: expected a JSON value"},
+    {"{}// x", STATUS_BAD_JSON, "", "at byte 2: unexpected text after"},
+    {"NaN", STATUS_BAD_JSON, "", "expected a JSON value"},
+    {"[Infinity]", STATUS_BAD_JSON, "", "expected a JSON value"},
+    {"[-Infinity]", STATUS_BAD_JSON, "", "expected a digit"},
+    {"[01]", STATUS_BAD_JSON, "", "must not begin with 0"},
+    {"[-01]", STATUS_BAD_JSON, "", "must not begin with 0"},
+    {"[1.]", STATUS_BAD_JSON, "", "expected a digit"},
+    {"[.5]", STATUS_BAD_JSON, "", "expected a JSON value"},
+    {"[1e]", STATUS_BAD_JSON, "", "expected a digit"},
+    {"[+1]", STATUS_BAD_JSON, "", "expected a JSON value"},
+    {"[0x10]", STATUS_BAD_JSON, "", "expected a comma"},
+    {"True", STATUS_BAD_JSON, "", "expected a JSON value"},
+    {"\"a\nb\"", STATUS_BAD_JSON, "", "at byte 2: unescaped control character"},
+    {"\"\\x41\"", STATUS_BAD_JSON, "", "invalid escape sequence"},
+    {"\"\\u12\"", STATUS_BAD_JSON, "", "four hexadecimal digits"},
+    {"\"\\ud800\"", STATUS_BAD_JSON, "", "unpaired surrogate"},
+    {"\"\\udc00\"", STATUS_BAD_JSON, "", "unpaired surrogate"},
+    {"\"\\ud800\\u0041\"", STATUS_BAD_JSON, "", "unpaired surrogate"},
+    {"{\"a\\u0000b\":1}", STATUS_BAD_JSON, "", "zero character in a key"},
+    {"\"\xff\"", STATUS_BAD_JSON, "", "at byte 1: invalid UTF-8"},
+    {"\"\xc0\xaf\"", STATUS_BAD_JSON, "", "at byte 1: invalid UTF-8"},
+    {"\"\xed\xa0\x80\"", STATUS_BAD_JSON, "", "at byte 1: invalid UTF-8"},
+    {"\"\xc3", STATUS_BAD_JSON, "", "at byte 1: invalid UTF-8"},
     {"[[[[[[[[[[[[[[[[[]]]]]]]]]]]]]]]]]", STATUS_BAD_JSON, "", "nested too deeply"},
-    {"{\"a\":1,\"a\":1}", STATUS_BAD_FIELD, "a", "stands twice"},
-    {"{\"b\":{\"c\":[1,{\"d\":\"}\\\"\",\"d\":2}]}}", STATUS_BAD_FIELD, "b.c[1].d", "stands twice"},
-    {"{\"a\":1,\"\\u0061\":1}", STATUS_BAD_FIELD, "a", "stands twice"},
+    {"{\"a\":1,\"a\":1}", STATUS_BAD_FIELD, "a", "duplicate key"},
+    {"{\"b\":{\"c\":[1,{\"d\":\"}\\\"\",\"d\":2}]}}", STATUS_BAD_FIELD, "b.c[1].d", "duplicate key"},
+    {"{\"a\":1,\"\\u0061\":1}", STATUS_BAD_FIELD, "a", "duplicate key"},
 };
 
 static void refused_at_the_byte(void **state)
@@ -98,7 +98,7 @@
     (void)state;
     for (size_t i = 0; i < sizeof(REFUSED) / sizeof(REFUSED[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_make(mem);
+        Faults *faults = fault_list_new(mem);
         json_object *object = check_parse(faults, REFUSED[i].text, strlen(REFUSED[i].text));
         if (object != NULL || faults->count != 1 || faults->list[0].status != REFUSED[i].status ||
             strcmp(faults->list[0].path, REFUSED[i].path) != 0 ||
@@ -114,13 +114,13 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Faults *faults = faults_make(mem);
+    Faults *faults = fault_list_new(mem);
     assert_null(check_parse(faults, "{\"a\":\0001}", 7));
-    assert_non_null(strstr(faults->list[0].text, "at byte 5: a zero byte"));
+    assert_non_null(strstr(faults->list[0].text, "at byte 5: zero byte"));
     talloc_free(mem);
 }
 
-/* Every beginning of a whole text is refused, at its end. */
+/* Every proper prefix of a valid text is refused. */
 static void every_beginning_is_refused(void **state)
 {
     (void)state;
@@ -128,7 +128,7 @@
         "{\"cells\":{\"a\":{\"queues\":{\"q\":{\"stretch\":2.2,\"note\":\"{\\\"x\\\":[1]}\"}}}},\"r\":1}";
     for (size_t count = 1; count < strlen(TEXT); count++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_make(mem);
+        Faults *faults = fault_list_new(mem);
         assert_null(check_parse(faults, TEXT, count));
         assert_int_equal(faults->count, 1);
         assert_int_equal(faults->list[0].status, STATUS_BAD_JSON);
@@ -136,14 +136,14 @@
     }
 }
 
-/* A body of brackets neither fills the stack nor takes long. */
+/* A body of a million opening brackets neither overflows the stack nor takes long. */
 static void deep_nesting_is_refused_soon(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     char *text = talloc_array(mem, char, 1000000);
     memset(text, '[', 1000000);
-    Faults *faults = faults_make(mem);
+    Faults *faults = fault_list_new(mem);
     assert_null(check_parse(faults, text, 1000000));
     assert_non_null(strstr(faults->list[0].text, "nested too deeply"));
     talloc_free(mem);
--- a/packages/config/test/sharing.c
+++ b/packages/config/test/sharing.c
@@ -1,11 +1,11 @@
-/* Versions of a document that are read onward from an earlier one: what they share with it,
- * and that they are what their text alone is read as. */
+/* Tests of versions that are built from an earlier version: unchanged parts are shared, and the result equals that of
+ * reading the text alone. */
 #include "../../base/test/draw.h"
 #include "config/key.h"
 #include "document/document.h"
 #include "fixture.h"
 
-static const char *wide(void *mem, int queues)
+static const char *document_with_queues(void *mem, int queues)
 {
     char *text = talloc_strdup(mem, "{\"kinds\":{\"k\":{}},\"policies\":{\"p\":\"function rank(t) return 1 end\"},"
                                     "\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{");
@@ -22,11 +22,11 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    const Config *first = read_good(mem, wide(mem, 50));
+    const Config *first = read_good(mem, document_with_queues(mem, 50));
     json_object *patch =
         document_parse("{\"cells\":{\"c\":{\"queues\":{\"q7\":{\"expiryMs\":5},\"q8\":null,\"new\":{}}}}}");
     json_object *tree = document_merged(first->tree, patch);
-    Faults *faults = faults_make(mem);
+    Faults *faults = fault_list_new(mem);
     const Config *second = config_build(mem, tree, 2, first, faults);
     assert_non_null(second);
     json_object_put(tree);
@@ -40,7 +40,7 @@
             assert_true((config_queue(one, name) == config_queue(two, name)) == (i != 7));
     }
     assert_ptr_equal(config_policy(first, "p"), config_policy(second, "p"));
-    /* what is shared outlives the first */
+    /* Shared parts outlive the first version. */
     talloc_free((void *)(uintptr_t)first);
     assert_int_equal(config_queue(two, "q7")->timeout_ms, 5);
     assert_int_equal(config_queue(two, "q49")->timeout_ms, 1049);
@@ -78,7 +78,7 @@
     case 7:
         return talloc_asprintf(mem, "{\"cells\":{\"d%d\":%s}}", (int)draw(seed, 2),
                                draw(seed, 2) ? "{\"queues\":{\"q\":{}}}" : "null");
-    case 8: /* at times another tenant has the key */
+    case 8: /* sometimes another tenant already has the key */
         return talloc_asprintf(
             mem,
             "{\"cells\":{\"c\":{\"tenants\":{\"t%d\":{\"keys\":[\"k%d\"],\"weight\":%d}},\"queues\":{\"q%d\":{\"public\":%s}}}}}",
@@ -89,10 +89,10 @@
     }
 }
 
-/* How many queues were compared, and how many of them are the earlier configuration's own. */
-typedef struct Shared {
+/* The number of queues that were compared, and how many of them are shared with the earlier version. */
+typedef struct SharedCount {
     size_t queues, reused;
-} Shared;
+} SharedCount;
 
 static void expect_same_tenants(void *mem, const ConfigCell *a, const ConfigCell *b)
 {
@@ -113,11 +113,11 @@
     }
 }
 
-static void expect_same_cell(const Config *onward, const Config *unshared, size_t at, const Config *earlier,
-                             Shared *shared)
+static void expect_same_cell(const Config *built, const Config *baseline, size_t at, const Config *earlier,
+                             SharedCount *shared)
 {
     void *mem = talloc_new(NULL);
-    const ConfigCell *a = &onward->cells[at], *b = &unshared->cells[at], *old = config_cell(earlier, a->name);
+    const ConfigCell *a = &built->cells[at], *b = &baseline->cells[at], *old = config_cell(earlier, a->name);
     assert_string_equal(a->name, b->name);
     assert_string_equal(a->policy, b->policy);
     expect_same_tenants(mem, a, b);
@@ -135,46 +135,46 @@
         if (one->host[0] == '\0')
             continue;
         const char *path = talloc_asprintf(mem, "%sx", one->prefix);
-        assert_ptr_equal(config_entry(onward, one->host, path)->queue, one);
-        assert_ptr_equal(config_entry(unshared, one->host, path)->queue, other);
+        assert_ptr_equal(config_entry(built, one->host, path)->queue, one);
+        assert_ptr_equal(config_entry(baseline, one->host, path)->queue, other);
     }
     talloc_free(mem);
 }
 
-static void expect_same(const Config *onward, const Config *unshared, const Config *earlier, Shared *shared)
+static void expect_same(const Config *built, const Config *baseline, const Config *earlier, SharedCount *shared)
 {
-    assert_int_equal(onward->cell_count, unshared->cell_count);
-    assert_int_equal(onward->limits.head_ms, unshared->limits.head_ms);
-    for (size_t c = 0; c < onward->cell_count; c++)
-        expect_same_cell(onward, unshared, c, earlier, shared);
+    assert_int_equal(built->cell_count, baseline->cell_count);
+    assert_int_equal(built->limits.head_ms, baseline->limits.head_ms);
+    for (size_t c = 0; c < built->cell_count; c++)
+        expect_same_cell(built, baseline, c, earlier, shared);
 }
 
-/* Read onward from an earlier version, it is what its text alone is read as: the same faults,
- * the same queues, the same entries. */
+/* A version built from an earlier one equals the version read from its text alone: it has the same faults, queues and
+ * routes. */
 static void reading_onward_equals_reading_anew(void **state)
 {
     (void)state;
     uint64_t seed = 21;
     size_t good = 0, bad = 0;
-    Shared shared = {0};
+    SharedCount shared = {0};
     void *all = talloc_new(NULL);
-    const Config *config = read_good(all, wide(all, 40));
+    const Config *config = read_good(all, document_with_queues(all, 40));
     for (int i = 0; i < 4000; i++) {
         void *mem = talloc_new(NULL);
         json_object *patch = document_parse(draw_patch(mem, &seed));
         json_object *tree = document_merged(config->tree, patch);
         const char *text = document_text(mem, tree);
-        Faults *onward = faults_make(mem), *unshared = faults_make(mem);
-        const Config *next = config_build(all, tree, (uint64_t)i + 2, config, onward);
-        const Config *fresh = config_read(mem, text, strlen(text), (uint64_t)i + 2, unshared);
+        Faults *built = fault_list_new(mem), *baseline = fault_list_new(mem);
+        const Config *next = config_build(all, tree, (uint64_t)i + 2, config, built);
+        const Config *reread = config_read(mem, text, strlen(text), (uint64_t)i + 2, baseline);
         json_object_put(tree);
         json_object_put(patch);
-        assert_true((next == NULL) == (fresh == NULL));
-        assert_int_equal(onward->count, unshared->count);
-        for (size_t k = 0; k < unshared->count; k++)
-            assert_string_equal(onward->list[k].path, unshared->list[k].path);
+        assert_true((next == NULL) == (reread == NULL));
+        assert_int_equal(built->count, baseline->count);
+        for (size_t k = 0; k < baseline->count; k++)
+            assert_string_equal(built->list[k].path, baseline->list[k].path);
         if (next != NULL) {
-            expect_same(next, fresh, config, &shared);
+            expect_same(next, reread, config, &shared);
             talloc_free((void *)(uintptr_t)config);
             config = next;
         }
