--- a/packages/config/src/duplicate_keys.c
+++ b/packages/config/src/duplicate_keys.c
@@ -65,7 +65,7 @@
         char *name = read_key(walk, mem);
         const char *here = path[0] != '\0' ? talloc_asprintf(mem, "%s.%s", path, name) : name;
         if (!g_hash_table_add(seen, name))
-            fault_add(walk->faults, STATUS_BAD_FIELD, here, "duplicate key");
+            fault_add(walk->faults, STATUS_BAD_FIELD, here, "key occurs twice");
         skip_blanks(walk);
         walk->at++; /* skip the colon */
         walk_value(walk, here);
--- a/packages/config/src/scan.c
+++ b/packages/config/src/scan.c
@@ -113,7 +113,7 @@
     scan->at++; /* skip the opening quote */
     for (;;) {
         if (scan->at >= scan->count)
-            return scan_failed(scan, "unexpected end of text");
+            return scan_failed(scan, "the text ends too early");
         const char letter = scan->text[scan->at];
         if (letter == '"') {
             scan->at++;
@@ -141,13 +141,13 @@
         skip_blanks(scan);
         if (members) {
             if (peek(scan) != '"')
-                return scan_failed(scan, scan->at < scan->count ? "expected a key" : "unexpected end of text");
+                return scan_failed(scan, scan->at < scan->count ? "expected a key" : "the text ends too early");
             if (!scan_string(scan, true))
                 return false;
             scan->members++;
             skip_blanks(scan);
             if (peek(scan) != ':')
-                return scan_failed(scan, scan->at < scan->count ? "expected a colon" : "unexpected end of text");
+                return scan_failed(scan, scan->at < scan->count ? "expected a colon" : "the text ends too early");
             scan->at++;
         }
         if (!scan_value(scan))
@@ -158,7 +158,7 @@
             scan->at++;
         else if (peek(scan) != close)
             return scan_failed(scan, scan->at < scan->count ? "expected a comma or a closing bracket"
-                                                            : "unexpected end of text");
+                                                            : "the text ends too early");
     }
     scan->at++;
     scan->depth--;
@@ -185,7 +185,7 @@
     default:
         if (letter == '-' || (letter >= '0' && letter <= '9'))
             return scan_number(scan);
-        return scan_failed(scan, scan->at < scan->count ? "expected a JSON value" : "unexpected end of text");
+        return scan_failed(scan, scan->at < scan->count ? "expected a JSON value" : "the text ends too early");
     }
 }
 
@@ -199,5 +199,5 @@
     if (!scan_value(scan))
         return false;
     skip_blanks(scan);
-    return scan->at == scan->count || scan_failed(scan, "unexpected text after the document");
+    return scan->at == scan->count || scan_failed(scan, "unexpected text follows the document");
 }
--- a/packages/config/src/tenants.c
+++ b/packages/config/src/tenants.c
@@ -31,7 +31,7 @@
     const ConfigTenant *other = keys_add(keys, digest, tenant);
     if (other == NULL)
         return NULL;
-    return other == tenant ? "duplicate key" : talloc_asprintf(mem, "this key belongs to tenant %s", other->name);
+    return other == tenant ? "key occurs twice" : talloc_asprintf(mem, "this key belongs to tenant %s", other->name);
 }
 
 static void read_keys(ConfigKeys *keys, json_object *list, const char *path, ConfigTenant *tenant, Faults *faults)
--- a/packages/document/include/document/document.h
+++ b/packages/document/include/document/document.h
@@ -1,34 +1,32 @@
 #ifndef DOCUMENT_DOCUMENT_H
 #define DOCUMENT_DOCUMENT_H
 
-/* JSON documents as trees, and the merge patches (RFC 7396) between them. The versions of the operators'
- * configuration are kept and compared by them.
+/* JSON documents as trees, and merge patches (RFC 7396) between them. The versions of the operators' configuration are
+ * stored and compared with these functions.
  *
- * A tree is never changed once it is made: merging makes a new one that shares with the old
- * whatever is the same, so equal pointers mean equal content. Trees are json-c's and counted:
- * each function that returns one gives the caller a use, which json_object_put ends.
+ * A tree is immutable: merging creates a new tree that shares unchanged values with the old one, so equal pointers
+ * imply equal content. Trees are reference-counted json-c objects: each function that returns one gives the caller a
+ * reference, which json_object_put releases.
  *
- * Numbers keep the text they were written with, objects the order of their keys. Nothing
- * here waits. */
+ * Numbers retain the text that they were parsed from, and objects the order of their keys. No function here waits. */
 
 #include <json-c/json.h>
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Null when the text is no JSON at all. For texts that were checked before (config/check.h):
- * this parser is laxer. */
+/* Parses a text; returns null when it is not JSON. Only for texts that have been checked (config/check.h), since this
+ * parser is more lenient. */
 json_object *document_parse(const char *text);
-/* The tree as one line of text, on mem. */
+/* Returns the tree as one line of text, owned by mem. */
 const char *document_text(void *mem, json_object *tree);
-/* The tree with a merge patch applied: keys that are there keep their places, new ones come
- * last. Neither argument is changed. */
+/* Returns the tree with a merge patch applied. Existing keys retain their order, and new keys come last. Neither
+ * argument is modified. */
 json_object *document_merged(json_object *tree, json_object *patch);
-/* The same for patches one after the other, given as checked texts: nothing is copied twice. */
+/* Applies several patches in sequence, given as checked texts, without copying any object twice. */
 json_object *document_merged_all(json_object *tree, const char *const *patches, size_t count);
-/* The merge patch that makes to out of from, the order of keys included; null when no merge
- * patch does. */
+/* Returns the merge patch that turns from into to, including the order of keys; null when there is no such patch. */
 json_object *document_difference(json_object *from, json_object *to);
-/* Whether both have the same values in the same order, numbers as they were written. */
-bool document_same(json_object *a, json_object *b);
+/* Returns whether both trees have the same values in the same order, with numbers written in the same way. */
+bool document_equal(json_object *a, json_object *b);
 
 #endif
--- a/packages/document/test/document.c
+++ b/packages/document/test/document.c
@@ -1,4 +1,4 @@
-/* Trees of JSON: merged, compared, and given back as they were written. */
+/* Tests of JSON trees: merging, comparison, and writing them as they were read. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 #include "../../base/test/draw.h"
 #include "document/document.h"
 
-/* What is read is written as it was: numbers, order, letters. */
+/* A document is written as it was read: numbers, order of keys and characters. */
 static void written_as_it_was_read(void **state)
 {
     (void)state;
@@ -25,7 +25,7 @@
     json_object *next = document_merged(tree, patch);
     assert_string_equal(document_text(mem, next), "{\"z\":2.2,\"a\":0.00,\"m\":1e3,\"k\":-0.50,\"n\":9007199254740993,"
                                                   "\"l\":[3,1.10,{\"y\":true,\"x\":false}],\"o\":{\"q\":1},\"new\":7}");
-    /* the first is as it was, and what did not change is the same value */
+    /* The first tree is unmodified, and unchanged values are shared. */
     assert_string_equal(document_text(mem, tree), TEXT);
     assert_ptr_equal(json_object_object_get(tree, "l"), json_object_object_get(next, "l"));
     json_object_put(next);
@@ -37,7 +37,7 @@
 static void merged_as_rfc7396_says(void **state)
 {
     (void)state;
-    /* the cases of RFC 7396, appendix A, with objects on both sides */
+    /* The cases of RFC 7396, appendix A, with objects on both sides. */
     static const struct {
         const char *tree, *patch, *result;
     } CASES[] = {
@@ -68,7 +68,7 @@
 static void difference_is_a_patch_or_none(void **state)
 {
     (void)state;
-    /* null: no merge patch does it */
+    /* A null patch means that there is no merge patch. */
     static const struct {
         const char *from, *to, *patch;
     } CASES[] = {
@@ -131,13 +131,13 @@
     }
 }
 
-/* A difference makes of the one exactly the other, in its order; and none is
- * claimed to be empty that is not. */
+/* Applying a difference to the first tree gives exactly the second, including the order of keys, and the difference is
+ * empty only for equal trees. */
 static void difference_makes_the_other(void **state)
 {
     (void)state;
     uint64_t seed = 11;
-    size_t reported = 0, untold = 0;
+    size_t expressed = 0, inexpressible = 0;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
         json_object *from, *to;
@@ -153,30 +153,30 @@
         }
         json_object *patch = document_difference(from, to);
         if (patch != NULL) {
-            /* as it travels: by its text */
+            /* A patch is transmitted as text. */
             json_object *read = document_parse(document_text(mem, patch));
             json_object *result = document_merged(from, read);
             assert_string_equal(document_text(mem, result), document_text(mem, to));
-            assert_true(document_same(result, to));
-            assert_true(document_same(from, to) == (json_object_object_length(patch) == 0));
+            assert_true(document_equal(result, to));
+            assert_true(document_equal(from, to) == (json_object_object_length(patch) == 0));
             json_object_put(result);
             json_object_put(read);
-            reported++;
+            expressed++;
         } else {
-            assert_false(document_same(from, to));
-            untold++;
+            assert_false(document_equal(from, to));
+            inexpressible++;
         }
         json_object_put(patch);
         json_object_put(to);
         json_object_put(from);
         talloc_free(mem);
     }
-    print_message("%zu told as a patch, %zu not\n", reported, untold);
-    assert_true(reported > 8000 && untold > 1000);
+    print_message("%zu expressed as a patch, %zu not\n", expressed, inexpressible);
+    assert_true(expressed > 8000 && inexpressible > 1000);
 }
 
-/* Many patches at once come to what they come to one by one, and the first tree
- * stays as it was. */
+/* Applying several patches at once gives the same result as applying them one by one, and does not modify the first
+ * tree. */
 static void many_patches_equal_one_by_one(void **state)
 {
     (void)state;
--- a/packages/settings/include/settings/features.h
+++ b/packages/settings/include/settings/features.h
@@ -3,39 +3,39 @@
 
 #include "settings/bounds.h"
 
-/* Features: mechanisms by which the leader decides, each of which a deployment may run without (setting "without"), to
- * see what it is worth. What keeps the safety properties is none: it can't be switched off. X(name, word, what is done
- * without it). */
-#define FEATURE_LIST(X)                                                                                           \
-    X(ESTIMATES, "estimates", "the submitters' estimates of run times count as they are")                         \
-    X(TARGET_ORDER, "target-order", "latency targets have no part in the order of work")                          \
-    X(PRIORITY, "priority", "priorities have no part in the order of work under the built-in policy")             \
-    X(PREEMPTION, "preemption", "nothing is preempted")                                                           \
-    X(RESERVATIONS, "reservations", "no capacity is reserved for large or urgent work")                           \
-    X(EJECT_FAILING, "eject-failing", "workers that fail their work, or let it stand still, are given as much")   \
-    X(EJECT_SLOW, "eject-slow", "workers that are slow are given as much")                                        \
-    X(RESTART_SLOW, "restart-slow", "slow attempts, and those that stand still, are left where they are")         \
-    X(GANG_REPAIR, "gang-repair", "gangs that are not whole are not looked for")                                  \
-    X(AFFINITY, "affinity", "work is placed without regard to its data and its step's rack")                      \
-    X(FORECAST, "capacity-forecast", "a worker that is full now is taken for full")                               \
-    X(LEAVE_EARLY, "leave-early", "attempts stay on a worker that leaves until it is gone")                       \
-    X(PASS_OVERDUE, "pass-overdue", "workers whose heartbeat is overdue are given work until their lease lapses") \
-    X(TOGETHER, "together", "the tasks of a step with a latency target are spread like others")                   \
-    X(ADAPTIVE_GRANT, "adaptive-grant", "the leader asks for the longest grant of its lock always")
+/* Features: mechanisms that the leader uses for decisions. A deployment can disable each of them (setting "without") to
+ * measure its benefit. Mechanisms that enforce the safety properties are not features and can't be disabled.
+ * X(feature, name in the setting, behaviour without the feature). */
+#define FEATURE_LIST(X)                                                                                              \
+    X(ESTIMATES, "estimates", "run time estimates of submitters are used as they are")                               \
+    X(TARGET_ORDER, "target-order", "latency targets do not affect the order of work")                               \
+    X(PRIORITY, "priority", "priorities do not affect the order of work under the built-in policy")                  \
+    X(PREEMPTION, "preemption", "nothing is preempted")                                                              \
+    X(RESERVATIONS, "reservations", "no capacity is reserved for large or urgent work")                              \
+    X(EJECT_FAILING, "eject-failing", "workers that fail their work or make no progress get as much work as others") \
+    X(EJECT_SLOW, "eject-slow", "slow workers get as much work as others")                                           \
+    X(RESTART_SLOW, "restart-slow", "attempts that are slow or make no progress are not restarted")                  \
+    X(GANG_REPAIR, "gang-repair", "incomplete gangs are not detected")                                               \
+    X(AFFINITY, "affinity", "work is placed without regard to the racks of its data and its step")                   \
+    X(FORECAST, "capacity-forecast", "a worker that is full now is treated as full")                                 \
+    X(LEAVE_EARLY, "leave-early", "attempts remain on a leaving worker until it is gone")                            \
+    X(PASS_OVERDUE, "pass-overdue", "workers with an overdue heartbeat get work until their lease expires")          \
+    X(TOGETHER, "together", "tasks of a step with a latency target are spread like others")                          \
+    X(ADAPTIVE_GRANT, "adaptive-grant", "the leader always requests the longest grant of its lock")
 
 typedef enum Feature {
-#define X(name, word, without) FEATURE_##name,
+#define X(feature, name, without) FEATURE_##feature,
     FEATURE_LIST(X)
 #undef X
         FEATURE_COUNT
 } Feature;
 
-/* Whether the deployment runs with the feature; all are on at first. */
+/* Returns whether the feature is enabled; by default all are. */
 bool feature_on(const Bounds *bounds, Feature feature);
-/* Switches off the features of a list of words with commas between them, and no others. false: there is no such word,
- * which unknown (of FEATURE_WORD_MOST bytes) is then set to, and nothing has changed. */
-bool features_without(Bounds *bounds, const char *words, char *unknown);
+/* Disables the features in a comma-separated list of names, and enables all others. Returns false for an unknown name;
+ * then unknown (of FEATURE_NAME_SIZE bytes) is set to that name, possibly truncated, and nothing has changed. */
+bool features_disable(Bounds *bounds, const char *names, char *unknown);
 
-#define FEATURE_WORD_MOST 32 /* bytes, with the end */
+#define FEATURE_NAME_SIZE 32 /* size of a feature name in bytes, with its terminating zero */
 
 #endif
--- a/packages/settings/src/bounds.c
+++ b/packages/settings/src/bounds.c
@@ -1,4 +1,4 @@
-/* The settings of a whole deployment, made from their list. */
+/* The settings of a whole deployment, generated from BOUND_LIST. */
 #include "settings/bounds.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 Bounds bounds_first(void)
 {
     return (Bounds){
-#define X(name, outside, otherwise, least, most, meaning) .name = otherwise,
+#define X(field, name, default_value, min, max, meaning) .field = default_value,
         BOUND_LIST(X)
 #undef X
     };
@@ -14,12 +14,12 @@
 
 int bounds_set(Bounds *bounds, const char *name, int64_t value)
 {
-#define X(bound, outside, otherwise, least, most, meaning) \
-    if (strcmp(name, outside) == 0) {                      \
-        if (value < (least) || value > (most))             \
-            return -2;                                     \
-        bounds->bound = value;                             \
-        return 0;                                          \
+#define X(field, key, default_value, min, max, meaning) \
+    if (strcmp(name, key) == 0) {                       \
+        if (value < (min) || value > (max))             \
+            return -2;                                  \
+        bounds->field = value;                          \
+        return 0;                                       \
     }
     BOUND_LIST(X)
 #undef X
--- a/packages/settings/src/settings.c
+++ b/packages/settings/src/settings.c
@@ -1,4 +1,4 @@
-/* A process's settings: reading an ini file, single keys, and the check of the whole. */
+/* The settings of a process: reading an ini file, setting single keys, and checking them as a whole. */
 #include "settings/settings.h"
 
 #include <glib.h>
@@ -11,7 +11,7 @@
 
 #define GROUP "spancart"
 
-/* The field that holds a key's text as it was given; null: the key has another form. */
+/* Returns the field of a key whose value is stored as text; null for other keys. */
 static const char **text_field(Settings *settings, const char *key)
 {
     const struct {
@@ -25,8 +25,8 @@
     return NULL;
 }
 
-/* Exactly SEEDS addresses, with commas or semicolons between them. */
-static Status seeds_set(void *mem, Settings *settings, const char *value, Failure *failure)
+/* Sets the seeds from exactly SEEDS addresses, separated by commas or semicolons. */
+static Status set_seeds(void *mem, Settings *settings, const char *value, Failure *failure)
 {
     char **parts = g_strsplit_set(value, ",;", -1);
     size_t count = 0;
@@ -40,15 +40,15 @@
     }
     g_strfreev(parts);
     if (count != SEEDS)
-        return failure_set(failure, STATUS_BAD_SETTINGS, "seeds: %zu addresses given, %d are needed", count, SEEDS);
+        return failure_set(failure, STATUS_BAD_SETTINGS, "seeds: %zu addresses given, %d required", count, SEEDS);
     return STATUS_OK;
 }
 
-static Status without_set(Settings *settings, const char *value, Failure *failure)
+static Status set_without(Settings *settings, const char *value, Failure *failure)
 {
-    char unknown[FEATURE_WORD_MOST];
-    if (!features_without(&settings->bounds, value, unknown))
-        return failure_set(failure, STATUS_BAD_SETTINGS, "without: %s is no feature", unknown);
+    char unknown[FEATURE_NAME_SIZE];
+    if (!features_disable(&settings->bounds, value, unknown))
+        return failure_set(failure, STATUS_BAD_SETTINGS, "without: unknown feature %s", unknown);
     return STATUS_OK;
 }
 
@@ -60,11 +60,11 @@
         return STATUS_OK;
     }
     if (strcmp(key, "seeds") == 0)
-        return seeds_set(mem, settings, value, failure);
+        return set_seeds(mem, settings, value, failure);
     if (strcmp(key, "without") == 0)
-        return without_set(settings, value, failure);
+        return set_without(settings, value, failure);
     if (strcmp(key, "log") != 0)
-        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: there is no such key", key);
+        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: unknown key", key);
     if (!recorder_level_of_word(value, &settings->log))
         return failure_set(failure, STATUS_BAD_SETTINGS, "log: %s is no level: note, alert or fatal", value);
     return STATUS_OK;
@@ -96,59 +96,59 @@
     return status;
 }
 
-static Status need(const char *key, const char *value, Failure *failure)
+static Status require(const char *key, const char *value, Failure *failure)
 {
     if (value == NULL || value[0] == '\0')
         return failure_set(failure, STATUS_BAD_SETTINGS, "%s: is missing", key);
     return STATUS_OK;
 }
 
-static Status need_address(const char *key, const char *value, Failure *failure)
+static Status require_address(const char *key, const char *value, Failure *failure)
 {
-    const Status status = need(key, value, failure);
+    const Status status = require(key, value, failure);
     if (status == STATUS_OK && !real_address_valid(value))
         return failure_set(failure, STATUS_BAD_SETTINGS, "%s: %s is not an IP address with a port", key, value);
     return status;
 }
 
-static Status name_good(const char *key, const char *value, Failure *failure)
+static Status check_name_valid(const char *key, const char *value, Failure *failure)
 {
     if (!check_name_text(value))
         return failure_set(failure, STATUS_BAD_SETTINGS, "%s: must be letters, digits or ._:-", key);
     return STATUS_OK;
 }
 
-static Status need_name(const char *key, const char *value, Failure *failure)
+static Status require_name(const char *key, const char *value, Failure *failure)
 {
-    const Status status = need(key, value, failure);
-    return status == STATUS_OK ? name_good(key, value, failure) : status;
+    const Status status = require(key, value, failure);
+    return status == STATUS_OK ? check_name_valid(key, value, failure) : status;
 }
 
-/* The keys that only some roles have. */
-static Status role_check(const Settings *settings, SettingsRole role, Failure *failure)
+/* Checks the keys that only some roles have. */
+static Status check_role(const Settings *settings, SettingsRole role, Failure *failure)
 {
     if (role == SETTINGS_CONTROLLER) {
-        const Status status = need("data", settings->data, failure);
+        const Status status = require("data", settings->data, failure);
         if (status != STATUS_OK)
             return status;
     }
     if (role != SETTINGS_CONTROLLER && settings->data != NULL)
-        return failure_set(failure, STATUS_BAD_SETTINGS, "data: only a core has a disk");
+        return failure_set(failure, STATUS_BAD_SETTINGS, "data: only for controllers, which have a disk");
     if (role != SETTINGS_AGENT && settings->worker != NULL)
-        return failure_set(failure, STATUS_BAD_SETTINGS, "worker: only an agent stands beside one");
-    return settings->worker != NULL ? name_good("worker", settings->worker, failure) : STATUS_OK;
+        return failure_set(failure, STATUS_BAD_SETTINGS, "worker: only for agents, which serve one");
+    return settings->worker != NULL ? check_name_valid("worker", settings->worker, failure) : STATUS_OK;
 }
 
 Status settings_check(const Settings *settings, SettingsRole role, Failure *failure)
 {
-    Status status = need_name("name", settings->name, failure);
+    Status status = require_name("name", settings->name, failure);
     if (status == STATUS_OK)
-        status = need_name("zone", settings->zone, failure);
+        status = require_name("zone", settings->zone, failure);
     if (status == STATUS_OK)
-        status = need_address("listen", settings->listen, failure);
+        status = require_address("listen", settings->listen, failure);
     if (status == STATUS_OK)
-        status = need_address("http", settings->http, failure);
+        status = require_address("http", settings->http, failure);
     for (int i = 0; i < SEEDS && status == STATUS_OK; i++)
-        status = need_address("seeds", settings->seeds[i], failure);
-    return status == STATUS_OK ? role_check(settings, role, failure) : status;
+        status = require_address("seeds", settings->seeds[i], failure);
+    return status == STATUS_OK ? check_role(settings, role, failure) : status;
 }
--- a/packages/settings/test/features.c
+++ b/packages/settings/test/features.c
@@ -1,4 +1,4 @@
-/* Features that a deployment runs without: words, and what is wrong. */
+/* Tests of the setting that disables features. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,12 +26,12 @@
     assert_int_equal(settings_set(NULL, &settings, "without", "preemption, together", &failure), STATUS_OK);
     for (int i = 0; i < FEATURE_COUNT; i++)
         assert_int_equal(feature_on(&settings.bounds, (Feature)i), i != FEATURE_PREEMPTION && i != FEATURE_TOGETHER);
-    /* what is set last counts alone */
+    /* A later value replaces the earlier one. */
     assert_int_equal(settings_set(NULL, &settings, "without", "", &failure), STATUS_OK);
     assert_true(feature_on(&settings.bounds, FEATURE_PREEMPTION));
 }
 
-/* Also what keeps the safety properties, which is no feature. */
+/* Names of mechanisms that enforce the safety properties are unknown too, since those are not features. */
 static void unknown_words_change_nothing(void **state)
 {
     (void)state;
--- a/packages/template/include/template/template.h
+++ b/packages/template/include/template/template.h
@@ -3,27 +3,27 @@
 
 #include "config/check.h"
 
-/* Configurations made of a template with parameters, and of overlays upon a document. Used by
- * the operators' command line only: what is handed in is always a whole document.
+/* Configurations built from a template with parameters, and from overlays on a document. Used by the operators' command
+ * line only: the document that is submitted is always a whole one.
  *
- * A template: {"parameters": {NAME: {"default": VALUE} or {}}, "template": DOCUMENT}.
- * A string "${NAME}" in the document becomes the parameter's value, of whatever type; within
- * a longer string it becomes the value's text. Keys are filled in, too.
+ * A template has the form {"parameters": {NAME: {"default": VALUE} or {}}, "template": DOCUMENT}. A string "${NAME}" in
+ * the document is replaced by the value of the parameter, of any type; within a longer string it is replaced by the
+ * text of the value. Keys are filled in as well.
  *
- * An overlay: an object that is walked beside the document. A key changes what is there, null
- * removes it; either must be there. "+KEY" adds; it must not be there. */
+ * An overlay is an object that is applied to the document recursively. KEY changes an existing member, or removes it
+ * when the value is null. "+KEY" adds a member, which must not exist. */
 
-/* A parameter's value as an operator gives it. */
+/* The value of a parameter as an operator gives it. */
 typedef struct TemplateValue {
     const char *name;
-    const char *text; /* JSON; what is none is taken as a string */
+    const char *text; /* JSON; any other text is taken as a string */
 } TemplateValue;
 
-/* Fills in a template. Returns the document, a reference of the caller's own; null when there
- * are faults, with their paths in the template. Nothing is half applied. */
+/* Fills in a template. Returns the document, as a reference owned by the caller; null when there are faults, whose
+ * paths are those in the template. Never returns a partial result. */
 json_object *template_fill(Faults *faults, json_object *template, const TemplateValue *values, size_t count);
-/* Lays an overlay upon a document, which is left as it is. Returns the result, a reference of
- * the caller's own; null when there are faults, with their paths in the document. */
+/* Applies an overlay to a document, which is not modified. Returns the result, as a reference owned by the caller; null
+ * when there are faults, whose paths are those in the document. */
 json_object *template_overlay(Faults *faults, json_object *document, json_object *overlay);
 
 #endif
--- a/packages/template/src/template.c
+++ b/packages/template/src/template.c
@@ -1,18 +1,18 @@
-/* Filling in a template: a parameter's value for each "${NAME}" of the document. */
+/* Filling in a template: replaces each "${NAME}" in the document by the value of the parameter. */
 #include "template/template.h"
 
 #include <string.h>
 #include <talloc.h>
 
-/* values: by parameter. Invariant once they are taken without faults: every parameter that the
- * template declares has one. */
-typedef struct Filling {
+/* The state of filling in a template. values has a member for each parameter with a value. Invariant once the values
+ * are collected without faults: every parameter that the template declares has a value. */
+typedef struct TemplateContext {
     Faults *faults;
     json_object *values;
-} Filling;
+} TemplateContext;
 
-/* A value as given on a command line: JSON when it is that as a whole, else a string. */
-static json_object *value_of(const char *text)
+/* Returns a value given on a command line: parsed if the whole text is JSON, else as a string. */
+static json_object *parse_value(const char *text)
 {
     struct json_tokener *tokener = json_tokener_new();
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT);
@@ -26,39 +26,40 @@
     return json_object_new_string(text);
 }
 
-/* The values that were given, then the defaults of the parameters without one. */
-static void values_take(const Filling *filling, json_object *declared, const TemplateValue *values, size_t count)
+/* Collects the given values, and the defaults of the parameters without a given value. */
+static void collect_values(const TemplateContext *context, json_object *declared, const TemplateValue *values,
+                           size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         if (!json_object_object_get_ex(declared, values[i].name, NULL))
-            fault_add(filling->faults, STATUS_BAD_FIELD, check_path(filling->faults, "parameters", values[i].name),
+            fault_add(context->faults, STATUS_BAD_FIELD, check_path(context->faults, "parameters", values[i].name),
                       "the template has no such parameter");
         else
-            json_object_object_add(filling->values, values[i].name, value_of(values[i].text));
+            json_object_object_add(context->values, values[i].name, parse_value(values[i].text));
     }
-    json_object_object_foreach(declared, name, one)
+    json_object_object_foreach(declared, name, item)
     {
         static const char *const KEYS[] = {"default", NULL};
-        const char *path = check_path(filling->faults, "parameters", name);
-        json_object *otherwise;
-        if (!check_keys(filling->faults, one, path, KEYS) || json_object_object_get_ex(filling->values, name, NULL))
+        const char *path = check_path(context->faults, "parameters", name);
+        json_object *default_value;
+        if (!check_keys(context->faults, item, path, KEYS) || json_object_object_get_ex(context->values, name, NULL))
             continue;
-        if (json_object_object_get_ex(one, "default", &otherwise))
-            json_object_object_add(filling->values, name, json_object_get(otherwise));
+        if (json_object_object_get_ex(item, "default", &default_value))
+            json_object_object_add(context->values, name, json_object_get(default_value));
         else
-            fault_add(filling->faults, STATUS_BAD_FIELD, path, "has no value and no default");
+            fault_add(context->faults, STATUS_BAD_FIELD, path, "has no value and no default");
     }
 }
 
-/* A value within a longer string. */
-static const char *plain_text(json_object *value)
+/* Returns the text of a value for use within a longer string; owned by the value. */
+static const char *value_text(json_object *value)
 {
     return json_object_is_type(value, json_type_string) ? json_object_get_string(value)
                                                         : json_object_to_json_string_ext(value, JSON_C_TO_STRING_PLAIN);
 }
 
-/* A string of the document with its parameters filled in. */
-static json_object *string_fill(const Filling *filling, const char *text, const char *path)
+/* Returns a string of the document with its parameters filled in. */
+static json_object *fill_string(const TemplateContext *context, const char *text, const char *path)
 {
     void *mem = talloc_new(NULL);
     char *out = talloc_strdup(mem, "");
@@ -71,13 +72,13 @@
         }
         const char *name = talloc_strndup(mem, open + 2, (size_t)(close - open) - 2);
         json_object *value = NULL;
-        if (!json_object_object_get_ex(filling->values, name, &value))
-            fault_add(filling->faults, STATUS_BAD_FIELD, path, "there is no parameter %s", name);
+        if (!json_object_object_get_ex(context->values, name, &value))
+            fault_add(context->faults, STATUS_BAD_FIELD, path, "unknown parameter %s", name);
         else if (open == text && close[1] == '\0')
-            result = json_object_get(value); /* the whole string: the value itself */
+            result = json_object_get(value); /* the parameter is the whole string: use the value itself */
         out = talloc_strndup_append(out, at, (size_t)(open - at));
         if (value != NULL)
-            out = talloc_strdup_append(out, plain_text(value));
+            out = talloc_strdup_append(out, value_text(value));
         at = close + 1;
     }
     if (result == NULL)
@@ -86,29 +87,29 @@
     return result;
 }
 
-/* A value of the document, with all that is in it. */
-static json_object *fill(const Filling *filling, json_object *value, const char *path)
+/* Returns a value of the document with all parameters in it filled in. */
+static json_object *fill_value(const TemplateContext *context, json_object *value, const char *path)
 {
     if (json_object_is_type(value, json_type_string))
-        return string_fill(filling, json_object_get_string(value), path);
+        return fill_string(context, json_object_get_string(value), path);
     if (json_object_is_type(value, json_type_array)) {
         json_object *list = json_object_new_array();
         for (size_t i = 0; i < json_object_array_length(value); i++)
-            json_object_array_add(list, fill(filling, json_object_array_get_idx(value, i),
-                                             talloc_asprintf(filling->faults->mem, "%s[%zu]", path, i)));
+            json_object_array_add(list, fill_value(context, json_object_array_get_idx(value, i),
+                                                   talloc_asprintf(context->faults->mem, "%s[%zu]", path, i)));
         return list;
     }
     if (!json_object_is_type(value, json_type_object))
         return json_object_get(value);
     json_object *object = json_object_new_object();
-    json_object_object_foreach(value, key, one)
+    json_object_object_foreach(value, key, item)
     {
-        /* names are filled in too: a cell may be a parameter */
-        const char *here = check_path(filling->faults, path, key);
-        json_object *name = string_fill(filling, key, here);
+        /* Fill in keys as well: the name of a cell may be a parameter. */
+        const char *here = check_path(context->faults, path, key);
+        json_object *name = fill_string(context, key, here);
         if (!json_object_is_type(name, json_type_string))
-            fault_add(filling->faults, STATUS_BAD_FIELD, here, "a name must be a string");
-        json_object_object_add(object, plain_text(name), fill(filling, one, here));
+            fault_add(context->faults, STATUS_BAD_FIELD, here, "a name must be a string");
+        json_object_object_add(object, value_text(name), fill_value(context, item, here));
         json_object_put(name);
     }
     return object;
@@ -122,18 +123,18 @@
     if (!check_keys(faults, template, "", KEYS))
         return NULL;
     if (!json_object_object_get_ex(template, "template", &document) || !json_object_is_type(document, json_type_object))
-        fault_add(faults, STATUS_BAD_FIELD, "template", "must be there, an object");
+        fault_add(faults, STATUS_BAD_FIELD, "template", "must be present and an object");
     if (json_object_object_get_ex(template, "parameters", &declared) &&
         !json_object_is_type(declared, json_type_object))
         fault_add(faults, STATUS_BAD_FIELD, "parameters", "must be an object");
     if (faults->seen > before)
         return NULL;
     json_object *none = json_object_new_object();
-    const Filling filling = {faults, json_object_new_object()};
-    values_take(&filling, declared != NULL ? declared : none, values, count);
+    const TemplateContext context = {faults, json_object_new_object()};
+    collect_values(&context, declared != NULL ? declared : none, values, count);
     if (faults->seen == before)
-        result = fill(&filling, document, "template");
-    json_object_put(filling.values);
+        result = fill_value(&context, document, "template");
+    json_object_put(context.values);
     json_object_put(none);
     if (faults->seen == before)
         return result;
--- a/packages/template/test/template.c
+++ b/packages/template/test/template.c
@@ -1,4 +1,4 @@
-/* Templates and overlays: what they make, and what they refuse whole. */
+/* Tests of templates and overlays: results, and refusals without a partial result. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,7 +14,7 @@
     "{\"parameters\":{\"cell\":{},\"share\":{\"default\":2},\"team\":{\"default\":\"ops\"}},"
     "\"template\":{\"r\":1,\"cells\":{\"${cell}\":{\"share\":\"${share}\",\"tenants\":{\"${team}-${cell}\":{}},\"queues\":{\"q\":{}}}}}}";
 
-static char *filled(void *mem, const TemplateValue *values, size_t count, Faults *faults)
+static char *fill_template(void *mem, const TemplateValue *values, size_t count, Faults *faults)
 {
     json_object *template = json_tokener_parse(TEMPLATE);
     json_object *document = template_fill(faults, template, values, count);
@@ -25,7 +25,7 @@
     return text;
 }
 
-static Faults *faults_new(void *mem)
+static Faults *new_faults(void *mem)
 {
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
@@ -38,9 +38,9 @@
     void *mem = talloc_new(NULL);
     const TemplateValue values[] = {{"cell", "imagery"}, {"share", "5"}};
     assert_string_equal(
-        filled(mem, values, 2, faults_new(mem)),
+        fill_template(mem, values, 2, new_faults(mem)),
         "{\"r\":1,\"cells\":{\"imagery\":{\"share\":5,\"tenants\":{\"ops-imagery\":{}},\"queues\":{\"q\":{}}}}}");
-    const char *text = filled(mem, values, 1, faults_new(mem));
+    const char *text = fill_template(mem, values, 1, new_faults(mem));
     assert_true(text != NULL && strstr(text, "\"share\":2") != NULL);
     talloc_free(mem);
 }
@@ -49,20 +49,20 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Faults *faults = faults_new(mem);
-    assert_null(filled(mem, NULL, 0, faults));
+    Faults *faults = new_faults(mem);
+    assert_null(fill_template(mem, NULL, 0, faults));
     assert_string_equal(faults->list[0].path, "parameters.cell");
     const TemplateValue unknown[] = {{"cell", "x"}, {"zell", "y"}};
-    faults = faults_new(mem);
-    assert_null(filled(mem, unknown, 2, faults));
+    faults = new_faults(mem);
+    assert_null(fill_template(mem, unknown, 2, faults));
     assert_string_equal(faults->list[0].path, "parameters.zell");
     const TemplateValue number[] = {{"cell", "7"}};
-    faults = faults_new(mem);
-    assert_null(filled(mem, number, 1, faults)); /* a cell's name can't be a number */
+    faults = new_faults(mem);
+    assert_null(fill_template(mem, number, 1, faults)); /* the name of a cell can't be a number */
     talloc_free(mem);
 }
 
-static char *overlaid(void *mem, const char *overlay_text, Faults *faults)
+static char *apply_overlay_text(void *mem, const char *overlay_text, Faults *faults)
 {
     json_object *document = json_tokener_parse("{\"r\":1,\"cells\":{\"a\":{\"share\":2},\"b\":{}}}");
     json_object *overlay = json_tokener_parse(overlay_text);
@@ -70,7 +70,7 @@
     char *text =
         result != NULL ? talloc_strdup(mem, json_object_to_json_string_ext(result, JSON_C_TO_STRING_PLAIN)) : NULL;
     assert_string_equal(json_object_to_json_string_ext(document, JSON_C_TO_STRING_PLAIN),
-                        "{\"r\":1,\"cells\":{\"a\":{\"share\":2},\"b\":{}}}"); /* as it was */
+                        "{\"r\":1,\"cells\":{\"a\":{\"share\":2},\"b\":{}}}"); /* unchanged */
     json_object_put(result);
     json_object_put(overlay);
     json_object_put(document);
@@ -81,16 +81,16 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Faults *faults = faults_new(mem);
+    Faults *faults = new_faults(mem);
     assert_string_equal(
-        overlaid(mem, "{\"r\":2,\"cells\":{\"a\":{\"share\":3,\"+limit\":9},\"b\":null,\"+c\":{}}}", faults),
+        apply_overlay_text(mem, "{\"r\":2,\"cells\":{\"a\":{\"share\":3,\"+limit\":9},\"b\":null,\"+c\":{}}}", faults),
         "{\"r\":2,\"cells\":{\"a\":{\"share\":3,\"limit\":9},\"c\":{}}}");
-    assert_null(overlaid(mem, "{\"r\":2,\"cells\":{\"z\":{\"share\":3}}}", faults));
+    assert_null(apply_overlay_text(mem, "{\"r\":2,\"cells\":{\"z\":{\"share\":3}}}", faults));
     assert_string_equal(faults->list[0].path, "cells.z");
-    assert_null(overlaid(mem, "{\"cells\":{\"+a\":{}}}", faults));
+    assert_null(apply_overlay_text(mem, "{\"cells\":{\"+a\":{}}}", faults));
     assert_string_equal(faults->list[1].path, "cells.a");
-    assert_null(overlaid(mem, "{\"zoneLoss\":null}", faults));
-    assert_null(overlaid(mem, "[]", faults));
+    assert_null(apply_overlay_text(mem, "{\"zoneLoss\":null}", faults));
+    assert_null(apply_overlay_text(mem, "[]", faults));
     talloc_free(mem);
 }
 
