--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -341,7 +341,7 @@
         }
         talloc_free(mem);
     }
-    print_message("%zu taken, %zu refused\n", good, bad);
+    print_message("%zu accepted, %zu refused\n", good, bad);
     assert_true(good > 2000 && bad > 5000);
 }
 
--- a/packages/config/test/sharing.c
+++ b/packages/config/test/sharing.c
@@ -155,7 +155,7 @@
 {
     (void)state;
     uint64_t seed = 21;
-    size_t good = 0, bad = 0;
+    size_t accepted = 0, refused = 0;
     SharedCount shared = {0};
     void *all = talloc_new(NULL);
     const Config *config = read_good(all, document_with_queues(all, 40));
@@ -178,12 +178,13 @@
             talloc_free((void *)(uintptr_t)config);
             config = next;
         }
-        good += next != NULL;
-        bad += next == NULL;
+        accepted += next != NULL;
+        refused += next == NULL;
         talloc_free(mem);
     }
-    print_message("%zu taken, %zu refused, %zu of %zu queues shared\n", good, bad, shared.reused, shared.queues);
-    assert_true(good > 1500 && bad > 300 && shared.reused * 10 > shared.queues * 9);
+    print_message("%zu accepted, %zu refused, %zu of %zu queues shared\n", accepted, refused, shared.reused,
+                  shared.queues);
+    assert_true(accepted > 1500 && refused > 300 && shared.reused * 10 > shared.queues * 9);
     talloc_free(all);
 }
 
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -78,11 +78,11 @@
 {
     const double start_us = now_us();
     Bytes packed = {0};
-    ConfigSet taken;
+    ConfigSet unpacked;
     ChangeResult result = {0};
     shape_pack(&ConfigSet_shape, set, mem, &packed);
-    if (shape_unpack(&ConfigSet_shape, packed, mem, &taken, NULL) == STATUS_OK)
-        deliver_config(versions, &taken, &result);
+    if (shape_unpack(&ConfigSet_shape, packed, mem, &unpacked, NULL) == STATUS_OK)
+        deliver_config(versions, &unpacked, &result);
     if (result.status != STATUS_OK)
         exit(1);
     costs->bytes += packed.count;
--- a/packages/settings/include/settings/settings.h
+++ b/packages/settings/include/settings/settings.h
@@ -11,13 +11,13 @@
 typedef struct Settings {
     const char *name;
     const char *zone;
-    const char *listen; /* address for peers */
-    const char *http;   /* address for callers */
-    const char *seeds[SEEDS];
-    const char *data;   /* controllers only: the folder of the journal */
-    const char *worker; /* agents only: the worker that the agent serves; null: the one with the agent's name */
-    RecorderLevel log;  /* lines below this level are only recorded in memory */
-    Bounds bounds;      /* must be initialised by bounds_first */
+    const char *listen;       /* address for peers */
+    const char *http;         /* address for callers */
+    const char *seeds[SEEDS]; /* addresses of the seeds */
+    const char *data;         /* controllers only: the folder of the journal */
+    const char *worker;       /* agents only: the worker that the agent serves; null: the one with the agent's name */
+    RecorderLevel log;        /* lines below this level are only recorded in memory */
+    Bounds bounds;            /* must be initialised by bounds_first */
 } Settings;
 
 /* The role of a process. It determines which keys are required; keys of other roles are refused. */
--- a/packages/state/include/state/job.h
+++ b/packages/state/include/state/job.h
@@ -153,9 +153,9 @@
     size_t open;   /* tasks that have not ended */
     size_t undone; /* tasks in another phase than DONE */
     size_t waiting;
-    uint64_t *before; /* per step: a bit for each step that must be done first */
-    uint64_t *done;   /* per turn: a bit for each step that is done */
-    uint32_t *left;   /* per turn, then step: tasks in another phase than DONE */
+    uint64_t *dependencies;   /* per step: a bit for each step that must be done first */
+    uint64_t *done;           /* per turn: a bit for each step that is done */
+    uint32_t *undone_by_step; /* per turn, then step: tasks in another phase than DONE */
 } JobSums;
 
 /* A job. Invariants: number is its position in the order of acceptance and is never reused; phase leaves ACTIVE once,
--- a/packages/state/src/deliver_job.c
+++ b/packages/state/src/deliver_job.c
@@ -92,7 +92,7 @@
     while (dropped < ended->count && ended->jobs[dropped]->ended_ms < forget->before_ms)
         ended->jobs[dropped++]->number = 0; /* marks the job for order_compact; 0 is not a valid number */
     if (dropped > 0) {
-        order_compact(&table->order);
+        order_compact(&table->accepted);
         ended_free(table, dropped);
     }
     result->number = dropped;
--- a/packages/state/src/deliver_place.c
+++ b/packages/state/src/deliver_place.c
@@ -33,10 +33,10 @@
     if (first == NULL || !job->spec.steps[first->step].gang)
         return first != NULL;
     const Gang gang = gang_of(job, first);
-    size_t left = 0, together = 0;
+    size_t open = 0, together = 0;
     for (size_t i = 0; i < gang.count; i++)
-        left += !task_ended(gang.tasks[i].phase);
-    for (; together < count && together < left; together++) {
+        open += !task_ended(gang.tasks[i].phase);
+    for (; together < count && together < open; together++) {
         Job *other;
         const JobTask *task = find_placeable(table, &places[together], &other);
         if (task < gang.tasks || task >= gang.tasks + gang.count || places[together].attempt != places[0].attempt)
@@ -45,7 +45,7 @@
             if (places[i].task == places[together].task)
                 return 0;
     }
-    return together == left ? together : 0;
+    return together == open ? together : 0;
 }
 
 void deliver_place(Table *table, const Record *change, const PlaceList *list, ChangeResult *result)
--- a/packages/state/src/deliver_worker.c
+++ b/packages/state/src/deliver_worker.c
@@ -20,7 +20,7 @@
     size_t low = 0, high = table->sorted_count;
     while (low < high) {
         const size_t middle = (low + high) / 2;
-        if (strcmp(table->sorted[middle]->name, name) < 0)
+        if (strcmp(table->sorted_workers[middle]->name, name) < 0)
             low = middle + 1;
         else
             high = middle;
@@ -32,7 +32,7 @@
 {
     *workers = talloc_array(mem, const Worker *, (unsigned)table->sorted_count);
     for (size_t i = 0; i < table->sorted_count; i++)
-        (*workers)[i] = table->sorted[i];
+        (*workers)[i] = table->sorted_workers[i];
     return table->sorted_count;
 }
 
@@ -48,17 +48,19 @@
     if (before == NULL) {
         if (table->sorted_count == table->sorted_capacity) {
             table->sorted_capacity = table->sorted_capacity ? table->sorted_capacity * 2 : SORTED_INITIAL_SLOTS;
-            table->sorted = talloc_realloc(table->mem, table->sorted, Worker *, (unsigned)table->sorted_capacity);
+            table->sorted_workers =
+                talloc_realloc(table->mem, table->sorted_workers, Worker *, (unsigned)table->sorted_capacity);
         }
-        memmove(&table->sorted[at + 1], &table->sorted[at], (table->sorted_count - at) * sizeof(*table->sorted));
+        memmove(&table->sorted_workers[at + 1], &table->sorted_workers[at],
+                (table->sorted_count - at) * sizeof(*table->sorted_workers));
         table->sorted_count++;
     }
-    table->sorted[at] = worker;
+    table->sorted_workers[at] = worker;
     talloc_free(before);
 }
 
-/* Compares by job and task. The outcome for a task may depend on another task of its job, and all nodes must reach the
- * same state, so the order must be fixed. */
+/* Compares by job and task. The outcome for a task may depend on another task of tasks job, and all nodes must reach
+ * the same state, so the order must be fixed. */
 static int compare_tasks(const void *a, const void *b)
 {
     const TaskOn *one = a, *other = b;
@@ -70,15 +72,15 @@
 void deliver_worker_lost(Table *table, const Record *change, const WorkerLost *lost, ChangeResult *result)
 {
     /* Iterate over a copy, since tasks are removed from the list on the way. */
-    const TaskOn *its;
-    const size_t count = table_tasks_on(table, lost->worker, &its);
+    const TaskOn *tasks;
+    const size_t count = table_tasks_on(table, lost->worker, &tasks);
     if (count == 0)
         return;
-    TaskOn *on = talloc_memdup(NULL, its, count * sizeof(*on));
-    qsort(on, count, sizeof(*on), compare_tasks);
+    TaskOn *copy = talloc_memdup(NULL, tasks, count * sizeof(*copy));
+    qsort(copy, count, sizeof(*copy), compare_tasks);
     for (size_t i = 0; i < count; i++) {
-        Job *job = on[i].job;
-        JobTask *task = &job->tasks[on[i].task];
+        Job *job = copy[i].job;
+        JobTask *task = &job->tasks[copy[i].task];
         if (task->incarnation > lost->incarnation || !task_on_worker(task->phase))
             continue;
         const AttemptWord word = task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST;
@@ -87,7 +89,7 @@
         job_end_if_complete(table, job, change->at_ms);
         result->number++;
     }
-    talloc_free(on);
+    talloc_free(copy);
 }
 
 void deliver_worker_left(Table *table, const Record *change, const WorkerLeft *left, ChangeResult *result)
--- a/packages/state/src/deliver_zone.c
+++ b/packages/state/src/deliver_zone.c
@@ -8,7 +8,7 @@
 
 const ZoneDrain *table_drain_newest(const Table *table, const char *zone)
 {
-    const ZoneOrders *orders = map_get(table->drains, zone);
+    const ZoneOrders *orders = map_get(table->zone_orders, zone);
     return orders != NULL ? &orders->newest : NULL;
 }
 
@@ -38,7 +38,7 @@
 
 size_t table_drains(const Table *table, void *mem, const char ***zones)
 {
-    const size_t count = map_keys(table->drains, mem, zones);
+    const size_t count = map_keys(table->zone_orders, mem, zones);
     size_t kept = 0;
     for (size_t i = 0; i < count; i++)
         if (table_drained(table, (*zones)[i]))
@@ -48,7 +48,7 @@
 
 DrainKnown table_drain_known(const Table *table, const ZoneDrain *drain)
 {
-    const ZoneOrders *orders = map_get(table->drains, drain->zone);
+    const ZoneOrders *orders = map_get(table->zone_orders, drain->zone);
     bool overtaken = false, forgotten = false;
     for (size_t i = 0; orders != NULL && i < orders->count; i++) {
         const ZoneOrder *row = &orders->rows[i];
@@ -79,7 +79,7 @@
  * Names that row_add drops are freed with the previous copy. */
 static ZoneOrders *orders_with_newest(Table *table, const ZoneDrain *drain)
 {
-    const ZoneOrders *before = map_get(table->drains, drain->zone);
+    const ZoneOrders *before = map_get(table->zone_orders, drain->zone);
     ZoneOrders *orders = talloc_zero(table->mem, ZoneOrders);
     shape_copy(&ZoneDrain_shape, drain, orders, &orders->newest);
     for (size_t i = 0; before != NULL && i < before->count; i++)
@@ -112,14 +112,14 @@
     }
     ZoneOrders *orders = orders_with_newest(table, drain);
     row_add(orders, orders->newest.order, drain->stamp);
-    talloc_free(map_get(table->drains, drain->zone));
-    map_set(table->drains, orders->newest.zone, orders);
+    talloc_free(map_get(table->zone_orders, drain->zone));
+    map_set(table->zone_orders, orders->newest.zone, orders);
 }
 
 void zone_orders_load(Table *table, const ZoneOrder *rows, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        ZoneOrders *orders = map_get(table->drains, rows[i].zone);
+        ZoneOrders *orders = map_get(table->zone_orders, rows[i].zone);
         if (orders == NULL)
             continue;
         if (i == 0 || strcmp(rows[i].zone, rows[i - 1].zone) != 0)
--- a/packages/state/src/inside.h
+++ b/packages/state/src/inside.h
@@ -63,16 +63,16 @@
     ZoneOrder rows[ZONE_ORDERS_MAX];
 } ZoneOrders;
 
-/* Invariants: by_id and order hold the same jobs; active holds those that have not ended, and ended the others; order
- * and active are sorted by number, ended by the time of the end; sorted holds the same workers as workers, sorted by
- * name. */
+/* The state table. Invariants: by_id and accepted hold the same jobs; active holds those that have not ended, and ended
+ * the others; accepted and active are sorted by number, ended by the time of the end; sorted_workers holds the same
+ * workers as workers, sorted by name. */
 struct Table {
     void *mem;  /* talloc parent of everything below; replaced when a state is loaded */
     Map *by_id; /* job id to Job */
-    JobList order, active, ended;
+    JobList accepted, active, ended;
     uint64_t last_number;
     Map *workers; /* worker name to Worker */
-    Worker **sorted;
+    Worker **sorted_workers;
     size_t sorted_count, sorted_capacity;
     Map *worker_tasks;  /* worker name to WorkerTasks */
     WorkerTasks **busy; /* the workers with a task on them, in no particular order */
@@ -82,12 +82,12 @@
     Map *queues;     /* "cell/queue" to QueueSum */
     Orphan *orphans; /* dropped by FORGET, as ended jobs are; the texts are owned by mem */
     size_t orphan_count;
-    Map *drains; /* zone name to ZoneOrders */
+    Map *zone_orders; /* zone name to ZoneOrders */
     Versions *versions;
     uint64_t loads; /* number of times the state was replaced */
     /* Observers; they remain when a state is loaded. */
-    TableFn fn;
-    void *arg;
+    TableFn change_fn;
+    void *change_arg;
     TableOrdersFn orders_fn;
     void *orders_arg;
     TableLeftFn left_fn;
--- a/packages/state/src/phase.c
+++ b/packages/state/src/phase.c
@@ -59,7 +59,7 @@
 void table_insert_job(Table *table, Job *job)
 {
     map_set(table->by_id, job->spec.id, job);
-    job_list_add(table->mem, &table->order, job);
+    job_list_add(table->mem, &table->accepted, job);
     if (job->number > table->last_number)
         table->last_number = job->number;
     job_sums_compute(job);
--- a/packages/state/src/saved.c
+++ b/packages/state/src/saved.c
@@ -24,14 +24,14 @@
 void table_clear(Table *table)
 {
     talloc_free(table->mem);
-    const Table kept = *table;
-    *table = (Table){.loads = kept.loads + 1,
-                     .fn = kept.fn,
-                     .arg = kept.arg,
-                     .orders_fn = kept.orders_fn,
-                     .orders_arg = kept.orders_arg,
-                     .left_fn = kept.left_fn,
-                     .left_arg = kept.left_arg};
+    const Table previous = *table;
+    *table = (Table){.loads = previous.loads + 1,
+                     .change_fn = previous.change_fn,
+                     .change_arg = previous.change_arg,
+                     .orders_fn = previous.orders_fn,
+                     .orders_arg = previous.orders_arg,
+                     .left_fn = previous.left_fn,
+                     .left_arg = previous.left_arg};
     table->mem = talloc_new(table);
     table->by_id = map_new(table->mem);
     table->workers = map_new(table->mem);
@@ -39,7 +39,7 @@
     table->cells = map_new(table->mem);
     table->used = map_new(table->mem);
     table->queues = map_new(table->mem);
-    table->drains = map_new(table->mem);
+    table->zone_orders = map_new(table->mem);
     table->versions = versions_new(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
 }
 
@@ -49,11 +49,11 @@
 static void zones_save(const Table *table, void *scratch, Saved *saved)
 {
     const char **zones;
-    saved->drains_count = map_keys(table->drains, scratch, &zones);
+    saved->drains_count = map_keys(table->zone_orders, scratch, &zones);
     saved->drains = talloc_array(scratch, ZoneDrain, (unsigned)saved->drains_count);
     saved->zone_orders = talloc_array(scratch, ZoneOrder, (unsigned)saved->drains_count * ZONE_ORDERS_MAX);
     for (size_t i = 0; i < saved->drains_count; i++) {
-        const ZoneOrders *orders = map_get(table->drains, zones[i]);
+        const ZoneOrders *orders = map_get(table->zone_orders, zones[i]);
         saved->drains[i] = orders->newest;
         for (size_t k = 0; k < orders->count; k++)
             saved->zone_orders[saved->zone_orders_count++] = orders->rows[k];
@@ -64,10 +64,10 @@
 {
     Table *table = arg;
     void *scratch = talloc_new(mem);
-    Saved saved = {.last_number = table->last_number, .jobs_count = table->order.count};
-    saved.jobs = talloc_array(scratch, Job, (unsigned)table->order.count);
-    for (size_t i = 0; i < table->order.count; i++)
-        saved.jobs[i] = *table->order.jobs[i];
+    Saved saved = {.last_number = table->last_number, .jobs_count = table->accepted.count};
+    saved.jobs = talloc_array(scratch, Job, (unsigned)table->accepted.count);
+    for (size_t i = 0; i < table->accepted.count; i++)
+        saved.jobs[i] = *table->accepted.jobs[i];
     const Worker **workers;
     saved.workers_count = table_workers(table, scratch, &workers);
     saved.workers = talloc_array(scratch, Worker, (unsigned)saved.workers_count);
--- a/packages/state/src/sums.c
+++ b/packages/state/src/sums.c
@@ -5,13 +5,13 @@
 #include "base/invariant.h"
 #include "state/job.h"
 
-static uint32_t *left_of(const Job *job, const JobTask *task)
+static uint32_t *undone_of(const Job *job, const JobTask *task)
 {
-    return &job->sums.left[task->turn * job->spec.steps_count + task->step];
+    return &job->sums.undone_by_step[task->turn * job->spec.steps_count + task->step];
 }
 
 /* Returns a bit for each step that must be done before this one. JOB_STEPS_MAX steps fit. */
-static uint64_t before(const JobSpec *spec, const StepSpec *step)
+static uint64_t dependency_bits(const JobSpec *spec, const StepSpec *step)
 {
     uint64_t bits = 0;
     for (size_t a = 0; a < step->after_count; a++)
@@ -24,24 +24,24 @@
 void job_sums_compute(Job *job)
 {
     const size_t steps = job->spec.steps_count, turns = (size_t)job_turn_count(&job->spec);
-    /* One allocation: 64-bit words for before and done, 32-bit words for left. */
+    /* One allocation: 64-bit words for dependencies and done, 32-bit words for undone_by_step. */
     uint64_t *words = talloc_zero_array(job, uint64_t, (unsigned)(steps + turns + (steps * turns + 1) / 2));
-    job->sums.before = words;
+    job->sums.dependencies = words;
     job->sums.done = words + steps;
-    job->sums.left = (uint32_t *)(void *)(words + steps + turns);
+    job->sums.undone_by_step = (uint32_t *)(void *)(words + steps + turns);
     job->sums.open = job->sums.undone = job->sums.waiting = 0;
     for (size_t i = 0; i < steps; i++)
-        job->sums.before[i] = before(&job->spec, &job->spec.steps[i]);
+        job->sums.dependencies[i] = dependency_bits(&job->spec, &job->spec.steps[i]);
     for (size_t i = 0; i < job->tasks_count; i++) {
         const JobTask *task = &job->tasks[i];
         job->sums.open += !task_ended(task->phase);
         job->sums.undone += task->phase != TASK_DONE;
         job->sums.waiting += task->phase == TASK_WAITING;
-        *left_of(job, task) += task->phase != TASK_DONE;
+        *undone_of(job, task) += task->phase != TASK_DONE;
     }
     for (size_t turn = 0; turn < turns; turn++)
         for (size_t i = 0; i < steps; i++)
-            if (job->sums.left[turn * steps + i] == 0)
+            if (job->sums.undone_by_step[turn * steps + i] == 0)
                 job->sums.done[turn] |= UINT64_C(1) << i;
 }
 
@@ -54,13 +54,13 @@
         job->sums.open--;
     if (phase != TASK_DONE || task->phase == TASK_DONE)
         return;
-    INVARIANT(TASK_COUNTS, job->sums.undone > 0 && *left_of(job, task) > 0);
+    INVARIANT(TASK_COUNTS, job->sums.undone > 0 && *undone_of(job, task) > 0);
     job->sums.undone--;
-    if (--*left_of(job, task) == 0)
+    if (--*undone_of(job, task) == 0)
         job->sums.done[task->turn] |= UINT64_C(1) << task->step;
 }
 
 bool task_steps_done(const Job *job, const JobTask *task)
 {
-    return (job->sums.before[task->step] & ~job->sums.done[task->turn]) == 0;
+    return (job->sums.dependencies[task->step] & ~job->sums.done[task->turn]) == 0;
 }
--- a/packages/state/src/table.c
+++ b/packages/state/src/table.c
@@ -17,8 +17,8 @@
 
 void table_watch(Table *table, TableFn fn, void *arg)
 {
-    table->fn = fn;
-    table->arg = arg;
+    table->change_fn = fn;
+    table->change_arg = arg;
 }
 
 const Job *table_job(const Table *table, const char *id)
@@ -28,8 +28,8 @@
 
 size_t table_jobs(const Table *table, Job *const **jobs)
 {
-    *jobs = table->order.jobs;
-    return table->order.count;
+    *jobs = table->accepted.jobs;
+    return table->accepted.count;
 }
 
 size_t table_active(const Table *table, Job *const **jobs)
@@ -135,8 +135,8 @@
     result->status = shape_unpack(shape, change->payload, mem, body, NULL);
     if (result->status == STATUS_OK)
         dispatch(table, change, body, result);
-    if (table->fn != NULL)
-        table->fn(table->arg, change, result->status != STATUS_BAD_FRAME ? body : NULL, result);
+    if (table->change_fn != NULL)
+        table->change_fn(table->change_arg, change, result->status != STATUS_BAD_FRAME ? body : NULL, result);
     talloc_free(mem);
 }
 
--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -30,7 +30,7 @@
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
     if (replication_offer(replication_at(fleet_leader(fleet)), change, payload) != STATUS_OK)
-        fprintf(stderr, "change %" PRIu64 " was not taken\n", change);
+        fprintf(stderr, "change %" PRIu64 " was not accepted\n", change);
     talloc_free(mem);
 }
 
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -286,7 +286,7 @@
 0      kill     kill     kill     kill     kill     kill     kill     kill     call:12/12000
 40000  start    start    start    start    start    start    start    start    .
 60000  .        .        .        .        .        .        .        .        end
-""", also=[("packages/state/src/deliver_place.c", "return together == left ? together : 0;", "return together;"),
+""", also=[("packages/state/src/deliver_place.c", "return together == open ? together : 0;", "return together;"),
            ("packages/scheduler/src/planner.c", "        gangs_repair(scheduler, mem);", "        (void)mem;")]),
     Guard("gang-stopped", "when a member is lost the others stop", "packages/state/src/gang.c",
           "        if (other != task && (other->phase", "        if (false && (other->phase",
