--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -38,7 +38,7 @@
     heartbeat_start(agent);
     end_reports_start(agent);
     isolated_start(agent);
-    members_set_voter(agent->members, settings->bounds.founds == 1);
+    members_set_voter(agent->members, settings->cluster_settings.founds == 1);
     deadlines_start(agent);
     members_start(agent->members);
     *out = agent;
--- a/packages/agent/src/answer.c
+++ b/packages/agent/src/answer.c
@@ -43,7 +43,7 @@
  * report: half of each costs least. While none runs, only an order can come. */
 int64_t answer_until_ms(const Agent *agent, const WorkerReport *report)
 {
-    int64_t wait_ms = agent->settings->bounds.worker_poll_ms;
+    int64_t wait_ms = agent->settings->cluster_settings.worker_poll_ms;
     if (report->wait_ms < wait_ms)
         wait_ms = report->wait_ms;
     if (report->waits_for_answer && report->running_count + report->ended_count > 0 && wait_ms > WORKER_BUSY_MS)
@@ -55,8 +55,8 @@
 static int64_t lease_pass_on(Agent *agent, int64_t now_ms)
 {
     int64_t left_ms = lease_left_ms(&agent->lease, now_ms);
-    if (left_ms > agent->settings->bounds.worker_lease_ms)
-        left_ms = agent->settings->bounds.worker_lease_ms;
+    if (left_ms > agent->settings->cluster_settings.worker_lease_ms)
+        left_ms = agent->settings->cluster_settings.worker_lease_ms;
     const int64_t passed_ms = lease_delegated_ms(left_ms);
     if (passed_ms > 0 && now_ms + lease_claim_ms(passed_ms) > agent->worker_lease_until_ms)
         agent->worker_lease_until_ms = now_ms + lease_claim_ms(passed_ms);
--- a/packages/agent/src/attempt.h
+++ b/packages/agent/src/attempt.h
@@ -43,7 +43,7 @@
     int64_t percent_ms;        /* Run time at that report, in ms */
     int64_t progress_due_ms;   /* Run time at which the progress is reported again, in ms */
     uint64_t leader_version;   /* The progress_version that the leader of agent->saved_term has */
-    uint64_t word;             /* ENDED, COMMITTED: its result (AttemptWord) */
+    uint64_t word;             /* ENDED, COMMITTED: its result (AttemptStatus) */
     bool inferred;             /* The agent inferred the result; the worker did not report it */
     int64_t ran_ms;            /* How long it ran, in ms */
     const char *text;
--- a/packages/agent/src/attempts.c
+++ b/packages/agent/src/attempts.c
@@ -106,7 +106,7 @@
     char detail[48];
     snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 "%s%s", attempt->order.task,
              attempt->order.attempt, step == TRACE_OVER ? " " : "",
-             step == TRACE_OVER ? attempt_word(attempt->word) : "");
+             step == TRACE_OVER ? attempt_status_name(attempt->word) : "");
     trace_say(agent->trace, step, detail, "job:%s", attempt->order.job);
 }
 
@@ -140,7 +140,7 @@
     progress_record(agent, attempt, update->percent);
 }
 
-void attempt_report_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text)
+void attempt_report_end(Agent *agent, Attempt *attempt, AttemptStatus word, const char *text)
 {
     attempt->phase = PHASE_ENDED;
     attempt->word = word;
@@ -150,7 +150,7 @@
     signal_raise(agent->loop, &agent->report_signal);
 }
 
-void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool inferred)
+void attempt_end(Agent *agent, Attempt *attempt, AttemptStatus word, const char *text, bool inferred)
 {
     if (attempt->phase >= PHASE_ENDED)
         return;
--- a/packages/agent/src/attempts.h
+++ b/packages/agent/src/attempts.h
@@ -27,11 +27,11 @@
 void attempt_running(Agent *agent, Attempt *attempt, const AttemptUpdate *update);
 /* Ends the attempt; has no effect if it has already ended. inferred: the agent infers the end, the worker has not
  * reported it. */
-void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool inferred);
+void attempt_end(Agent *agent, Attempt *attempt, AttemptStatus word, const char *text, bool inferred);
 /* Ends an attempt whose order expired before the worker was known to start it. */
 void attempt_expire(Agent *agent, Attempt *attempt);
 /* Queues the attempt's end, with this result, to be reported to the leader, possibly again. */
-void attempt_report_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text);
+void attempt_report_end(Agent *agent, Attempt *attempt, AttemptStatus word, const char *text);
 /* Records that the leader has committed the attempt's end. */
 void attempt_end_committed(Agent *agent, Attempt *attempt);
 
--- a/packages/agent/src/deadlines.c
+++ b/packages/agent/src/deadlines.c
@@ -11,7 +11,7 @@
 /* The longest interval, in ms, between reports of a live worker: its poll interval and the transport time. */
 static int64_t silence_limit_ms(const Agent *agent)
 {
-    return agent->settings->bounds.worker_poll_ms + WORKER_QUIET_MS;
+    return agent->settings->cluster_settings.worker_poll_ms + WORKER_QUIET_MS;
 }
 
 /* The time at which the worker counts as silent: when its next report takes longer after the last answer than usual. */
@@ -57,8 +57,8 @@
         attempts_end_given(agent, "the worker fell silent");
     }
     /* No report since the agent started: any lease that an earlier agent process passed on has lapsed. */
-    const int64_t earlier_ms =
-        lease_claim_ms(min_ms(agent->settings->bounds.lease_ms, agent->settings->bounds.worker_lease_ms));
+    const int64_t earlier_ms = lease_claim_ms(
+        min_ms(agent->settings->cluster_settings.lease_ms, agent->settings->cluster_settings.worker_lease_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
         agent->settled = true;
         heartbeat_request(agent);
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -128,7 +128,7 @@
     poll_members(poll, true);
     if (poll->none_known && voters_answered(poll))
         poll_members(poll, false);
-    const int64_t lease_ms = agent->settings->bounds.lease_ms;
+    const int64_t lease_ms = agent->settings->cluster_settings.lease_ms;
     /* A lease that has lapsed meanwhile is not revived: its attempts are being stopped. */
     if (poll->none_known && voters_answered(poll) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->isolated)
@@ -145,7 +145,7 @@
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
         const int64_t left_ms = lease_left_ms(&agent->lease, loop_now_ms(agent->loop));
-        const int64_t late_ms = agent->settings->bounds.lease_ms / 2;
+        const int64_t late_ms = agent->settings->cluster_settings.lease_ms / 2;
         /* The second half of the lease: several heartbeats have not been answered. */
         if (left_ms > 0 && left_ms < late_ms)
             poll_run(agent);
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -34,7 +34,7 @@
             attempt->term = term;
         } else if (attempt->phase == PHASE_COMMITTED) {
             /* The leader has lost the end. */
-            attempt_report_end(agent, attempt, (AttemptWord)attempt->word, attempt->text);
+            attempt_report_end(agent, attempt, (AttemptStatus)attempt->word, attempt->text);
         }
         return;
     }
--- a/packages/agent/src/report_json.c
+++ b/packages/agent/src/report_json.c
@@ -34,8 +34,8 @@
         update->attempt = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
         update->word = ATTEMPT_RUNNING;
         if (with_word) {
-            update->word = attempt_of_word(check_name(faults, one, path, "word", NULL));
-            if (update->word == ATTEMPT_WORD_COUNT || update->word == ATTEMPT_RUNNING)
+            update->word = attempt_status_of_name(check_name(faults, one, path, "word", NULL));
+            if (update->word == ATTEMPT_STATUS_COUNT || update->word == ATTEMPT_RUNNING)
                 fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "word"),
                           "must be done, failed, stopped, refused, lost, lapsed, broken or alone");
         }
@@ -67,8 +67,8 @@
         report->worker.labels = check_names(faults, object, "", "labels", &report->worker.labels_count);
         report->free_given = json_object_object_get_ex(object, "free", NULL);
         report->free = check_resources(faults, object, "", "free", false);
-        report->leaving = check_flag(faults, object, "", "leaving", false);
-        report->left = check_flag(faults, object, "", "left", false);
+        report->leaving = check_bool(faults, object, "", "leaving", false);
+        report->left = check_bool(faults, object, "", "left", false);
         report->leave_ms = check_int(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
         report->seq = (uint64_t)check_int(faults, object, "", "seq", 0, INT64_MAX, 0);
         report->wait_ms = check_int(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -34,7 +34,7 @@
     if (attempt->phase < PHASE_ENDED) {
         if (update->saved[0] != '\0')
             attempt_running(agent, attempt, update);
-        attempt_end(agent, attempt, (AttemptWord)update->word, update->text, false);
+        attempt_end(agent, attempt, (AttemptStatus)update->word, update->text, false);
         return;
     }
     /* A reported completion replaces any other end; a reported failure replaces an end that was inferred. */
@@ -42,7 +42,7 @@
                                   (update->word == ATTEMPT_FAILED && attempt->inferred);
     attempt->inferred = false;
     if (takes_precedence)
-        attempt_report_end(agent, attempt, (AttemptWord)update->word, update->text);
+        attempt_report_end(agent, attempt, (AttemptStatus)update->word, update->text);
 }
 
 /* Updates the attempt table to match the report: what the worker reports replaces what the agent inferred, and an
--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -159,9 +159,9 @@
                                    .listen = "10.0.0.2:7000",
                                    .http = "10.0.0.2:8000",
                                    .seeds = {LEADER, OTHER, LEADER},
-                                   .bounds = bounds_first()};
-    fixture->settings.bounds.lease_ms = lease_ms;
-    fixture->settings.bounds.worker_lease_ms = worker_lease_ms;
+                                   .cluster_settings = cluster_settings_default()};
+    fixture->settings.cluster_settings.lease_ms = lease_ms;
+    fixture->settings.cluster_settings.worker_lease_ms = worker_lease_ms;
     fixture->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .resources = {8000, 8000, 0}};
     sim_start(fixture->world, fixture->leader_machine, leader_start, &fixture->leader);
     sim_start(fixture->world, fixture->other_machine, leader_start, &fixture->other);
@@ -224,7 +224,7 @@
     return report_send_and_wait(report_new(fixture, "b1"));
 }
 
-static inline AttemptUpdate update_of(const char *job, uint64_t task, uint64_t attempt, AttemptWord word,
+static inline AttemptUpdate update_of(const char *job, uint64_t task, uint64_t attempt, AttemptStatus word,
                                       const char *saved)
 {
     return (AttemptUpdate){
@@ -254,7 +254,7 @@
     return call;
 }
 
-static inline ReportCall *add_ended(ReportCall *call, AttemptWord word, const char *saved)
+static inline ReportCall *add_ended(ReportCall *call, AttemptStatus word, const char *saved)
 {
     AttemptUpdate *ended = talloc(call, AttemptUpdate);
     *ended = update_of("j", 0, 1, word, saved);
@@ -269,7 +269,7 @@
     return report_send_and_wait(add_running(report_new(fixture, "b1"), saved));
 }
 
-static inline ReportCall *report_ended(AgentFixture *fixture, AttemptWord word, const char *saved)
+static inline ReportCall *report_ended(AgentFixture *fixture, AttemptStatus word, const char *saved)
 {
     return report_send_and_wait(add_ended(report_new(fixture, "b1"), word, saved));
 }
@@ -302,7 +302,7 @@
 
 /* The number of times that the agent reported this result of the attempt to the leader. */
 static inline size_t reported_count(const FakeLeader *leader, const char *job, uint64_t task, uint64_t attempt,
-                                    AttemptWord word)
+                                    AttemptStatus word)
 {
     size_t count = 0;
     for (size_t i = 0; i < leader->updates_count; i++)
--- a/packages/api/src/job_json.c
+++ b/packages/api/src/job_json.c
@@ -34,16 +34,16 @@
     step->name = check_name(faults, object, path, "name", NULL);
     step->after = check_names(faults, object, path, "after", &step->after_count);
     step->count = (uint64_t)check_int(faults, object, path, "count", 1, JOB_TASKS_MAX, 1);
-    step->gang = check_flag(faults, object, path, "gang", false);
+    step->gang = check_bool(faults, object, path, "gang", false);
     step->resources = check_resources(faults, object, path, "room", true);
     step->kind = check_name(faults, object, path, "kind", "");
     step->labels = check_names(faults, object, path, "labels", &step->labels_count);
     step->est_ms = (uint64_t)check_int(faults, object, path, "estMs", 0, JOB_SPAN_MAX_MS, 0);
     step->apart = (uint64_t)check_int(faults, object, path, "apart", 0, JOB_TASKS_MAX, 0);
-    step->same_rack = check_flag(faults, object, path, "sameRack", false);
+    step->same_rack = check_bool(faults, object, path, "sameRack", false);
     step->near = check_name(faults, object, path, "near", "");
-    step->saves = check_flag(faults, object, path, "saves", false);
-    step->copies = check_flag(faults, object, path, "copies", false);
+    step->saves = check_bool(faults, object, path, "saves", false);
+    step->copies = check_bool(faults, object, path, "copies", false);
     step->payload = read_payload(faults, object, payload);
     if (step->resources.cpu_milli == 0 && step->resources.mem_mb == 0 && step->resources.gpu == 0)
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "room"), "a task must need some capacity");
@@ -138,13 +138,13 @@
 {
     spec->priority = check_int(faults, object, "", "priority", -1000, 1000, 0);
     const char *protection = check_name(faults, object, "", "protection", "protected");
-    spec->protection = protection_of_word(protection);
+    spec->protection = protection_of_name(protection);
     if (spec->protection == PROTECTION_COUNT)
         fault_add(faults, STATUS_BAD_FIELD, "protection", "must be protected, best-effort or none");
-    spec->copies = check_flag(faults, object, "", "copies", false);
+    spec->copies = check_bool(faults, object, "", "copies", false);
     spec->due_wall_ms = check_int(faults, object, "", "dueWallMs", 0, INT64_MAX / 4, 0);
     spec->delay_ms = check_int(faults, object, "", "delayMs", 0, JOB_SPAN_MAX_MS, 0);
-    spec->lasting = check_flag(faults, object, "", "lasting", false);
+    spec->lasting = check_bool(faults, object, "", "lasting", false);
     spec->turns = (uint64_t)check_int(faults, object, "", "turns", 0, JOB_TASKS_MAX, 0);
     spec->first_wall_ms = check_int(faults, object, "", "firstWallMs", 0, INT64_MAX / 4, 0);
     spec->period_ms = check_int(faults, object, "", "periodMs", 0, JOB_SPAN_MAX_MS, 0);
@@ -190,7 +190,7 @@
 {
     const size_t before = faults->seen;
     const JobSpec at = {.id = id, .cell = cell, .tenant = tenant, .queue = queue};
-    if (!check_name_text(id))
+    if (!is_valid_name(id))
         fault_add(faults, STATUS_BAD_FIELD, "id", "must be a name of 1 to %d letters, digits or ._:-", ID_MAX);
     return read_job(faults, text, count, &at, spec) && faults->seen == before;
 }
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -52,14 +52,14 @@
     json_object_object_add(object, "queue", json_text(job->spec.queue));
     json_object_object_add(
         object, "phase",
-        json_text(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : job_phase_word(job->phase)));
+        json_text(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : job_phase_name(job->phase)));
     json_object_object_add(object, "acceptedMs", json_object_new_int64(job->accepted_ms));
     if (job->phase != JOB_ACTIVE)
         json_object_object_add(object, "endedMs", json_object_new_int64(job->ended_ms));
     json_object *tasks = json_object_new_object();
     for (int i = 0; i < TASK_PHASE_COUNT; i++)
         if (counts[i] > 0)
-            json_object_object_add(tasks, task_phase_word((uint64_t)i), json_object_new_int64((int64_t)counts[i]));
+            json_object_object_add(tasks, task_phase_name((uint64_t)i), json_object_new_int64((int64_t)counts[i]));
     json_object_object_add(object, "taskCounts", tasks);
     return object;
 }
@@ -67,12 +67,12 @@
 const char *show_phase(const Job *job)
 {
     if (job->phase != JOB_ACTIVE)
-        return job_phase_word(job->phase);
+        return job_phase_name(job->phase);
     if (job->ending != JOB_ACTIVE) /* The outcome of attempts that still run no longer matters */
-        return job_phase_word(job->ending);
+        return job_phase_name(job->ending);
     for (size_t i = 0; i < job->tasks_count; i++)
         if (job->tasks[i].started_ms > 0)
-            return job_phase_word(JOB_ACTIVE);
+            return job_phase_name(JOB_ACTIVE);
     return "queued";
 }
 
@@ -115,7 +115,7 @@
         json_object_object_add(one, "dueWallMs", json_object_new_int64(task_due_wall_ms(job, task)));
     }
     json_object_object_add(one, "at", json_object_new_int64((int64_t)task->at));
-    json_object_object_add(one, "phase", json_text(task_phase_word(task->phase)));
+    json_object_object_add(one, "phase", json_text(task_phase_name(task->phase)));
     json_object_object_add(one, "round", json_object_new_int64((int64_t)task->attempt));
     if (task->worker[0] != '\0')
         json_object_object_add(one, "worker", json_text(task->worker));
@@ -136,7 +136,7 @@
 {
     json_object *object = show_job_short(job);
     json_object_object_add(object, "priority", json_object_new_int64(job->spec.priority));
-    json_object_object_add(object, "protection", json_text(protection_word(job->spec.protection)));
+    json_object_object_add(object, "protection", json_text(protection_name(job->spec.protection)));
     if (job->spec.lasting)
         json_object_object_add(object, "lasting", json_object_new_boolean(true));
     show_terms(object, &job->terms);
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -3,7 +3,7 @@
 
 /* Every constant of spancart, with its unit and its reason. Spans are counted on
  * CLOCK_BOOTTIME (or the simulator's clock), never on wall time. A comment that begins
- * with "..." goes on from the one before. Some are defaults of settings (settings/bounds.h). */
+ * with "..." goes on from the one before. Some are defaults of settings (settings/cluster_settings.h). */
 
 /* --- heartbeats and leases -------------------------------------------------------------------
  * The steps after a leader's death add up to LOCK_GRANT_MS, one election, one view change and
--- a/packages/callers/include/callers/callers.h
+++ b/packages/callers/include/callers/callers.h
@@ -34,7 +34,7 @@
     Rpc *rpc;
     InForce *in_force;
     Scheduler *scheduler;
-    const Bounds *bounds;
+    const ClusterSettings *cluster_settings;
     CallerServiceCallbacks callbacks;
 } CallerServiceSettings;
 
--- a/packages/callers/src/callers.c
+++ b/packages/callers/src/callers.c
@@ -16,7 +16,7 @@
     service->rpc = settings->rpc;
     service->in_force = settings->in_force;
     service->scheduler = settings->scheduler;
-    service->bounds = settings->bounds;
+    service->cluster_settings = settings->cluster_settings;
     service->callbacks = settings->callbacks;
     return service;
 }
@@ -27,9 +27,9 @@
 }
 
 /* Whether disks may lose what they acknowledged, so that other processes must hold copies. */
-static bool repair_possible(const Bounds *bounds)
+static bool repair_possible(const ClusterSettings *cluster_settings)
 {
-    return bounds->retell_ms > 0 && bounds->disks_keep == 0;
+    return cluster_settings->retell_ms > 0 && cluster_settings->disks_keep == 0;
 }
 
 void caller_service_answer(CallerService *service, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
@@ -54,6 +54,6 @@
     answer->retry_after_s = (uint64_t)task->retry_after_s;
     answer->repair_items = repair_items.items;
     answer->repair_items_count = repair_items.items_count;
-    if (repair_items.items_count > 0 && repair_possible(service->bounds))
+    if (repair_items.items_count > 0 && repair_possible(service->cluster_settings))
         repair_copy_send(service, mem, &repair_items, ask->carrier);
 }
--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -33,7 +33,7 @@
     const Config *config = in_force_config(request->service->in_force);
     const char *text;
     if (newest == 0)
-        text = config_first_text();
+        text = config_default_text();
     else if (versions->rows[versions->count - 1].patch && config->version == newest) /* already parsed */
         text = document_text(request->mem, config->tree);
     else
@@ -74,7 +74,7 @@
 {
     const Versions *versions = table_versions(request->service->table);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
-    for (size_t i = versions->whole; i < versions->count; i++)
+    for (size_t i = versions->first_text; i < versions->count; i++)
         json_object_array_add(list, json_object_new_uint64(versions->rows[i].version));
     json_object_object_add(body, "revisions", list);
     show_result(request->task, 200, body);
@@ -121,7 +121,7 @@
         fault_add(request->faults, STATUS_BAD_JSON, "", "a patch must be an object");
         return NULL;
     }
-    json_object *tree = document_merged(in_force->tree, patch);
+    json_object *tree = document_merge(in_force->tree, patch);
     set->patch = in_force->version > 0;
     set->text = document_text(request->mem, set->patch ? patch : tree);
     return tree;
@@ -137,7 +137,7 @@
     if (text != NULL && strlen(text) < request->task->body.count / 2) {
         set->patch = true;
         set->text = text;
-        tree = document_merged(in_force->tree, patch);
+        tree = document_merge(in_force->tree, patch);
     } else {
         set->text = talloc_strndup(request->mem, (const char *)request->task->body.data, request->task->body.count);
         tree = json_object_get(whole);
@@ -150,7 +150,8 @@
  * call may send. The text is produced only if the sum of the sizes does not show that it is small enough. */
 static void check_size(CallerRequest *request, json_object *tree)
 {
-    if (versions_size(table_versions(request->service->table)) + request->task->body.count <= CONFIG_BODY_MAX)
+    if (versions_newest_size_max(table_versions(request->service->table)) + request->task->body.count <=
+        CONFIG_BODY_MAX)
         return;
     if (strlen(document_text(request->mem, tree)) > CONFIG_BODY_MAX)
         fault_add(request->faults, STATUS_TOO_LARGE, "", "with this patch the configuration exceeds %d bytes",
@@ -205,7 +206,7 @@
     const Versions *versions = table_versions(service->table);
     if (set.version != 0)
         set.digest = call_digest(request, patch, set.base, set.version);
-    const uint64_t current = versions_newest(versions), known = versions_digest(versions, set.digest);
+    const uint64_t current = versions_newest(versions), known = versions_find_digest(versions, set.digest);
     if (known != 0) { /* a retry: the call was accepted, whatever has changed since */
         show_accepted(request, known);
         return;
--- a/packages/callers/src/jobs.c
+++ b/packages/callers/src/jobs.c
@@ -16,7 +16,7 @@
     size_t tasks = 0;
     for (size_t i = 0; i < spec->steps_count; i++)
         tasks += (size_t)(spec->steps[i].count * (spec->turns > 1 ? spec->turns : 1));
-    if (table_waiting(service->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
+    if (table_waiting_tasks(service->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
         service->counts.crowded++;
         show_refusal(request->task, STATUS_QUEUE_FULL,
                      "too many tasks wait in this cell; the job was not accepted: retry later", NULL);
@@ -153,7 +153,7 @@
     for (; at < count && shown < limit; at++) {
         const Job *job = jobs[at];
         if ((cell != NULL && strcmp(job->spec.cell, cell) != 0) ||
-            (phase != NULL && strcmp(job_phase_word(job->phase), phase) != 0))
+            (phase != NULL && strcmp(job_phase_name(job->phase), phase) != 0))
             continue;
         request_add_job_end(request, job);
         json_object_array_add(list, show_job_short(job));
--- a/packages/callers/src/queue_entry.c
+++ b/packages/callers/src/queue_entry.c
@@ -42,7 +42,7 @@
 
 /* Whether the request may use the queue: with a tenant's key, which determines the tenant, or without one where no key
  * is needed. False: the request has its result. */
-static bool key_allows(CallerRequest *request, const ConfigPlace *place)
+static bool key_allows(CallerRequest *request, const ConfigRoute *place)
 {
     request->caller = config_tenant_of_key(place->cell, request->task->key_digest);
     if (request->caller != NULL || place->queue->is_public || !place->cell->keyed)
@@ -78,12 +78,12 @@
 
 /* --- requests ----------------------------------------------------------------------------------- */
 
-static int64_t waiting_tasks(const Table *table, const ConfigPlace *place)
+static int64_t waiting_tasks(const Table *table, const ConfigRoute *place)
 {
-    return (int64_t)table_waiting_in(table, place->cell->name, place->queue->name);
+    return (int64_t)table_queue_active_jobs(table, place->cell->name, place->queue->name);
 }
 
-static void entry_post(CallerRequest *request, const ConfigPlace *place)
+static void entry_post(CallerRequest *request, const ConfigRoute *place)
 {
     JobSpec spec;
     const char *tenant = request->caller != NULL ? request->caller->name : place->tenant;
@@ -143,7 +143,7 @@
         entry_show(request, 200, job);
 }
 
-static void entry_count(CallerRequest *request, const ConfigPlace *place)
+static void entry_count(CallerRequest *request, const ConfigRoute *place)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "waiting", json_object_new_int64(waiting_tasks(request->service->table, place)));
@@ -165,8 +165,8 @@
         return;
     }
     const char *host = query_value(request->mem, request->task->query, "host");
-    const ConfigPlace *place =
-        config_entry(in_force_config(service->in_force), host != NULL ? host : request->task->host, path);
+    const ConfigRoute *place =
+        config_find_route(in_force_config(service->in_force), host != NULL ? host : request->task->host, path);
     if (place == NULL) {
         request->name = strrchr(path, '/') + 1;
         if (!maybe_accepted_before(request))
@@ -185,9 +185,9 @@
         entry_count(request, place);
     else if (request->name[0] == '\0')
         show_refusal(request->task, STATUS_BAD_METHOD, "the path must end with the id of a job", NULL);
-    else if (!check_name_text(request->name) && post)
+    else if (!is_valid_name(request->name) && post)
         show_refusal(request->task, STATUS_BAD_FIELD, "an id must consist of letters, digits and ._:-", NULL);
-    else if (!check_name_text(request->name))
+    else if (!is_valid_name(request->name))
         entry_refuse(request, HTTP_GONE, STATUS_UNKNOWN_JOB, "no job can have this id");
     else if (post)
         entry_post(request, place);
--- a/packages/callers/src/routes.c
+++ b/packages/callers/src/routes.c
@@ -136,7 +136,7 @@
             const char *expected = route->parts[k], *actual = k < count ? parts[k] : NULL;
             if (expected == NULL || actual == NULL)
                 matches = expected == NULL && actual == NULL;
-            else if (strcmp(expected, "*") == 0 && check_name_text(actual))
+            else if (strcmp(expected, "*") == 0 && is_valid_name(actual))
                 name = actual;
             else
                 matches = strcmp(expected, actual) == 0;
--- a/packages/callers/src/state.h
+++ b/packages/callers/src/state.h
@@ -12,7 +12,7 @@
     Rpc *rpc;
     InForce *in_force;
     Scheduler *scheduler;
-    const Bounds *bounds;
+    const ClusterSettings *cluster_settings;
     CallerServiceCallbacks callbacks;
     size_t next_copy_target; /* index of the entry point to ask first for a copy (repair_copy.c) */
     CallerServiceCounts counts;
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -24,7 +24,7 @@
 {
     json_object *body = json_object_new_object();
     Job *const *jobs;
-    const size_t count = table_active(request->service->table, &jobs);
+    const size_t count = table_active_jobs(request->service->table, &jobs);
     int64_t left = 0;
     for (size_t j = 0; j < count; j++)
         for (size_t t = 0; t < jobs[j]->tasks_count; t++) {
@@ -37,9 +37,9 @@
     json_object_object_add(body, "stamp",
                            json_object_new_int64(table_drain_stamp(request->service->table, request->name)));
     json_object_object_add(body, "drained",
-                           json_object_new_boolean(table_drained(request->service->table, request->name)));
+                           json_object_new_boolean(table_zone_is_drained(request->service->table, request->name)));
     json_object_object_add(body, "moves",
-                           json_object_new_boolean(table_drain_moves(request->service->table, request->name)));
+                           json_object_new_boolean(table_zone_is_moving(request->service->table, request->name)));
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
     /* whether protected work could still be restarted if this zone were empty */
     const PlanInput input = planner_input(request->service->scheduler, request->mem);
@@ -66,7 +66,7 @@
     const char *order = query_value(request->mem, request->task->query, "order");
     query_int(request->faults, request->task->query, "move", 0, 1, &move);
     query_int(request->faults, request->task->query, "after", 0, INT64_MAX, &after);
-    if (order != NULL && !check_name_text(order))
+    if (order != NULL && !is_valid_name(order))
         fault_add(request->faults, STATUS_BAD_FIELD, "?order", "must consist of letters, digits and ._:-");
     if (request->faults->count > 0)
         return false;
@@ -82,22 +82,22 @@
 static void add_newest_order(CallerRequest *request)
 {
     RepairItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
-    shape_pack(&ZoneDrain_shape, table_drain_newest(request->service->table, request->name), request->mem,
+    shape_pack(&ZoneDrain_shape, table_newest_drain(request->service->table, request->name), request->mem,
                &item.payload);
     request_add_repair_item(request, &item);
 }
 
 /* Whether the order is to be submitted. False: the order changes nothing, and the request has been answered. */
-static bool order_is_new(CallerRequest *request, DrainKnown known)
+static bool order_is_new(CallerRequest *request, DrainStatus known)
 {
     switch (known) {
     case DRAIN_NEW:
         return true;
-    case DRAIN_TAKEN:
+    case DRAIN_DELIVERED:
         add_newest_order(request);
         zone_show(request);
         return false;
-    case DRAIN_OVERTAKEN:
+    case DRAIN_SUPERSEDED:
         show_refusal(request->task, STATUS_STALE_ORDER,
                      "the order was not accepted: another order for this zone was accepted meanwhile", NULL);
         return false;
@@ -122,7 +122,7 @@
         return;
     }
     const Table *table = request->service->table;
-    if (!order_is_new(request, table_drain_known(table, &drain)))
+    if (!order_is_new(request, table_drain_status(table, &drain)))
         return;
     const int64_t clock_ms = replication_clock_ms(request->service->replication),
                   last_stamp = table_drain_stamp(table, request->name);
@@ -133,7 +133,7 @@
     if (result.status == STATUS_OK)
         zone_show(request);
     else
-        order_is_new(request, table_drain_known(table, &drain));
+        order_is_new(request, table_drain_status(table, &drain));
 }
 
 void zone_drain(CallerRequest *request)
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -26,7 +26,7 @@
     return task->phase == TASK_STOPPING &&
            (replication_clock_ms(controller->replication) - task->changed_ms > ORDER_GONE_MS ||
             (heartbeat->have_term == replication_led_term(controller->replication) &&
-             heartbeat->have == table_orders(controller->table, heartbeat->worker.name)));
+             heartbeat->have == table_orders_version(controller->table, heartbeat->worker.name)));
 }
 
 /* Builds updates for the attempts that the state table has on the worker and that the heartbeat's complete list lacks:
@@ -34,7 +34,7 @@
 static AttemptList missing_attempts(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
 {
     AttemptList list = {0};
-    const TaskOn *on;
+    const TaskOnWorker *on;
     const size_t count = table_tasks_on(controller->table, heartbeat->worker.name, &on);
     for (size_t i = 0; i < count; i++) {
         const Job *job = on[i].job;
@@ -221,14 +221,14 @@
     out->term = replication_led_term(controller->replication);
     if (!replication_lease_valid(controller->replication))
         return STATUS_NOT_LEADER;
-    if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
+    if (!is_valid_name(heartbeat->worker.name) || !is_valid_name(heartbeat->worker.zone))
         return STATUS_BAD_FIELD;
     const int64_t now_ms = loop_now_ms(controller->loop);
     const LiveRow *before = liveset_find(controller->liveset, heartbeat->worker.name);
     const bool was_ready = before != NULL && live_row_ready(before, now_ms) && !live_row_overdue(before, now_ms);
     const PreviousWorkerState previous = previous_worker_state(before, now_ms);
     bool list_usable;
-    const int64_t lease_ms = controller->settings->bounds.lease_ms;
+    const int64_t lease_ms = controller->settings->cluster_settings.lease_ms;
     const Status status = liveset_heartbeat(controller->liveset, heartbeat, now_ms, lease_ms, &list_usable);
     if (status != STATUS_OK)
         return status;
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -118,7 +118,7 @@
 static void task_alerts_check(Controller *controller)
 {
     Job *const *jobs;
-    const size_t count = table_active(controller->table, &jobs);
+    const size_t count = table_active_jobs(controller->table, &jobs);
     bool unassured = false, waits = false;
     for (size_t j = 0; j < count; j++)
         for (size_t t = 0; t < jobs[j]->tasks_count && jobs[j]->spec.protection == PROTECTION_PROTECTED; t++) {
@@ -153,7 +153,7 @@
         if (in_force_policy_failures(controller->in_force, &words) > 0)
             alert_raise(controller, ALERT_POLICY_FAILS, words);
         const char **zones;
-        const size_t zone_count = table_drains(controller->table, mem, &zones);
+        const size_t zone_count = table_drained_zones(controller->table, mem, &zones);
         for (size_t i = 0; i < zone_count; i++)
             alert_raise(controller, ALERT_ZONE_EMPTIED, zones[i]);
     }
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -77,25 +77,25 @@
     controller->rpc = rpc_new(controller, controller->loop, controller->recorder);
     controller->table = table_new(controller);
     controller->piece_source.mem = controller;
-    controller->repair_buffer = repair_buffer_new(controller, controller->loop, settings->bounds.retell_ms);
+    controller->repair_buffer = repair_buffer_new(controller, controller->loop, settings->cluster_settings.retell_ms);
     controller->liveset = liveset_new(controller);
     controller->orphans = orphans_new(controller);
     controller->in_force = in_force_new(controller, controller->loop, controller->recorder, controller->table);
     controller->scheduler = scheduling_new(controller);
     controller->alerts = map_new(controller);
     log_events_watch(controller);
-    const ReplicationSettings replication_settings = {.loop = controller->loop,
-                                                      .rpc = controller->rpc,
-                                                      .recorder = controller->recorder,
-                                                      .state = table_state(controller->table),
-                                                      .term_opened = log_opened,
-                                                      .term_opened_arg = controller,
-                                                      .losses = (int)settings->bounds.losses,
-                                                      .founding_mode = (FoundingMode)settings->bounds.founds,
-                                                      .longest_grant =
-                                                          !feature_on(&settings->bounds, FEATURE_ADAPTIVE_GRANT),
-                                                      .disks_durable = settings->bounds.disks_keep != 0,
-                                                      .voter_replacement_ms = settings->bounds.voter_back_ms};
+    const ReplicationSettings replication_settings = {
+        .loop = controller->loop,
+        .rpc = controller->rpc,
+        .recorder = controller->recorder,
+        .state = table_state(controller->table),
+        .term_opened = log_opened,
+        .term_opened_arg = controller,
+        .losses = (int)settings->cluster_settings.losses,
+        .founding_mode = (FoundingMode)settings->cluster_settings.founds,
+        .longest_grant = !feature_enabled(&settings->cluster_settings, FEATURE_ADAPTIVE_GRANT),
+        .disks_durable = settings->cluster_settings.disks_keep != 0,
+        .voter_replacement_ms = settings->cluster_settings.voter_back_ms};
     controller->replication = replication_new(controller, &replication_settings);
 }
 
@@ -148,7 +148,7 @@
             .rpc = controller->rpc,
             .in_force = controller->in_force,
             .scheduler = controller->scheduler,
-            .bounds = &settings->bounds,
+            .cluster_settings = &settings->cluster_settings,
             .callbacks = {.arg = controller, .repairing = repairing, .status = status_show, .alerts = alerts_json}});
     controller->forwarder =
         forwarder_new(controller, &(ForwarderSettings){.loop = controller->loop,
@@ -159,8 +159,8 @@
                                                        .leads = leads,
                                                        .serve = serve,
                                                        .arg = controller,
-                                                       .leader_wait_ms = settings->bounds.leader_wait_ms,
-                                                       .outcome_wait_ms = settings->bounds.outcome_wait_ms});
+                                                       .leader_wait_ms = settings->cluster_settings.leader_wait_ms,
+                                                       .outcome_wait_ms = settings->cluster_settings.outcome_wait_ms});
     controller->config_watch = config_watch_new(controller, controller->loop, controller->rpc,
                                                 forwarder_leader_route(controller->forwarder), controller->trace);
 }
@@ -204,7 +204,7 @@
 void controller_drain(Controller *controller)
 {
     const int64_t now_ms = loop_now_ms(controller->loop),
-                  until_ms = now_ms + controller->settings->bounds.grace_ms - DRAIN_MARGIN_MS;
+                  until_ms = now_ms + controller->settings->cluster_settings.grace_ms - DRAIN_MARGIN_MS;
     controller->leaving = true;
     loop_serve_leave(controller->loop);
     members_set_leaving(controller->members);
@@ -214,12 +214,12 @@
         replication_barrier(controller->replication);
     replication_leave(controller->replication, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* Requests are still accepted, and forwarded to the next leader, until the end. */
-    const int64_t unready_until_ms = now_ms + controller->settings->bounds.unready_ms;
+    const int64_t unready_until_ms = now_ms + controller->settings->cluster_settings.unready_ms;
     if (loop_now_ms(controller->loop) < unready_until_ms)
         loop_sleep(controller->loop, unready_until_ms - loop_now_ms(controller->loop));
     while (loop_serve_busy(controller->loop) > 0 && loop_now_ms(controller->loop) < until_ms)
         loop_sleep(controller->loop, DRAIN_CHECK_MS);
-    if (controller->settings->bounds.disks_keep == 0)
+    if (controller->settings->cluster_settings.disks_keep == 0)
         (void)repair_transfer(controller->repair_buffer, controller->loop, controller->rpc, controller->members,
                               until_ms);
 }
--- a/packages/controller/src/http.c
+++ b/packages/controller/src/http.c
@@ -44,7 +44,7 @@
     show_metric(task, "planHolds", scheduler_plan(controller->scheduler)->possible);
     alert_metrics_show(controller, task);
     Job *const *jobs;
-    show_metric(task, "jobsActive", (int64_t)table_active(controller->table, &jobs));
+    show_metric(task, "jobsActive", (int64_t)table_active_jobs(controller->table, &jobs));
     show_metric(task, "jobsKnown", (int64_t)table_jobs(controller->table, &jobs));
     const SchedulerCounts *scheduler = scheduler_counts(controller->scheduler);
     const CallerServiceCounts *callers = caller_service_counts(controller->callers);
--- a/packages/controller/src/job_retention.c
+++ b/packages/controller/src/job_retention.c
@@ -12,13 +12,13 @@
 {
     Controller *controller = arg;
     while (!loop_stopping(controller->loop)) {
-        const int64_t keep_ms = controller->settings->bounds.job_keep_ms;
+        const int64_t keep_ms = controller->settings->cluster_settings.job_keep_ms;
         loop_sleep(controller->loop,
                    keep_ms / CHECKS_PER_RETENTION > FORGET_MS ? keep_ms / CHECKS_PER_RETENTION : FORGET_MS);
         if (!controller_may_decide(controller))
             continue;
         const Forget forget = {replication_clock_ms(controller->replication) - keep_ms};
-        if (table_oldest_ms(controller->table) >= forget.before_ms)
+        if (table_oldest_droppable_ms(controller->table) >= forget.before_ms)
             continue;
         void *mem = talloc_new(controller);
         ChangeResult result;
--- a/packages/controller/src/leader.c
+++ b/packages/controller/src/leader.c
@@ -37,5 +37,5 @@
 
 int64_t controller_claim_ms(const Controller *controller)
 {
-    return lease_claim_ms(controller->settings->bounds.lease_ms);
+    return lease_claim_ms(controller->settings->cluster_settings.lease_ms);
 }
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -92,5 +92,5 @@
 void log_events_watch(Controller *controller)
 {
     table_watch(controller->table, on_delivered, controller);
-    table_left_watch(controller->table, on_attempt_left, controller);
+    table_watch_taken_tasks(controller->table, on_attempt_left, controller);
 }
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -38,7 +38,7 @@
 void orders_start(Controller *controller)
 {
     controller->agent_sessions = map_new(controller);
-    table_orders_watch(controller->table, on_orders, controller);
+    table_watch_orders(controller->table, on_orders, controller);
 }
 
 static bool is_listed(const AttemptId *list, size_t count, const char *job, uint64_t task, uint64_t attempt)
@@ -53,7 +53,7 @@
  * texts belong to the state table: the answer must be packed before anything else is delivered. */
 static void orders_list(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
 {
-    const TaskOn *on;
+    const TaskOnWorker *on;
     const size_t count = table_tasks_on(controller->table, heartbeat->worker.name, &on);
     out->wanted = talloc_array(mem, AttemptId, (unsigned)count);
     out->starts = talloc_array(mem, Order, (unsigned)count);
@@ -80,7 +80,7 @@
     const LiveRow *row = liveset_find(controller->liveset, heartbeat->worker.name);
     return replication_leading(controller->replication) && !controller->repairing && row != NULL &&
            row->incarnation == heartbeat->incarnation && !row->loss_pending &&
-           (table_orders(controller->table, heartbeat->worker.name) != heartbeat->have ||
+           (table_orders_version(controller->table, heartbeat->worker.name) != heartbeat->have ||
             replication_led_term(controller->replication) != heartbeat->have_term);
 }
 
@@ -97,7 +97,7 @@
     if (!controller_may_decide(controller))
         return;
     out->orders = true;
-    out->version = table_orders(controller->table, heartbeat->worker.name);
+    out->version = table_orders_version(controller->table, heartbeat->worker.name);
     out->timeout_ms = ORDER_LIFETIME_MS;
     orders_list(controller, mem, heartbeat, out);
 }
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -128,7 +128,7 @@
                versions_newest(table_versions(table)) >= version_of(&set);
     case CHANGE_ZONE_DRAIN:
         return shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) != STATUS_OK ||
-               table_drain_stamp(table, drain.zone) >= drain.stamp || table_drain_known(table, &drain) != DRAIN_NEW;
+               table_drain_stamp(table, drain.zone) >= drain.stamp || table_drain_status(table, &drain) != DRAIN_NEW;
     case CHANGE_JOB_END: {
         if (shape_unpack(&JobEnd_shape, item->payload, mem, &end, NULL) != STATUS_OK)
             return true;
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -59,7 +59,7 @@
                                                           .table = controller->table,
                                                           .liveset = controller->liveset,
                                                           .orphans = controller->orphans,
-                                                          .bounds = &controller->settings->bounds,
+                                                          .cluster_settings = &controller->settings->cluster_settings,
                                                           .leader = {.arg = controller,
                                                                      .leads = leads,
                                                                      .decides = decides,
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -146,7 +146,7 @@
     json_object *plan = json_object_new_object();
     const Config *config = in_force_config(controller->in_force);
     Job *const *jobs;
-    const size_t count = table_active(controller->table, &jobs);
+    const size_t count = table_active_jobs(controller->table, &jobs);
     int64_t assured = 0, unassured = 0, waiting = 0;
     for (size_t j = 0; j < count; j++)
         for (size_t t = 0; t < jobs[j]->tasks_count; t++) {
@@ -233,7 +233,7 @@
     json_object_object_add(body, "liveset", show_liveset(controller, mem));
     json_object_object_add(body, "members", show_members(controller));
     const char **zones;
-    const size_t zone_count = table_drains(controller->table, mem, &zones);
+    const size_t zone_count = table_drained_zones(controller->table, mem, &zones);
     json_object *drained = json_object_new_array();
     for (size_t i = 0; i < zone_count; i++)
         json_object_array_add(drained, json_text(zones[i]));
--- a/packages/controller/src/trace_delivered.c
+++ b/packages/controller/src/trace_delivered.c
@@ -25,7 +25,7 @@
     for (size_t i = 0; i < attempts->updates_count; i++) {
         const AttemptUpdate *update = &attempts->updates[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", update->task, update->attempt,
-                 attempt_word(update->word));
+                 attempt_status_name(update->word));
         trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", update->job);
     }
 }
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -171,15 +171,15 @@
                           .incarnation = (uint64_t)loop_wall_ms(entry_point->loop)};
 }
 
-static Forwarder *entry_point_forwarder(EntryPoint *entry_point, const Bounds *bounds)
+static Forwarder *entry_point_forwarder(EntryPoint *entry_point, const ClusterSettings *cluster_settings)
 {
     const ForwarderSettings settings = {.loop = entry_point->loop,
                                         .rpc = entry_point->rpc,
                                         .members = entry_point->members,
                                         .repair_buffer = entry_point->repair_buffer,
                                         .trace = entry_point->trace,
-                                        .leader_wait_ms = bounds->leader_wait_ms,
-                                        .outcome_wait_ms = bounds->outcome_wait_ms};
+                                        .leader_wait_ms = cluster_settings->leader_wait_ms,
+                                        .outcome_wait_ms = cluster_settings->outcome_wait_ms};
     return forwarder_new(entry_point, &settings);
 }
 
@@ -189,11 +189,11 @@
     EntryPoint *entry_point = talloc_zero(mem, EntryPoint);
     entry_point->loop = loop;
     entry_point->recorder = recorder;
-    entry_point->grace_ms = settings->bounds.grace_ms;
-    entry_point->unready_ms = settings->bounds.unready_ms;
-    entry_point->disks_keep = settings->bounds.disks_keep != 0;
+    entry_point->grace_ms = settings->cluster_settings.grace_ms;
+    entry_point->unready_ms = settings->cluster_settings.unready_ms;
+    entry_point->disks_keep = settings->cluster_settings.disks_keep != 0;
     entry_point->rpc = rpc_new(entry_point, loop, recorder);
-    entry_point->repair_buffer = repair_buffer_new(entry_point, loop, settings->bounds.retell_ms);
+    entry_point->repair_buffer = repair_buffer_new(entry_point, loop, settings->cluster_settings.retell_ms);
     Status status = rpc_listen(entry_point->rpc, settings->listen, entry_point->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, settings->http, on_http, entry_point, entry_point->http, failure);
@@ -202,13 +202,13 @@
     const MemberRecord self = self_record(entry_point, settings);
     entry_point->members = members_new(entry_point, loop, entry_point->rpc, recorder, &self, settings->seeds);
     entry_point->trace = trace_new(entry_point, loop, entry_point->rpc, entry_point->members, settings->name);
-    entry_point->forwarder = entry_point_forwarder(entry_point, &settings->bounds);
+    entry_point->forwarder = entry_point_forwarder(entry_point, &settings->cluster_settings);
     entry_point->config_watch = config_watch_new(entry_point, loop, entry_point->rpc,
                                                  forwarder_leader_route(entry_point->forwarder), entry_point->trace);
     rpc_handle(entry_point->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, entry_point);
     rpc_handle(entry_point->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, entry_point);
     rpc_handle(entry_point->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, entry_point);
-    members_set_voter(entry_point->members, settings->bounds.founds == 1);
+    members_set_voter(entry_point->members, settings->cluster_settings.founds == 1);
     members_start(entry_point->members);
     forwarder_start(entry_point->forwarder);
     config_watch_start(entry_point->config_watch, NULL, NULL);
--- a/packages/heartbeat/test/orphans.c
+++ b/packages/heartbeat/test/orphans.c
@@ -1,13 +1,13 @@
 /* Tests of orphaned attempts: the capacity used by attempts that the table places elsewhere or nowhere but that may
  * still run. */
-#include "../../state/test/board.h"
+#include "../../state/test/table_fixture.h"
 #include "heartbeat/orphans.h"
 
 #define UNTIL_MS 5000
 
 /* The fixture: a job of two tasks, and the leader's list of orphaned attempts, which follows changes of the table. */
 typedef struct Case {
-    Board board;
+    TableFixture board;
     Orphans *orphans;
     const Job *job;
 } Case;
@@ -21,9 +21,9 @@
 {
     static StepSpec step = {.name = "a", .count = 2, .resources = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
     Case *fixture = talloc_zero(NULL, Case);
-    fixture->board = board_new();
+    fixture->board = table_fixture_new();
     fixture->orphans = orphans_new(fixture->board.table);
-    table_left_watch(fixture->board.table, on_left, fixture->orphans);
+    table_watch_taken_tasks(fixture->board.table, on_left, fixture->orphans);
     const JobSpec spec = spec_of("j", &step, 1);
     fixture->job = job_add(&fixture->board, &spec, (JobTerms){.kind = ""});
     *state = fixture;
--- a/packages/inforce/include/inforce/in_force.h
+++ b/packages/inforce/include/inforce/in_force.h
@@ -32,7 +32,7 @@
 typedef struct CheckedConfig {
     struct CheckedConfig *next; /* set by checked_config_add, as loads is */
     ConfigSet set;
-    uint64_t loads;       /* table_loads when the configuration was checked */
+    uint64_t loads;       /* table_load_count when the configuration was checked */
     const Config *config; /* ownership passes to in_force_config */
 } CheckedConfig;
 
--- a/packages/inforce/src/in_force.c
+++ b/packages/inforce/src/in_force.c
@@ -14,11 +14,12 @@
     Recorder *recorder;
     const Table *table;
     const Config *config;        /* the table's newest version that could be parsed; null: not requested yet */
-    uint64_t loads;              /* table_loads when config was parsed */
+    uint64_t loads;              /* table_load_count when config was parsed */
     uint64_t stamp;              /* grows with each new config */
     uint64_t unreadable_version; /* a version that cannot be parsed; UINT64_MAX: none */
     CheckedConfig *checked;      /* list of the configurations that are being committed */
-    uint64_t limits_version, limits_loads; /* version of the limits applied in this process, and table_loads then */
+    uint64_t limits_version,
+        limits_loads; /* version of the limits applied in this process, and table_load_count then */
 };
 
 InForce *in_force_new(void *mem, Loop *loop, Recorder *recorder, const Table *table)
@@ -41,7 +42,7 @@
 {
     const Versions *versions = table_versions(in_force->table);
     if (versions_newest(versions) == 0)
-        return document_parse(config_first_text());
+        return document_parse(config_default_text());
     const bool have = same_load && in_force->config != NULL && in_force->config->version > 0;
     return versions_tree(versions, have ? in_force->config->tree : NULL, have ? in_force->config->version : 0);
 }
@@ -62,7 +63,7 @@
                        faults->list[0].text);
         in_force->unreadable_version = version;
         if (in_force->config == NULL) {
-            const char *first = config_first_text();
+            const char *first = config_default_text();
             config = config_read(in_force, first, strlen(first), 0, faults);
         }
     }
@@ -77,7 +78,7 @@
     for (CheckedConfig *candidate = in_force->checked; candidate != NULL; candidate = candidate->next)
         if (candidate->config != NULL && candidate->set.version == newest->version &&
             candidate->set.base == newest->base && candidate->set.patch == newest->patch &&
-            candidate->loads == table_loads(in_force->table) && strcmp(candidate->set.text, newest->text) == 0) {
+            candidate->loads == table_load_count(in_force->table) && strcmp(candidate->set.text, newest->text) == 0) {
             const Config *config = talloc_steal(in_force, candidate->config);
             candidate->config = NULL;
             return config;
@@ -88,7 +89,7 @@
 const Config *in_force_config(InForce *in_force)
 {
     const Versions *versions = table_versions(in_force->table);
-    const uint64_t version = versions_newest(versions), loads = table_loads(in_force->table);
+    const uint64_t version = versions_newest(versions), loads = table_load_count(in_force->table);
     const bool same_load = in_force->loads == loads;
     if (in_force->config != NULL && same_load &&
         (in_force->config->version == version || in_force->unreadable_version == version))
@@ -108,7 +109,7 @@
 
 void checked_config_add(InForce *in_force, CheckedConfig *checked)
 {
-    checked->loads = table_loads(in_force->table);
+    checked->loads = table_load_count(in_force->table);
     checked->next = in_force->checked;
     in_force->checked = checked;
 }
@@ -124,7 +125,7 @@
 void in_force_limits_apply(InForce *in_force)
 {
     const Versions *versions = table_versions(in_force->table);
-    const uint64_t newest = versions_newest(versions), loads = table_loads(in_force->table);
+    const uint64_t newest = versions_newest(versions), loads = table_load_count(in_force->table);
     if (newest == 0 || (newest == in_force->limits_version && loads == in_force->limits_loads))
         return;
     in_force->limits_version = newest;
--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -40,7 +40,7 @@
     uint64_t number;
     TaskName name;
     uint64_t attempt;
-    AttemptWord word;
+    AttemptStatus word;
     const char *saved;
 } WorkerModelEnded;
 
--- a/packages/model/src/job_records.h
+++ b/packages/model/src/job_records.h
@@ -54,7 +54,7 @@
     Map *by_id;
     JobRecord **jobs;
     size_t count;
-    size_t starts, kinds[ATTEMPT_WORD_COUNT];
+    size_t starts, kinds[ATTEMPT_STATUS_COUNT];
 } JobRecords;
 
 JobRecords *job_records_new(void *mem, Topology *topology);
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -166,7 +166,8 @@
 {
     Topology *topology = worker_model->worker_models->topology;
     topology_log(topology, &end->reported.name, "round %" PRIu64 " %s on %s is noted%s", end->reported.attempt,
-                 attempt_word(end->reported.word), worker_model->boot, end->lapsed_since ? ", its hold was over" : "");
+                 attempt_status_name(end->reported.word), worker_model->boot,
+                 end->lapsed_since ? ", its hold was over" : "");
     if (end->task == NULL || end->lapsed_since)
         return;
     JobRecord *job = end->task->job;
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -92,7 +92,7 @@
 /* Drops the run from all lists without an end. */
 void worker_model_run_drop(WorkerModelRun *run);
 /* The run has ended so; the end is listed until it is acknowledged. */
-void worker_model_run_end(WorkerModelRun *run, AttemptWord word);
+void worker_model_run_end(WorkerModelRun *run, AttemptStatus word);
 /* A task of its process: acts on what is due. */
 void worker_model_work_main(void *arg);
 /* Takes the answer to a heartbeat that was sent at sent_ms by the worker's clock. */
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -55,7 +55,7 @@
 }
 
 static void end_add(WorkerModel *worker_model, TaskRecord *task, const TaskName *name, uint64_t attempt,
-                    AttemptWord word, const char *saved)
+                    AttemptStatus word, const char *saved)
 {
     worker_model->ends =
         talloc_realloc(worker_model->mem, worker_model->ends, WorkerModelEnd, (unsigned)(worker_model->end_count + 1));
@@ -64,12 +64,12 @@
     highest_set(worker_model, name, attempt);
     worker_model->worker_models->records->kinds[word]++;
     topology_log(worker_model->worker_models->topology, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt,
-                 attempt_word(word), worker_model->boot, saved);
+                 attempt_status_name(word), worker_model->boot, saved);
     worker_model->update_open = true;
     signal_raise(worker_model->loop, &worker_model->updates);
 }
 
-void worker_model_run_end(WorkerModelRun *run, AttemptWord word)
+void worker_model_run_end(WorkerModelRun *run, AttemptStatus word)
 {
     WorkerModel *worker_model = run->worker_model;
     TaskRecord *task = run->task;
@@ -92,7 +92,7 @@
 }
 
 /* One member has ended so: the others end as told. */
-static void worker_group_end(WorkerModelRun *first, AttemptWord word, AttemptWord others)
+static void worker_group_end(WorkerModelRun *first, AttemptStatus word, AttemptStatus others)
 {
     WorkerModelRun *members[sizeof(first->worker_group->members) / sizeof(first->worker_group->members[0])];
     WorkerGroup *worker_group = first->worker_group;
--- a/packages/plan/src/cheap_bound.c
+++ b/packages/plan/src/cheap_bound.c
@@ -91,7 +91,7 @@
         group->all[i] &= other->all[i];
         group->lost[i] += other->lost[i];
     }
-    group->biggest = resources_largest(group->biggest, other->biggest);
+    group->biggest = resources_max(group->biggest, other->biggest);
 }
 
 bool plan_cheap_bound(const PlanInput *input)
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -37,7 +37,7 @@
 {
     Resources largest = {0};
     for (size_t i = 0; i < count; i++)
-        largest = resources_largest(largest, workers[i].resources);
+        largest = resources_max(largest, workers[i].resources);
     return largest;
 }
 
@@ -74,10 +74,10 @@
     Resources *preemptible = &input->preemptible[task->cell * input->worker_count];
     for (size_t i = 0; i < input->worker_count; i++) {
         PlanWorker *worker = &input->workers[i];
-        const Resources resources = resources_more(worker->free, preemptible[i]);
+        const Resources resources = resources_add(worker->free, preemptible[i]);
         if (lost[i] || !resources_fits(task->need.resources, resources) || !plan_meets_constraints(worker, &task->need))
             continue;
-        preemptible[i] = resources_less(preemptible[i], resources_less(task->need.resources, worker->free));
+        preemptible[i] = resources_subtract(preemptible[i], resources_subtract(task->need.resources, worker->free));
         return (int)i;
     }
     return -1;
@@ -118,7 +118,7 @@
         where[sized[i].task] = at;
         all = at >= 0;
         if (all)
-            input->workers[at].free = resources_less(input->workers[at].free, task->need.resources);
+            input->workers[at].free = resources_subtract(input->workers[at].free, task->need.resources);
     }
     talloc_free(sized);
     return all;
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -26,7 +26,7 @@
 {
     for (size_t i = 0; i < input->task_count; i++) {
         PlanWorker *worker = &input->workers[input->tasks[i].worker];
-        worker->free = resources_less(worker->free, input->tasks[i].need.resources);
+        worker->free = resources_subtract(worker->free, input->tasks[i].need.resources);
     }
 }
 
@@ -169,7 +169,7 @@
             }
             if (!plan_fits(&workers[one.worker], &one.need))
                 continue;
-            workers[one.worker].free = resources_less(workers[one.worker].free, one.need.resources);
+            workers[one.worker].free = resources_subtract(workers[one.worker].free, one.need.resources);
             tasks[input.task_count++] = one;
             if (draw(&seed, 4) == 0)
                 break;
--- a/packages/plan/tool/bench.c
+++ b/packages/plan/tool/bench.c
@@ -34,7 +34,7 @@
         input.tasks[i] =
             (PlanTask){{{500 + 500 * (i % 4), 512 + 512 * (i % 3), 0}, "", NULL, 0}, i % workers, PLAN_NO_CELL};
         PlanWorker *worker = &input.workers[i % workers];
-        worker->free = resources_less(worker->free, input.tasks[i].need.resources);
+        worker->free = resources_subtract(worker->free, input.tasks[i].need.resources);
     }
     const double start = seconds();
     bool possible = true;
--- a/packages/policy/src/lua.c
+++ b/packages/policy/src/lua.c
@@ -42,7 +42,7 @@
     text_field(lua, "queue", spec->queue);
     text_field(lua, "step", context->step->name);
     text_field(lua, "kind", context->step->kind);
-    text_field(lua, "protection", protection_word(spec->protection));
+    text_field(lua, "protection", protection_name(spec->protection));
     number_field(lua, "priority", (double)spec->priority);
     number_field(lua, "queue_priority", (double)context->queue_priority);
     number_field(lua, "number", (double)context->job->number);
--- a/packages/queue/src/next.c
+++ b/packages/queue/src/next.c
@@ -10,14 +10,14 @@
 /* What all tasks of the candidate need together. */
 static Resources resources_of(const Candidate *candidate)
 {
-    return resources_times(candidate_step(candidate)->resources, candidate->count);
+    return resources_multiply(candidate_step(candidate)->resources, candidate->count);
 }
 
 /* What the cell or tenant would use with the candidate, in millionths of the fleet. */
 static uint64_t usage_with(const ReadyQueue *ready, Account *account, const Candidate *candidate)
 {
     const Resources resources =
-        resources_more(*account_usage(ready->queue, ready->context, account), resources_of(candidate));
+        resources_add(*account_usage(ready->queue, ready->context, account), resources_of(candidate));
     return share_millionths(resources, ready->context->fleet);
 }
 
@@ -129,7 +129,7 @@
 static void account_add(ReadyQueue *ready, Account *account, Resources more)
 {
     Resources *used = account_usage(ready->queue, ready->context, account);
-    *used = resources_more(*used, more);
+    *used = resources_add(*used, more);
 }
 
 void ready_queue_placed(ReadyQueue *ready)
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -43,7 +43,7 @@
 
 uint64_t share_millionths(Resources resources, Resources fleet)
 {
-    return resources_part(resources, fleet, MILLIONTHS);
+    return resources_scaled_share(resources, fleet, MILLIONTHS);
 }
 
 /* Drops entries that neither this generation nor the previous one has used. */
@@ -91,14 +91,14 @@
         const Resources *unconfirmed =
             context->unconfirmed != NULL ? map_get(context->unconfirmed, account->key) : NULL;
         if (unconfirmed != NULL)
-            account->used = resources_more(account->used, *unconfirmed);
+            account->used = resources_add(account->used, *unconfirmed);
     }
     return &account->used;
 }
 
 bool quota_allows(Queue *queue, const QueueContext *context, const CachedJob *cached, Resources more)
 {
-    const Resources use = resources_more(*account_usage(queue, context, cached->tenant_account), more);
+    const Resources use = resources_add(*account_usage(queue, context, cached->tenant_account), more);
     return (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&
            (cached->quota.mem_mb == 0 || use.mem_mb <= cached->quota.mem_mb) &&
            (cached->quota.gpu == 0 || use.gpu <= cached->quota.gpu);
--- a/packages/queue/src/ready_queue.c
+++ b/packages/queue/src/ready_queue.c
@@ -109,7 +109,7 @@
             continue;
         const size_t members = step->gang ? ready_member_count(ready, job, first, end) : 1;
         if (members == 0 ||
-            !quota_allows(ready->queue, ready->context, cached, resources_times(step->resources, members)))
+            !quota_allows(ready->queue, ready->context, cached, resources_multiply(step->resources, members)))
             return;
         ready_step_add(ready, cached, end, candidate_new(ready, cached, at, members, target, restart != 0));
         if (step->gang)
@@ -133,7 +133,7 @@
     const Resources wave_capacity = {wave_limit(ready->wave_capacity.cpu_milli, cached->quota.cpu_milli),
                                      wave_limit(ready->wave_capacity.mem_mb, cached->quota.mem_mb),
                                      wave_limit(ready->wave_capacity.gpu, cached->quota.gpu)};
-    if (cached->estimates_stamp != stamp || !resources_same(cached->wave_capacity, wave_capacity))
+    if (cached->estimates_stamp != stamp || !resources_equal(cached->wave_capacity, wave_capacity))
         target_compute(cached->job, 0, queue_estimates(ready->queue), wave_capacity, &cached->target);
     cached->estimates_stamp = stamp;
     cached->wave_capacity = wave_capacity;
@@ -191,7 +191,7 @@
     ready->next_ms = INT64_MAX;
     ready->wave_capacity = wave_capacity_of(context->fleet);
     Job *const *jobs;
-    const size_t job_count = table_active(context->table, &jobs);
+    const size_t job_count = table_active_jobs(context->table, &jobs);
     queue_generation_begin(queue, job_count);
     for (size_t j = 0; j < job_count; j++)
         job_add(ready, jobs[j]);
@@ -211,7 +211,7 @@
 
 bool ready_queue_rank(const ReadyQueue *ready, const Job *job, size_t task, double *rank)
 {
-    const size_t first = task_first(job, &job->tasks[task]);
+    const size_t first = task_first_of_step(job, &job->tasks[task]);
     for (size_t i = 0; i < ready->count; i++) {
         const Candidate *candidate = &ready->steps[i].candidate;
         if (candidate->job != job || candidate->first < first || ready->steps[i].end <= task)
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -67,12 +67,12 @@
         return WAIT_STEPS;
     if (clock.log_ms < job_task->rest_until_ms)
         return WAIT_REST;
-    const size_t first = task_first(job, job_task);
+    const size_t first = task_first_of_step(job, job_task);
     uint64_t waiting_members = step->gang ? 0 : 1;
     for (size_t i = first; i < first + step->count && step->gang; i++) {
         if (job->tasks[i].phase != TASK_WAITING && !task_ended(job->tasks[i].phase))
             return WAIT_GANG;
         waiting_members += job->tasks[i].phase == TASK_WAITING;
     }
-    return resources_fits(resources_times(step->resources, waiting_members), left) ? WAIT_READY : WAIT_QUOTA;
+    return resources_fits(resources_multiply(step->resources, waiting_members), left) ? WAIT_READY : WAIT_QUOTA;
 }
--- a/packages/queue/test/latency_targets.c
+++ b/packages/queue/test/latency_targets.c
@@ -1,6 +1,6 @@
 /* Tests of the order in which work is placed: latency targets, occurrences of timed jobs, estimates, shares and
  * quotas. */
-#include "../../state/test/board.h"
+#include "../../state/test/table_fixture.h"
 #include "queue/ready_queue.h"
 
 #define CPU 1000
@@ -28,7 +28,7 @@
     return (JobTerms){.stretch_milli = stretch_milli, .target_ms = target_ms, .priority = priority, .kind = ""};
 }
 
-static const Job *add(Board *board, const char *id, uint64_t est_ms, JobTerms terms)
+static const Job *add(TableFixture *board, const char *id, uint64_t est_ms, JobTerms terms)
 {
     StepSpec one = step("a", 1, est_ms);
     const JobSpec spec = spec_of(id, &one, 1);
@@ -36,7 +36,7 @@
 }
 
 /* The first letters of the job ids, in the order in which the tasks are placed; at most so many as most. */
-static const char *order_in(Board *board, const char *text, int64_t log_ms, size_t most)
+static const char *order_in(TableFixture *board, const char *text, int64_t log_ms, size_t most)
 {
     void *mem = talloc_new(board->table);
     Faults faults = {.mem = mem};
@@ -59,7 +59,7 @@
     return order;
 }
 
-static const char *order_of(Board *board, int64_t log_ms)
+static const char *order_of(TableFixture *board, int64_t log_ms)
 {
     return order_in(board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}", log_ms, 100);
 }
@@ -68,7 +68,7 @@
 static void nearer_target_first(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add(&board, "a", 6000, targets(2200, 2000, 0));
     add(&board, "b", 1000, targets(1500, 500, 0));
     add(&board, "c", 1000, targets(1500, 500, 0));
@@ -82,7 +82,7 @@
 static void late_goes_behind(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add(&board, "x", 1000, targets(1000, 1000, 0)); /* target 2 s: no value after 6 s */
     board.at_ms = 4000;
     add(&board, "y", 1000, targets(1000, 1000, 0)); /* its target is missed at 7 s */
@@ -96,7 +96,7 @@
 static void higher_priority_first(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add(&board, "b", 1000, targets(1000, 1000, 0));
     add(&board, "u", 1000, targets(1000, 1000, 1));
     assert_string_equal(order_of(&board, 1000), "ub");
@@ -107,7 +107,7 @@
 static void turn_starts_when_due(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     StepSpec one = step("a", 1, 1000);
     JobSpec spec = spec_of("t", &one, 1);
     spec.turns = 3;
@@ -126,7 +126,7 @@
 static void chain_to_come_counts(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add(&board, "s", 1000, targets(0, 10000, 0));
     StepSpec two[] = {step("a", 1, 4000), step("b", 1, 4000)};
     const char *after[] = {"a"};
@@ -147,7 +147,7 @@
 static void wide_step_counts_in_waves(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     StepSpec wide = step("a", 30, 1000);
     const JobSpec spec = spec_of("w", &wide, 1);
     const Job *job = job_add(&board, &spec, targets(2000, 0, 0));
@@ -162,7 +162,7 @@
 static void estimates_follow_the_median(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     const Job *job = add(&board, "a", 1000, targets(1000, 0, 0));
     Estimates *estimates = estimates_new(board.table);
     assert_int_equal(estimate_ms(estimates, job, 0), 1000);
@@ -185,7 +185,7 @@
 static void oldest_of_the_worthless_first(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add(&board, "a", 100, targets(1000, 100, 0));
     board.at_ms = 9000;
     add(&board, "b", 100, targets(1000, 100, 0));
@@ -193,7 +193,7 @@
     talloc_free(board.table);
 }
 
-static void add_for(Board *board, const char *id, const char *cell, const char *tenant, uint64_t count)
+static void add_for(TableFixture *board, const char *id, const char *cell, const char *tenant, uint64_t count)
 {
     StepSpec single_step = step("a", count, 0);
     JobSpec spec = spec_of(id, &single_step, 1);
@@ -206,7 +206,7 @@
 static void cells_by_shares_tenants_in_turns(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add_for(&board, "a", "c", "t", 6);
     add_for(&board, "b", "c", "u", 6);
     add_for(&board, "x", "d", "t", 9);
@@ -224,7 +224,7 @@
 static void tenants_by_weight(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add_for(&board, "a", "c", "t", 9);
     add_for(&board, "b", "c", "u", 9);
     assert_string_equal(
@@ -241,7 +241,7 @@
 static void over_quota_is_not_offered(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add_for(&board, "a", "c", "t", 9);
     add_for(&board, "b", "c", "t", 9);
     add_for(&board, "x", "c", "u", 4);
@@ -258,7 +258,7 @@
 static void quota_makes_waves(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     StepSpec wide = step("a", 12, 1000);
     const JobSpec spec = spec_of("w", &wide, 1);
     job_add(&board, &spec, targets(2000, 1000, 0));
@@ -277,7 +277,7 @@
 static void stuck_step_is_passed_by(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     add_for(&board, "a", "c", "t", 3);
     add_for(&board, "b", "c", "t", 2);
     void *mem = talloc_new(board.table);
@@ -304,7 +304,7 @@
 static void gang_starts_as_one(void **state)
 {
     (void)state;
-    Board board = board_new();
+    TableFixture board = table_fixture_new();
     StepSpec gang = step("a", 3, 0);
     gang.gang = true;
     const JobSpec spec = spec_of("g", &gang, 1);
--- a/packages/routing/src/config_watch.c
+++ b/packages/routing/src/config_watch.c
@@ -189,11 +189,11 @@
  * patch with another base, the oldest whole document. */
 static size_t repair_first_row(const Versions *versions, uint64_t have)
 {
-    size_t from = versions->whole;
+    size_t from = versions->first_text;
     while (from < versions->count && versions->rows[from].version <= have)
         from++;
     const bool needs_more = from < versions->count && versions->rows[from].patch && versions->rows[from].base != have;
-    return needs_more ? versions->whole : from;
+    return needs_more ? versions->first_text : from;
 }
 
 void config_watch_repair_items(const ConfigWatch *config_watch, void *mem, uint64_t have, RepairList *list)
--- a/packages/routing/src/config_watch_answer.c
+++ b/packages/routing/src/config_watch_answer.c
@@ -15,7 +15,7 @@
     size_t bytes = 0;
     while (from > 0 && versions->rows[from - 1].version > have)
         bytes += strlen(versions->rows[--from].text);
-    const bool known = from > 0 && versions->rows[from - 1].version == have && from >= versions->whole;
+    const bool known = from > 0 && versions->rows[from - 1].version == have && from >= versions->first_text;
     if (!known || bytes > max_bytes)
         return false;
     answer->sets_count = versions->count - from;
@@ -28,7 +28,7 @@
 /* Adds the newest document to the answer. Returns false and adds nothing if it may take more than max_bytes. */
 static bool whole_document(const Versions *versions, size_t max_bytes, void *mem, ConfigWatchAnswer *answer)
 {
-    if (versions_size(versions) > max_bytes)
+    if (versions_newest_size_max(versions) > max_bytes)
         return false;
     const Version *newest = &versions->rows[versions->count - 1];
     answer->sets = talloc(mem, ConfigSet);
@@ -56,7 +56,7 @@
         return false;
     answer->version = newest;
     answer->limits = *versions_limits(versions);
-    answer->size = versions_size(versions);
+    answer->size = versions_newest_size_max(versions);
     const size_t max_bytes = max_bytes_at_once(ask);
     if (!ask->brief) /* the requester has an earlier release */
         answer->text = versions_text(versions, mem, newest);
--- a/packages/scheduler/include/scheduler/scheduler.h
+++ b/packages/scheduler/include/scheduler/scheduler.h
@@ -5,7 +5,7 @@
 #include "heartbeat/liveset.h"
 #include "heartbeat/orphans.h"
 #include "plan/plan.h"
-#include "settings/bounds.h"
+#include "settings/cluster_settings.h"
 #include "queue/ready_queue.h"
 
 /* The leader's scheduler: decides which task runs on which worker, which workers are lost, and which attempts are
@@ -51,7 +51,7 @@
     const Table *table; /* read only */
     Liveset *liveset;   /* the scheduler marks a worker in it while the worker's loss is being committed */
     Orphans *orphans;   /* the scheduler adds attempts that it gives up while their worker is silent */
-    const Bounds *bounds;
+    const ClusterSettings *cluster_settings;
     SchedulerLeader leader;
 } SchedulerSettings;
 
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -32,7 +32,7 @@
     Scheduler *scheduler = pass->scheduler;
     preemptible_add(pass);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
-        const TaskOn *tasks_on;
+        const TaskOnWorker *tasks_on;
         const size_t count = table_tasks_on(scheduler->table, pass->input.workers[i].name, &tasks_on);
         for (size_t t = 0; t < count; t++) {
             const Job *job = tasks_on[t].job;
@@ -59,7 +59,7 @@
     Scheduler *scheduler = pass->scheduler;
     StopList list = {0};
     Job *const *jobs;
-    const size_t count = table_active(scheduler->table, &jobs);
+    const size_t count = table_active_jobs(scheduler->table, &jobs);
     for (size_t j = 0; j < count && pass->checks < pass->checks_max; j++) {
         const Job *job = jobs[j];
         if (job->spec.protection != PROTECTION_PROTECTED)
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -51,9 +51,9 @@
     Resources free = pass->input.workers[worker].free;
     if (resources_fits(need, free))
         return 0;
-    if (!feature_on(pass->scheduler->bounds, FEATURE_FORECAST))
+    if (!feature_enabled(pass->scheduler->cluster_settings, FEATURE_FORECAST))
         return INT64_MAX;
-    const TaskOn *on;
+    const TaskOnWorker *on;
     const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     ExpectedEnd *ends = talloc_array(pass->mem, ExpectedEnd, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
@@ -64,7 +64,7 @@
     qsort(ends, count, sizeof(*ends), expected_end_order);
     int64_t left_ms = INT64_MAX;
     for (size_t i = 0; i < count && left_ms == INT64_MAX && ends[i].left_ms < INT64_MAX; i++) {
-        free = resources_more(free, ends[i].resources);
+        free = resources_add(free, ends[i].resources);
         if (resources_fits(need, free))
             left_ms = ends[i].left_ms;
     }
--- a/packages/scheduler/src/gang_repair.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -8,14 +8,14 @@
 #include "settings/features.h"
 
 /* Whether the task runs while another member of its gang waits. */
-static bool in_incomplete_gang(const TaskOn *on)
+static bool in_incomplete_gang(const TaskOnWorker *on)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
     const StepSpec *step = &job->spec.steps[task->step];
     if (!step->gang || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
         return false;
-    const size_t first = task_first(job, task);
+    const size_t first = task_first_of_step(job, task);
     for (size_t i = first; i < first + step->count; i++)
         if (job->tasks[i].phase == TASK_WAITING)
             return true;
@@ -25,13 +25,13 @@
 void gangs_repair(Scheduler *scheduler, void *mem)
 {
     const int64_t now_ms = loop_now_ms(scheduler->loop);
-    if (now_ms < scheduler->gangs_repair_ms || !feature_on(scheduler->bounds, FEATURE_GANG_REPAIR))
+    if (now_ms < scheduler->gangs_repair_ms || !feature_enabled(scheduler->cluster_settings, FEATURE_GANG_REPAIR))
         return;
     scheduler->gangs_repair_ms = now_ms + GANGS_REPAIR_MS;
     StopList list = {.why = "its gang is not whole"};
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
-        const TaskOn *on;
+    for (size_t i = 0; (worker = table_busy_worker(scheduler->table, i)) != NULL; i++) {
+        const TaskOnWorker *on;
         const size_t count = table_tasks_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             if (!in_incomplete_gang(&on[t]))
--- a/packages/scheduler/src/leader.c
+++ b/packages/scheduler/src/leader.c
@@ -30,5 +30,5 @@
 
 int64_t scheduler_lease_end_ms(const Scheduler *scheduler)
 {
-    return scheduler_won_ms(scheduler) + lease_claim_ms(scheduler->bounds->lease_ms);
+    return scheduler_won_ms(scheduler) + lease_claim_ms(scheduler->cluster_settings->lease_ms);
 }
--- a/packages/scheduler/src/leaving_worker.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -13,7 +13,7 @@
 
 /* Whether the attempt should be stopped now. until_leave_ms: how long the worker stays; elsewhere: another worker has
  * capacity for the task. */
-static bool should_stop(const Pass *pass, const TaskOn *on, size_t worker, int64_t until_leave_ms, bool elsewhere)
+static bool should_stop(const Pass *pass, const TaskOnWorker *on, size_t worker, int64_t until_leave_ms, bool elsewhere)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
@@ -35,14 +35,14 @@
 
 void leaving_attempts_find(Pass *pass, StopList *list)
 {
-    if (!feature_on(pass->scheduler->bounds, FEATURE_LEAVE_EARLY))
+    if (!feature_enabled(pass->scheduler->cluster_settings, FEATURE_LEAVE_EARLY))
         return;
     const int64_t now_ms = loop_now_ms(pass->scheduler->loop);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const LiveRow *row = liveset_find(pass->scheduler->liveset, pass->input.workers[i].name);
         if (row == NULL || !row->leaving || row->leave_until_ms == 0)
             continue;
-        const TaskOn *on;
+        const TaskOnWorker *on;
         const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int target = choose_other_worker(pass, on[t].job, on[t].task, i);
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -25,7 +25,7 @@
 {
     Map *lost = map_new(mem);
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++)
+    for (size_t i = 0; (worker = table_busy_worker(scheduler->table, i)) != NULL; i++)
         if (loss_undeclared(scheduler, worker))
             map_set(lost, worker, scheduler);
     const char **names;
@@ -53,13 +53,13 @@
     const int64_t now_ms = loop_now_ms(scheduler->loop);
     AttemptList list = {0};
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
+    for (size_t i = 0; (worker = table_busy_worker(scheduler->table, i)) != NULL; i++) {
         const LiveRow *row = liveset_find(scheduler->liveset, worker);
         const int64_t won_ms = scheduler_won_ms(scheduler);
         if (row == NULL ||
             now_ms - (row->last_heartbeat_ms > won_ms ? row->last_heartbeat_ms : won_ms) <= COPY_SILENT_MS)
             continue;
-        const TaskOn *on;
+        const TaskOnWorker *on;
         const size_t count = table_tasks_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             const JobTask *task = &on[t].job->tasks[on[t].task];
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -15,9 +15,10 @@
 {
     const bool known = orphans_resources(scheduler->orphans, worker->name, orphans);
     const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(scheduler->loop)) && !worker->excluded &&
-                       !table_drained(scheduler->table, worker->zone) && !score_ejected(scheduler, worker->name);
+                       !table_zone_is_drained(scheduler->table, worker->zone) &&
+                       !score_ejected(scheduler, worker->name);
     const Resources none = {0};
-    return ready ? resources_less(worker->resources, row->other_usage) : none;
+    return ready ? resources_subtract(worker->resources, row->other_usage) : none;
 }
 
 /* Finds the workers' rows in the live set; null: the worker has not contacted this leader. Returns whether overdue
@@ -31,7 +32,7 @@
         rows[i] = liveset_find(scheduler->liveset, workers[i]->name);
         overdue += rows[i] != NULL && live_row_overdue(rows[i], now_ms);
     }
-    return overdue * OVERDUE_SHARE <= count && feature_on(scheduler->bounds, FEATURE_PASS_OVERDUE);
+    return overdue * OVERDUE_SHARE <= count && feature_enabled(scheduler->cluster_settings, FEATURE_PASS_OVERDUE);
 }
 
 /* Collects all workers with their free capacity. Workers that may not be given work have none, but their tasks still
@@ -51,7 +52,7 @@
         const Worker *worker = workers[i];
         Resources orphans;
         const Resources resources = usable_resources(scheduler, worker, rows[i], &orphans);
-        const Resources used = resources_more(orphans, table_used_on(scheduler->table, worker->name));
+        const Resources used = resources_add(orphans, table_used_on(scheduler->table, worker->name));
         const bool suspect = credible && rows[i] != NULL && live_row_overdue(rows[i], now_ms);
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
                                               .zone = worker->zone,
@@ -60,10 +61,10 @@
                                               .labels = worker->labels,
                                               .label_count = worker->labels_count,
                                               .resources = resources,
-                                              .free = suspect ? (Resources){0} : resources_less(resources, used),
+                                              .free = suspect ? (Resources){0} : resources_subtract(resources, used),
                                               .penalty = score_rate(scheduler, worker->name) * 10};
         pass->slowdowns[i] = estimate_worker_slowdown(scheduler->estimates, worker->name, now_ms);
-        pass->fleet = resources_more(pass->fleet, resources);
+        pass->fleet = resources_add(pass->fleet, resources);
     }
     pass->largest = plan_largest(pass->input.workers, count);
 }
@@ -92,23 +93,24 @@
     uint64_t stamp;
     pass->config = scheduler->leader.config(scheduler->leader.arg, &stamp);
     pass->plan_required =
-        (pass->config->r_named && pass->config->r > 0) || pass->config->zone_loss || pass->config->rack_loss;
+        (pass->config->r_given && pass->config->r > 0) || pass->config->zone_loss || pass->config->rack_loss;
     pass->clock = scheduler->leader.clock(scheduler->leader.arg);
     pass->next_ms = INT64_MAX;
     pass->input =
         (PlanInput){.r = pass->config->r, .zone_loss = pass->config->zone_loss, .rack_loss = pass->config->rack_loss};
     pass_workers_collect(pass);
     const Map *unconfirmed = unconfirmed_find(pass);
-    pass->context = (QueueContext){.table = scheduler->table,
-                                   .without_targets = !feature_on(scheduler->bounds, FEATURE_TARGET_ORDER),
-                                   .without_priorities = !feature_on(scheduler->bounds, FEATURE_PRIORITY),
-                                   .config = pass->config,
-                                   .unconfirmed = unconfirmed,
-                                   .config_stamp = stamp,
-                                   .fleet = pass->fleet,
-                                   .clock = pass->clock,
-                                   .policy = scheduler->leader.policy,
-                                   .arg = scheduler->leader.arg};
+    pass->context =
+        (QueueContext){.table = scheduler->table,
+                       .without_targets = !feature_enabled(scheduler->cluster_settings, FEATURE_TARGET_ORDER),
+                       .without_priorities = !feature_enabled(scheduler->cluster_settings, FEATURE_PRIORITY),
+                       .config = pass->config,
+                       .unconfirmed = unconfirmed,
+                       .config_stamp = stamp,
+                       .fleet = pass->fleet,
+                       .clock = pass->clock,
+                       .policy = scheduler->leader.policy,
+                       .arg = scheduler->leader.arg};
     return pass;
 }
 
--- a/packages/scheduler/src/pass_reservation.c
+++ b/packages/scheduler/src/pass_reservation.c
@@ -39,12 +39,13 @@
 
 void pass_reserve(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded)
 {
-    if (!feature_on(pass->scheduler->bounds, FEATURE_RESERVATIONS) || candidate->slack_ms >= RESERVE_SLACK_MS ||
-        candidate->slack_ms < -candidate->estimate_ms || candidate->count > pass->input.worker_count)
+    if (!feature_enabled(pass->scheduler->cluster_settings, FEATURE_RESERVATIONS) ||
+        candidate->slack_ms >= RESERVE_SLACK_MS || candidate->slack_ms < -candidate->estimate_ms ||
+        candidate->count > pass->input.worker_count)
         return;
     Resources all = pass->reserved;
     for (size_t i = 0; i < candidate->count; i++)
-        all = resources_more(all, need->resources);
+        all = resources_add(all, need->resources);
     if (resources_share(all, pass->fleet) > 1000 / RESERVE_SHARE)
         return;
     pass->reserved = all;
@@ -54,7 +55,7 @@
         if (worker < 0)
             break;
         taken[worker] = true; /* another member takes another worker: a worker seldom has capacity for two */
-        pass->input.workers[worker].free = resources_less(pass->input.workers[worker].free, need->resources);
+        pass->input.workers[worker].free = resources_subtract(pass->input.workers[worker].free, need->resources);
     }
     talloc_free(taken);
 }
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -40,7 +40,7 @@
 {
     for (size_t i = 0; i < count; i++) {
         PlanWorker *worker = &pass->input.workers[where[i]];
-        worker->free = resources_more(worker->free, step->resources);
+        worker->free = resources_add(worker->free, step->resources);
         spread_add(pass, (size_t)where[i], -1);
     }
 }
@@ -62,7 +62,7 @@
         const uint64_t member_percent = choose_time_percent(pass, step, (size_t)at);
         if (member_percent > *percent)
             *percent = member_percent;
-        pass->input.workers[at].free = resources_less(pass->input.workers[at].free, step->resources);
+        pass->input.workers[at].free = resources_subtract(pass->input.workers[at].free, step->resources);
         spread_add(pass, (size_t)at, 1);
         where[i] = at;
     }
--- a/packages/scheduler/src/preemptible_capacity.c
+++ b/packages/scheduler/src/preemptible_capacity.c
@@ -24,7 +24,7 @@
 static void representatives_find(const Scheduler *scheduler, const char *cell, Representatives *representatives)
 {
     Job *const *jobs;
-    const size_t count = table_active(scheduler->table, &jobs);
+    const size_t count = table_active_jobs(scheduler->table, &jobs);
     *representatives = (Representatives){.complete = true};
     for (size_t j = 0; j < count; j++) {
         const Job *job = jobs[j];
@@ -85,7 +85,7 @@
         if (index == SIZE_MAX || pass->input.workers[index].resources.cpu_milli == 0)
             continue;
         if (all_may_preempt(pass, policy, representatives, job, t, calls))
-            preemptible[index] = resources_more(preemptible[index], job->spec.steps[task->step].resources);
+            preemptible[index] = resources_add(preemptible[index], job->spec.steps[task->step].resources);
     }
 }
 
@@ -101,7 +101,7 @@
     input->cell_count = cells;
     input->preemptible = talloc_zero_array(pass->mem, Resources, (unsigned)(cells * input->worker_count));
     Job *const *jobs;
-    const size_t count = table_active(scheduler->table, &jobs);
+    const size_t count = table_active_jobs(scheduler->table, &jobs);
     size_t calls = 0;
     for (size_t c = 0; c < pass->config->cell_count; c++) {
         const ConfigCell *cell = &pass->config->cells[c];
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -19,12 +19,12 @@
 static Resources free_after_stops(const Pass *pass, const PlanWorker *worker)
 {
     Resources free = worker->free;
-    const TaskOn *on;
+    const TaskOnWorker *on;
     const size_t count = table_tasks_on(pass->scheduler->table, worker->name, &on);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
         if (task->phase == TASK_STOPPING)
-            free = resources_more(free, on[i].job->spec.steps[task->step].resources);
+            free = resources_add(free, on[i].job->spec.steps[task->step].resources);
     }
     return free;
 }
@@ -45,7 +45,7 @@
             continue;
         victims->attempts[victims->count++] =
             (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
-        *free = resources_more(*free, job->spec.steps[task->step].resources);
+        *free = resources_add(*free, job->spec.steps[task->step].resources);
     }
 }
 
@@ -56,7 +56,7 @@
 {
     Job *const *jobs;
     *victims = (Victims){.count = 0};
-    for (size_t j = table_active(pass->scheduler->table, &jobs);
+    for (size_t j = table_active_jobs(pass->scheduler->table, &jobs);
          j > 0 && !resources_fits(need, free) && victims->checked < PREEMPT_TASKS_MAX; j--) {
         const Job *job = jobs[j - 1];
         if (strcmp(job->spec.cell, candidate->job->spec.cell) == 0 && job != candidate->job)
@@ -92,7 +92,7 @@
 void preempt_for_candidate(Pass *pass, const Candidate *candidate)
 {
     const Policy *policy = scheduler_policy(pass->scheduler, config_cell(pass->config, candidate->job->spec.cell));
-    if (pass->to_preempt.attempts_count > 0 || !feature_on(pass->scheduler->bounds, FEATURE_PREEMPTION))
+    if (pass->to_preempt.attempts_count > 0 || !feature_enabled(pass->scheduler->cluster_settings, FEATURE_PREEMPTION))
         return;
     if (policy == policy_builtin())
         preempt_for_target(pass, candidate);
--- a/packages/scheduler/src/preemption_target.c
+++ b/packages/scheduler/src/preemption_target.c
@@ -25,7 +25,7 @@
 
 /* The cost of stopping the attempt now: the work that has to be done again, in ms of one CPU core; -1: it may not be
  * stopped. */
-static int64_t stop_cost(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOn *on)
+static int64_t stop_cost(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOnWorker *on)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
@@ -51,7 +51,7 @@
                             Preemption *preemption)
 {
     Resources free = pass->input.workers[worker].free;
-    const TaskOn *on;
+    const TaskOnWorker *on;
     const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
     *preemption = (Preemption){.count = 0};
@@ -69,7 +69,7 @@
             break;
         const JobTask *task = &on[best].job->tasks[on[best].task];
         taken[best] = true;
-        free = resources_more(free, on[best].job->spec.steps[task->step].resources);
+        free = resources_add(free, on[best].job->spec.steps[task->step].resources);
         preemption->cost += best_cost;
         preemption->attempts[preemption->count++] =
             (AttemptId){on[best].job->spec.id, task_number(task), task->attempt};
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -109,7 +109,7 @@
     size_t count = 0;
     Resources resources = worker->resources;
     for (; resources_fits(each, resources) && count < RESERVATION_MEMBERS_MAX; count++)
-        resources = resources_less(resources, each);
+        resources = resources_subtract(resources, each);
     return count;
 }
 
@@ -136,7 +136,7 @@
         if (used[i] || !plan_meets_constraints(worker, need) || !resources_fits(need->resources, worker->resources))
             continue;
         const int64_t free_ms = forecast_free_ms(pass, i, need->resources);
-        const Resources busy = resources_less(worker->resources, worker->free);
+        const Resources busy = resources_subtract(worker->resources, worker->free);
         const bool less = best >= 0 && resources_share(busy, worker->resources) <
                                            resources_share(best_busy, input->workers[best].resources);
         if (best < 0 || free_ms < *until_ms || (free_ms == *until_ms && less)) {
@@ -180,7 +180,7 @@
     Scheduler *scheduler = pass->scheduler;
     const int64_t log_ms = pass->clock.log_ms;
     const char *cell = candidate->job->spec.cell;
-    if (!feature_on(scheduler->bounds, FEATURE_RESERVATIONS) ||
+    if (!feature_enabled(scheduler->cluster_settings, FEATURE_RESERVATIONS) ||
         log_ms - candidate->since_ms < reservation_wait_ms(candidate) || candidate->rank <= TARGET_LOST_RANK / 2 ||
         map_get(scheduler->reservations, cell) != NULL)
         return;
--- a/packages/scheduler/src/scheduler.c
+++ b/packages/scheduler/src/scheduler.c
@@ -14,7 +14,7 @@
     scheduler->table = settings->table;
     scheduler->liveset = settings->liveset;
     scheduler->orphans = settings->orphans;
-    scheduler->bounds = settings->bounds;
+    scheduler->cluster_settings = settings->cluster_settings;
     scheduler->leader = settings->leader;
     scheduler->plan.possible = true;
     scheduler->checkpoints = map_new(scheduler);
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -33,7 +33,8 @@
         return false;
     const int64_t unchanged_ms = progress->ran_ms - progress->unchanged_ms;
     /* members of a gang wait for each other first */
-    if (step->gang && progress->percent == 0 && progress->ran_ms < pass->scheduler->bounds->gang_ms + STILL_LEAST_MS)
+    if (step->gang && progress->percent == 0 &&
+        progress->ran_ms < pass->scheduler->cluster_settings->gang_ms + STILL_LEAST_MS)
         return false;
     return unchanged_ms >= STILL_LEAST_MS && (double)unchanged_ms * 100 >= running->whole_ms * STILL_PERCENT;
 }
@@ -46,7 +47,7 @@
 }
 
 /* Fills running in; false: nothing is wrong with the attempt, or its progress is unknown. */
-static bool running_attempt_assess(const Pass *pass, const TaskOn *on, size_t worker, RunningAttempt *running)
+static bool running_attempt_assess(const Pass *pass, const TaskOnWorker *on, size_t worker, RunningAttempt *running)
 {
     const Scheduler *scheduler = pass->scheduler;
     const Job *job = on->job;
@@ -104,10 +105,10 @@
 
 void slow_attempts_find(Pass *pass, StopList *list)
 {
-    if (!feature_on(pass->scheduler->bounds, FEATURE_RESTART_SLOW))
+    if (!feature_enabled(pass->scheduler->cluster_settings, FEATURE_RESTART_SLOW))
         return;
     for (size_t i = 0; i < pass->input.worker_count; i++) {
-        const TaskOn *on;
+        const TaskOnWorker *on;
         const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             RunningAttempt running;
--- a/packages/scheduler/src/state.h
+++ b/packages/scheduler/src/state.h
@@ -13,7 +13,7 @@
     const Table *table;
     Liveset *liveset;
     Orphans *orphans;
-    const Bounds *bounds;
+    const ClusterSettings *cluster_settings;
     SchedulerLeader leader;
     Map *checkpoints;                     /* task (checkpoint_key) to Checkpoint */
     size_t checkpoints_left_by_sweep;     /* number of checkpoints left by the last sweep */
--- a/packages/scheduler/src/stop_list.c
+++ b/packages/scheduler/src/stop_list.c
@@ -9,7 +9,7 @@
         return false;
     if (target >= 0) {
         PlanWorker *to = &pass->input.workers[target];
-        to->free = resources_less(to->free, job->spec.steps[job->tasks[task].step].resources);
+        to->free = resources_subtract(to->free, job->spec.steps[job->tasks[task].step].resources);
     }
     if (list->attempts == NULL)
         list->attempts =
--- a/packages/scheduler/src/unconfirmed.c
+++ b/packages/scheduler/src/unconfirmed.c
@@ -23,7 +23,7 @@
         sum = talloc_zero(unconfirmed->tenants, Resources);
         map_set(unconfirmed->tenants, key, sum);
     }
-    *sum = resources_more(*sum, resources);
+    *sum = resources_add(*sum, resources);
 }
 
 static void orphan_usage_add(void *arg, const char *cell, const char *tenant, Resources resources)
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -36,7 +36,7 @@
 static void spread_find(Pass *pass, const Job *job, size_t task)
 {
     StepSpread *spread = &pass->spread;
-    const size_t first_task = task_first(job, &job->tasks[task]);
+    const size_t first_task = task_first_of_step(job, &job->tasks[task]);
     const size_t end = first_task + (size_t)job->spec.steps[job->tasks[task].step].count;
     if (spread->job == job && spread->first_task == first_task)
         return;
@@ -83,9 +83,9 @@
 
 uint64_t choose_time_percent(const Pass *pass, const StepSpec *step, size_t at)
 {
-    const uint64_t far = (uint64_t)pass->scheduler->bounds->far_percent;
+    const uint64_t far = (uint64_t)pass->scheduler->cluster_settings->far_percent;
     uint64_t percent = 100;
-    if (!feature_on(pass->scheduler->bounds, FEATURE_AFFINITY))
+    if (!feature_enabled(pass->scheduler->cluster_settings, FEATURE_AFFINITY))
         return percent;
     if (step->near[0] != '\0' && strcmp(step->near, pass->input.workers[at].rack) != 0)
         percent = percent * far / 100;
@@ -99,8 +99,8 @@
  * restarted at once. */
 static bool prefers_together(const Pass *pass, const Job *job)
 {
-    return feature_on(pass->scheduler->bounds, FEATURE_TOGETHER) && !pass->plan_required && !job->spec.lasting &&
-           (job->terms.stretch_milli > 0 || job->terms.target_ms > 0);
+    return feature_enabled(pass->scheduler->cluster_settings, FEATURE_TOGETHER) && !pass->plan_required &&
+           !job->spec.lasting && (job->terms.stretch_milli > 0 || job->terms.target_ms > 0);
 }
 
 /* The preference for the worker, in thousandths of a worker's capacity; the highest is chosen. */
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -135,7 +135,7 @@
 uint64_t score_far_percent(const Scheduler *scheduler, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
-    return far ? (uint64_t)scheduler->bounds->far_percent : 100;
+    return far ? (uint64_t)scheduler->cluster_settings->far_percent : 100;
 }
 
 /* Records the attempt's run time in the estimates, if all of that time was spent on the task's work. */
@@ -146,15 +146,15 @@
     const bool whole = task->attempt == 1 || !step->saves;
     const int64_t ran_ms = update->ran_ms > 0 && whole ? update->ran_ms : first_run_ms(task);
     /* members of a gang, and tasks of a step that is slower across racks, also wait for other tasks */
-    if (feature_on(scheduler->bounds, FEATURE_ESTIMATES) && worker != NULL && ran_ms > 0 && !step->gang &&
-        !step->same_rack && !job->spec.lasting)
+    if (feature_enabled(scheduler->cluster_settings, FEATURE_ESTIMATES) && worker != NULL && ran_ms > 0 &&
+        !step->gang && !step->same_rack && !job->spec.lasting)
         estimates_record_run(scheduler->estimates, job, task->step, update->worker, ran_ms,
                              score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
 }
 
 void score_record_stall(Scheduler *scheduler, const char *worker, const Job *job)
 {
-    if (!feature_on(scheduler->bounds, FEATURE_EJECT_FAILING))
+    if (!feature_enabled(scheduler->cluster_settings, FEATURE_EJECT_FAILING))
         return;
     WorkerScore *score = map_get(scheduler->scores, worker);
     if (score == NULL) {
@@ -186,12 +186,12 @@
             score = talloc_zero(scheduler->scores, WorkerScore);
             map_set(scheduler->scores, update->worker, score);
         }
-        if (feature_on(scheduler->bounds, FEATURE_EJECT_FAILING))
+        if (feature_enabled(scheduler->cluster_settings, FEATURE_EJECT_FAILING))
             tally_record(scheduler, update->worker, score, &score->failed, job, update->word == ATTEMPT_FAILED,
                          SCORE_WEIGHT, "fails its work");
         /* attempts that ran at the same time as one already counted may have met the same pause, which counts once */
         const bool concurrent = slow && job->tasks[at].started_ms < score->slow_end_ms;
-        if (comparable && !concurrent && feature_on(scheduler->bounds, FEATURE_EJECT_SLOW))
+        if (comparable && !concurrent && feature_enabled(scheduler->cluster_settings, FEATURE_EJECT_SLOW))
             tally_record(scheduler, update->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (comparable && slow && !concurrent)
             score->slow_end_ms = job->tasks[at].changed_ms;
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -12,9 +12,9 @@
 static bool any_zone_moves(const Pass *pass)
 {
     const char **zones;
-    const size_t count = table_drains(pass->scheduler->table, pass->mem, &zones);
+    const size_t count = table_drained_zones(pass->scheduler->table, pass->mem, &zones);
     for (size_t i = 0; i < count; i++)
-        if (table_drain_moves(pass->scheduler->table, zones[i]))
+        if (table_zone_is_moving(pass->scheduler->table, zones[i]))
             return true;
     return false;
 }
@@ -26,7 +26,7 @@
         return true;
     PlanWorker *to = &pass->input.workers[at];
     const Resources before = to->free;
-    to->free = resources_less(to->free, job->spec.steps[task->step].resources);
+    to->free = resources_subtract(to->free, job->spec.steps[task->step].resources);
     pass_assured_task_add(pass, &job->spec, need, (size_t)at);
     const bool survives = pass_survives_losses(pass);
     pass->input.task_count--;
@@ -37,7 +37,7 @@
 /* Finds an attempt on the worker that may be moved now; false: there is none. */
 static bool movable_attempt_find(Pass *pass, const char *worker, AttemptId *attempt)
 {
-    const TaskOn *on;
+    const TaskOnWorker *on;
     const size_t count = table_tasks_on(pass->scheduler->table, worker, &on);
     for (size_t t = 0; t < count; t++) {
         const Job *job = on[t].job;
@@ -57,7 +57,7 @@
 /* Whether an attempt on the worker is being stopped. */
 static bool any_stopping(const Pass *pass, const char *worker)
 {
-    const TaskOn *on;
+    const TaskOnWorker *on;
     const size_t count = table_tasks_on(pass->scheduler->table, worker, &on);
     for (size_t t = 0; t < count; t++)
         if (on[t].job->tasks[on[t].task].phase == TASK_STOPPING)
@@ -73,11 +73,11 @@
     if (!any_zone_moves(pass))
         return false;
     for (size_t i = 0; i < pass->input.worker_count; i++)
-        if (table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
+        if (table_zone_is_moving(scheduler->table, pass->input.workers[i].zone) &&
             any_stopping(pass, pass->input.workers[i].name))
             return false; /* the previous move is not finished yet */
     for (size_t i = 0; i < pass->input.worker_count && !found; i++)
-        found = table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
+        found = table_zone_is_moving(scheduler->table, pass->input.workers[i].zone) &&
                 movable_attempt_find(pass, pass->input.workers[i].name, &attempt);
     if (!found)
         return false;
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -89,9 +89,9 @@
                      const char *saved);
 /* An attempt has ended there; later, the worker is told that this is known. */
 void checker_ended(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
-                   AttemptWord word);
+                   AttemptStatus word);
 void checker_known(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
-                   AttemptWord word);
+                   AttemptStatus word);
 /* The worker's process is gone: nothing runs there any more. */
 void checker_worker_gone(Checker *checker, const char *worker);
 /* Its machine runs again after standing still. */
--- a/packages/sim/src/check_config.c
+++ b/packages/sim/src/check_config.c
@@ -115,7 +115,7 @@
             for (const SeenRun *run = ((const SeenTask *)map_get(job->tasks, tasks[t]))->runs; run != NULL;
                  run = run->next)
                 if (!checker->settings.frozen(checker->settings.arg, run->worker))
-                    used = resources_more(used, run->resources);
+                    used = resources_add(used, run->resources);
     }
     talloc_free(mem);
     return used;
@@ -131,7 +131,7 @@
     const Resources bound = tenant->looser;
     if (bound.cpu_milli == 0 && bound.mem_mb == 0)
         return;
-    const Resources used = resources_more(used_by(checker, job->spec.cell, job->spec.tenant), resources);
+    const Resources used = resources_add(used_by(checker, job->spec.cell, job->spec.tenant), resources);
     if ((bound.cpu_milli != 0 && used.cpu_milli > bound.cpu_milli) || (bound.mem_mb != 0 && used.mem_mb > bound.mem_mb))
         checker_broke(checker, INVARIANT_OVER_QUOTA, "%s runs %" PRIu64 " milli-CPU and %" PRIu64 " MB with %s",
                       job->spec.tenant, used.cpu_milli, used.mem_mb, job->spec.id);
--- a/packages/sim/src/check_run.c
+++ b/packages/sim/src/check_run.c
@@ -23,7 +23,7 @@
 }
 
 void checker_ended(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt,
-                   AttemptWord word)
+                   AttemptStatus word)
 {
     SeenTask *seen = seen_task(seen_job(checker, id), task);
     seen_run_take(seen_worker(checker, worker), seen, attempt);
@@ -33,7 +33,7 @@
 }
 
 void checker_known(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt,
-                   AttemptWord word)
+                   AttemptStatus word)
 {
     (void)worker;
     (void)attempt;
--- a/packages/sim/src/check_seen.c
+++ b/packages/sim/src/check_seen.c
@@ -48,7 +48,7 @@
         if (run->attempt != attempt || run->worker != on->worker.name)
             continue;
         *at = run->next;
-        on->used = resources_less(on->used, run->resources);
+        on->used = resources_subtract(on->used, run->resources);
         talloc_free(run);
         return true;
     }
@@ -60,7 +60,8 @@
 {
     const JobTask *task = &known->tasks[at];
     const StepSpec *step = &known->spec.steps[task->step];
-    const size_t first = step->gang ? task_first(known, task) : at, count = step->gang ? (size_t)step->count : 1;
+    const size_t first = step->gang ? task_first_of_step(known, task) : at,
+                 count = step->gang ? (size_t)step->count : 1;
     bool any = false;
     for (size_t t = first; t < first + count && !any; t++)
         any = matches(seen_task(job, task_number(&known->tasks[t])));
--- a/packages/sim/src/check_start.c
+++ b/packages/sim/src/check_start.c
@@ -99,7 +99,7 @@
         checker_broke(checker, INVARIANT_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
     on->started_ms = now_ms;
     on->starts++;
-    on->used = resources_more(on->used, resources);
+    on->used = resources_add(on->used, resources);
     if (on->used.cpu_milli > on->worker.resources.cpu_milli || on->used.mem_mb > on->worker.resources.mem_mb)
         checker_broke(checker, INVARIANT_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
                       on->used.cpu_milli, on->used.mem_mb);
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -65,15 +65,15 @@
     node->number = number;
     node->machine = sim_machine(fleet->world);
     const char *ip = sim_address(fleet->world, node->machine);
-    node->settings.bounds = bounds_first();
+    node->settings.cluster_settings = cluster_settings_default();
     node->settings.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
     node->settings.zone = ZONES[number % fleet->site.zones];
-    node->settings.bounds.losses = fleet->site.losses;
+    node->settings.cluster_settings.losses = fleet->site.losses;
     if (fleet->site.voter_back_ms > 0)
-        node->settings.bounds.voter_back_ms = fleet->site.voter_back_ms;
-    node->settings.bounds.disks_keep = fleet->site.disks_keep;
+        node->settings.cluster_settings.voter_back_ms = fleet->site.voter_back_ms;
+    node->settings.cluster_settings.disks_keep = fleet->site.disks_keep;
     if (fleet->site.votes)
-        node->settings.bounds.founds = 1;
+        node->settings.cluster_settings.founds = 1;
     node->settings.listen = talloc_asprintf(fleet, "%s:7000", ip);
     node->settings.http = talloc_asprintf(fleet, "%s:8000", ip);
     return node;
--- a/packages/sim/src/fleet_fault.c
+++ b/packages/sim/src/fleet_fault.c
@@ -62,7 +62,7 @@
     node->up = false;
     /* it has been started before: it founds nothing */
     if (node->fleet->site.votes)
-        node->settings.bounds.founds = 0;
+        node->settings.cluster_settings.founds = 0;
     if (node->role == FLEET_WORKER)
         checker_worker_gone(node->fleet->checker, node->settings.name);
     if (node->role == FLEET_CONTROLLER)
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -12,12 +12,14 @@
     checker_started(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, resources);
 }
 
-static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
+static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                     AttemptStatus word)
 {
     checker_ended(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, word);
 }
 
-static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
+static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                     AttemptStatus word)
 {
     checker_known(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, word);
 }
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -76,7 +76,7 @@
         json_object *patch = json_object_new_object(), *config;
         json_object_object_add(patch, "note", json_object_new_string(change->marker));
         json_object_object_get_ex(got, "config", &config);
-        json_object *next = document_merged(config, patch);
+        json_object *next = document_merge(config, patch);
         body = document_text(fleet, next);
         json_object_put(next);
         json_object_put(patch);
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -30,7 +30,7 @@
 {
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
-    return table_drained(controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller), ZONE);
+    return table_zone_is_drained(controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller), ZONE);
 }
 
 static InsideRequest *order(Fleet *fleet, int entry_point, const char *method)
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -222,7 +222,7 @@
         fleet_new_at(NULL, 5, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0}, &(FleetSite){.zones = 3, .losses = 1});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet_node(fleet, (FleetRole)role, i)->settings.bounds.founds = 0;
+            fleet_node(fleet, (FleetRole)role, i)->settings.cluster_settings.founds = 0;
     fleet_start(fleet);
     fleet_run(fleet, 15000);
     assert_int_equal(clusters(fleet), 0);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -142,7 +142,7 @@
         const char *whole = mix_config((Mix)draw(MIX_COUNT));
         const char *text = spoil(mem, whole, &count);
         if (draw(3) == 0) { /* as a patch upon a good one */
-            text = config_patch(mem, whole, text, count, faults);
+            text = config_patched_text(mem, whole, text, count, faults);
             count = text != NULL ? strlen(text) : 0;
         }
         if (text != NULL && config_read(mem, text, count, 1, faults) != NULL) {
--- a/packages/sim/test/narrow_links.c
+++ b/packages/sim/test/narrow_links.c
@@ -253,7 +253,7 @@
             fleet_call(fleet, "u", 20000, 20000);
             fleet_run(fleet, 3000);
             const int number = role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0;
-            const int64_t grace_ms = fleet_node(fleet, (FleetRole)role, number)->settings.bounds.grace_ms;
+            const int64_t grace_ms = fleet_node(fleet, (FleetRole)role, number)->settings.cluster_settings.grace_ms;
             const int64_t took_ms = end_ms(fleet, (FleetRole)role, number, RATES[rate]);
             print_message("role %d, link of %d bytes a ms: ended after %d ms of %d\n", role, (int)RATES[rate],
                           (int)took_ms, (int)grace_ms);
--- a/packages/sim/test/repair_transfer.c
+++ b/packages/sim/test/repair_transfer.c
@@ -51,7 +51,7 @@
         Fleet *fleet = begin(65, 8);
         FleetNode *carrier = fleet_node(fleet, FLEET_ENTRY_POINT, 0);
         fleet_kill(fleet, FLEET_ENTRY_POINT, 0);
-        carrier->settings.bounds.grace_ms = grace_ms;
+        carrier->settings.cluster_settings.grace_ms = grace_ms;
         fleet_start_node(fleet, FLEET_ENTRY_POINT, 0);
         fleet_run(fleet, 1000);
         jobs_submit(fleet, FLEET_ENTRY_POINT, 0);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -71,7 +71,7 @@
     const Job *known = table_job(table, "known");
     Job *const *jobs;
     return talloc_asprintf(mem, "jobs %zu, ending %d, zone %d %lld, %s", table_jobs(table, &jobs), (int)known->ending,
-                           table_drained(table, "west"), (long long)table_drain_stamp(table, "west"), history);
+                           table_zone_is_drained(table, "west"), (long long)table_drain_stamp(table, "west"), history);
 }
 
 static InsideRequest *request(Fleet *fleet, const Row *row)
--- a/packages/sim/test/replaced_fixture.h
+++ b/packages/sim/test/replaced_fixture.h
@@ -26,7 +26,7 @@
     Fleet *fleet = fleet_new_at(NULL, seed, shape, site);
     /* one that is told to end does so as soon as it may */
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
-        fleet_node(fleet, FLEET_CONTROLLER, i)->settings.bounds.unready_ms = 0;
+        fleet_node(fleet, FLEET_CONTROLLER, i)->settings.cluster_settings.unready_ms = 0;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
     checker_config_set(fleet->checker, 1);
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -22,7 +22,7 @@
     Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 2, 5, MIX_VARIED, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet_node(fleet, (FleetRole)role, i)->settings.bounds.lease_ms = LEASE_MS;
+            fleet_node(fleet, (FleetRole)role, i)->settings.cluster_settings.lease_ms = LEASE_MS;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000));
     assert_true(fleet_configure(fleet));
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -42,8 +42,8 @@
     /* what runs outlives the loss of all controllers */
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet->nodes[role][i].settings.bounds.lease_ms = fleet->nodes[role][i].settings.bounds.worker_lease_ms =
-                LEASE_MS;
+            fleet->nodes[role][i].settings.cluster_settings.lease_ms =
+                fleet->nodes[role][i].settings.cluster_settings.worker_lease_ms = LEASE_MS;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
@@ -65,8 +65,8 @@
     job = fleet_job(fleet, "g");
     assert_non_null(job);
     if (running(fleet) != 2)
-        fail_msg("%zu of 2 run: %s, %s", running(fleet), task_phase_word(job->tasks[0].phase),
-                 task_phase_word(job->tasks[1].phase));
+        fail_msg("%zu of 2 run: %s, %s", running(fleet), task_phase_name(job->tasks[0].phase),
+                 task_phase_name(job->tasks[1].phase));
     assert_true(job->tasks[0].attempt > attempt);
     assert_int_equal(job->tasks[0].attempt, job->tasks[1].attempt);
     fleet_run(fleet, 30000);
--- a/packages/sim/test/without_features.c
+++ b/packages/sim/test/without_features.c
@@ -8,7 +8,7 @@
     Fleet *fleet = fleet_new(NULL, 90, (FleetShape){3, 3, 9, mix, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet_node(fleet, (FleetRole)role, i)->settings.bounds.features_off = features_off;
+            fleet_node(fleet, (FleetRole)role, i)->settings.cluster_settings.features_off = features_off;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     fleet_call(fleet, "features", 15000, 15000);
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -93,9 +93,9 @@
         sscanf(line->more, "%" SCNu64 " %" SCNu64, &resources.cpu_milli, &resources.mem_mb);
         checker_started(checker, line->who, line->job, line->task, line->attempt, resources);
     } else if (strcmp(line->what, "ended") == 0) {
-        checker_ended(checker, line->who, line->job, line->task, line->attempt, attempt_of_word(line->more));
+        checker_ended(checker, line->who, line->job, line->task, line->attempt, attempt_status_of_name(line->more));
     } else if (strcmp(line->what, "known") == 0) {
-        checker_known(checker, line->who, line->job, line->task, line->attempt, attempt_of_word(line->more));
+        checker_known(checker, line->who, line->job, line->task, line->attempt, attempt_status_of_name(line->more));
     } else if (strcmp(line->what, "booted") == 0) {
         checker_booted(checker, line->who);
     } else if (strcmp(line->what, "held") == 0) {
--- a/packages/sim/tool/scheduler_fixture.h
+++ b/packages/sim/tool/scheduler_fixture.h
@@ -186,14 +186,14 @@
     return STATUS_NOT_LEADER;
 }
 
-static inline Scheduler *scheduler_create(SchedulerFixture *stand, const Bounds *bounds)
+static inline Scheduler *scheduler_create(SchedulerFixture *stand, const ClusterSettings *cluster_settings)
 {
     return scheduler_new(stand, &(SchedulerSettings){.loop = stand->loop,
                                                      .recorder = recorder_new(stand, "bench"),
                                                      .table = stand->table,
                                                      .liveset = stand->liveset,
                                                      .orphans = orphans_new(stand),
-                                                     .bounds = bounds,
+                                                     .cluster_settings = cluster_settings,
                                                      .leader = {.arg = stand,
                                                                 .leads = always_true,
                                                                 .decides = always_true,
@@ -212,15 +212,15 @@
         "{\"r\":0,\"cells\":{\"all\":{\"tenants\":{\"all\":{},\"full\":{\"quota\":{\"cpu\":64,\"memMb\":0}}},\"queues\":{\"a\":{\"priority\":1},\"b\":{}}}}}";
     SchedulerFixture *stand = talloc_zero(mem, SchedulerFixture);
     stand->world = sim_world_new(mem, 1);
-    Bounds *bounds = talloc(stand, Bounds);
+    ClusterSettings *cluster_settings = talloc(stand, ClusterSettings);
     Faults *faults = talloc_zero(stand, Faults);
-    *bounds = bounds_first();
+    *cluster_settings = cluster_settings_default();
     faults->mem = stand;
     sim_start(stand->world, sim_machine(stand->world), loop_started, &stand->loop);
     stand->table = table_new(stand);
     stand->liveset = liveset_new(stand);
     stand->config = config_read(stand, CONFIG, strlen(CONFIG), 1, faults);
-    stand->scheduler = scheduler_create(stand, bounds);
+    stand->scheduler = scheduler_create(stand, cluster_settings);
     const ConfigSet set = {.version = 1, .text = CONFIG};
     deliver_change(stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
     workers_add(stand, count, FIXTURE_CPU_MILLI);
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -16,9 +16,9 @@
     void *arg;
     void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                     Resources resources);
-    void (*ended)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
+    void (*ended)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptStatus word);
     /* It has heard that the end of the attempt is known to the leader. */
-    void (*known)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
+    void (*known)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptStatus word);
     /* It is about to report for the first time: a new boot. */
     void (*booted)(void *arg, const char *worker);
     /* Its lease lasts for so much longer, as the answer to a report says. */
--- a/packages/standin/src/run.c
+++ b/packages/standin/src/run.c
@@ -87,7 +87,7 @@
 }
 
 /* One that is stopped saves all that is done. */
-static void save_last(Run *run, AttemptWord word)
+static void save_last(Run *run, AttemptStatus word)
 {
     if (run->save_ms > 0 && word == ATTEMPT_STOPPED)
         save_at(run, done_ms_of(run));
@@ -95,7 +95,7 @@
         run_save(run);
 }
 
-void run_end(Run *run, AttemptWord word)
+void run_end(Run *run, AttemptStatus word)
 {
     if (run->ended)
         return;
--- a/packages/standin/src/run.h
+++ b/packages/standin/src/run.h
@@ -24,7 +24,7 @@
     char saved[ID_MAX + 48]; /* "TASK@MS of JOB"; empty: nothing */
     bool fails;
     bool ended;
-    AttemptWord word;
+    AttemptStatus word;
     Signal stopped;
 } Run;
 
@@ -53,7 +53,7 @@
 void run_start(StandWorker *worker, json_object *start, int64_t sent_ms);
 /* Ends an attempt, unless it has ended: makes its last checkpoint, tells the checkers, and
  * has it reported at once. */
-void run_end(Run *run, AttemptWord word);
+void run_end(Run *run, AttemptStatus word);
 /* Brings the checkpoint of an attempt that makes any up to date. */
 void run_save(Run *run);
 /* How far it has come. */
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -120,7 +120,7 @@
     if (!run->ended)
         json_object_object_add(one, "percent", json_object_new_int64(run_percent(run)));
     if (run->ended)
-        json_object_object_add(one, "word", json_object_new_string(attempt_word(run->word)));
+        json_object_object_add(one, "word", json_object_new_string(attempt_status_name(run->word)));
     return one;
 }
 
--- a/packages/state/src/job.c
+++ b/packages/state/src/job.c
@@ -1,4 +1,4 @@
-/* Jobs and tasks as values: their shapes, the words of their phases, and task numbers. */
+/* Shapes of jobs and tasks, names of their phases, and task numbers. */
 #include "state/job.h"
 
 #include <string.h>
@@ -40,11 +40,11 @@
 
 size_t task_index(const Job *job, uint64_t number)
 {
-    /* within the first step a number is the index; any other number below PLACES was
-     * written by a release that named tasks by their index */
-    if (number < TASK_NUMBER_PLACES)
+    /* In the first step of the first turn a number equals the index. Any other number below TASK_NUMBERS_PER_STEP was
+     * written by a release that identified tasks by their index. */
+    if (number < TASK_NUMBERS_PER_STEP)
         return number < job->tasks_count ? (size_t)number : job->tasks_count;
-    const uint64_t at = number % TASK_NUMBER_PLACES, steps = number / TASK_NUMBER_PLACES;
+    const uint64_t at = number % TASK_NUMBERS_PER_STEP, steps = number / TASK_NUMBERS_PER_STEP;
     const uint64_t step = steps % JOB_STEPS_MAX, turn = steps / JOB_STEPS_MAX;
     const uint64_t turns = job_turn_count(&job->spec);
     if (turn >= turns || step >= job->spec.steps_count || at >= job->spec.steps[step].count)
@@ -56,7 +56,7 @@
     return index < job->tasks_count ? index : job->tasks_count;
 }
 
-size_t task_first(const Job *job, const JobTask *task)
+size_t task_first_of_step(const Job *job, const JobTask *task)
 {
     return (size_t)(task - job->tasks) - (size_t)task->at;
 }
@@ -68,12 +68,12 @@
     return job->spec.first_wall_ms + (int64_t)task->turn * job->spec.period_ms;
 }
 
-const char *task_phase_word(uint64_t phase)
+const char *task_phase_name(uint64_t phase)
 {
     return phase < TASK_PHASE_COUNT ? PHASES[phase].word : "unlisted";
 }
 
-const char *job_phase_word(uint64_t phase)
+const char *job_phase_name(uint64_t phase)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -89,12 +89,12 @@
 #undef X
 };
 
-const char *protection_word(uint64_t protection)
+const char *protection_name(uint64_t protection)
 {
     return protection < PROTECTION_COUNT ? PROTECTIONS[protection] : "unlisted";
 }
 
-Protection protection_of_word(const char *word)
+Protection protection_of_name(const char *word)
 {
     for (int i = 0; i < PROTECTION_COUNT; i++)
         if (strcmp(PROTECTIONS[i], word) == 0)
--- a/packages/state/src/table.c
+++ b/packages/state/src/table.c
@@ -1,9 +1,9 @@
-/* The state machine as the log uses it: an empty state, its getters, and the dispatch of each
- * log entry to the function that delivers it. */
+/* The state machine: the empty state, the getters, and the dispatch of each log entry to the function that delivers
+ * it. */
 #include <talloc.h>
 
 #include "deliver.h"
-#include "saved.h"
+#include "state_snapshot.h"
 #include "state/deliver_config.h"
 
 /* --- reading -------------------------------------------------------------------- */
@@ -15,10 +15,10 @@
     return table;
 }
 
-void table_watch(Table *table, TableFn fn, void *arg)
+void table_watch(Table *table, TableChangeFn fn, void *arg)
 {
-    table->fn = fn;
-    table->arg = arg;
+    table->change_fn = fn;
+    table->change_arg = arg;
 }
 
 const Job *table_job(const Table *table, const char *id)
@@ -28,11 +28,11 @@
 
 size_t table_jobs(const Table *table, Job *const **jobs)
 {
-    *jobs = table->order.jobs;
-    return table->order.count;
+    *jobs = table->accepted.jobs;
+    return table->accepted.count;
 }
 
-size_t table_active(const Table *table, Job *const **jobs)
+size_t table_active_jobs(const Table *table, Job *const **jobs)
 {
     *jobs = table->active.jobs;
     return table->active.count;
@@ -43,7 +43,7 @@
     return table->last_number;
 }
 
-int64_t table_oldest_ms(const Table *table)
+int64_t table_oldest_droppable_ms(const Table *table)
 {
     int64_t oldest_ms = table->ended.count > 0 ? table->ended.jobs[0]->ended_ms : INT64_MAX;
     for (size_t i = 0; i < table->orphan_count; i++)
@@ -57,15 +57,15 @@
     return table->versions;
 }
 
-uint64_t table_loads(const Table *table)
+uint64_t table_load_count(const Table *table)
 {
     return table->loads;
 }
 
 /* --- delivering ----------------------------------------------------------------- */
 
-/* Null: a change of a later release. */
-static const Shape *shape_of(uint64_t kind)
+/* Returns the shape of a change's payload; null for an unknown kind, which a later release may have written. */
+static const Shape *payload_shape(uint64_t kind)
 {
     switch (kind) {
 #define X(name, number, shape) \
@@ -78,7 +78,7 @@
     }
 }
 
-/* Hands the body, unpacked by shape_of's shape, to its function. */
+/* Passes the body, unpacked with the shape from payload_shape, to the function that delivers it. */
 static void dispatch(Table *table, const Record *change, const void *body, ChangeResult *result)
 {
     switch ((ChangeKind)change->change) {
@@ -127,7 +127,7 @@
 static void table_deliver(void *arg, const Record *change, ChangeResult *result)
 {
     Table *table = arg;
-    const Shape *shape = shape_of(change->change);
+    const Shape *shape = payload_shape(change->change);
     if (shape == NULL)
         return;
     void *mem = talloc_new(NULL);
@@ -135,8 +135,8 @@
     result->status = shape_unpack(shape, change->payload, mem, body, NULL);
     if (result->status == STATUS_OK)
         dispatch(table, change, body, result);
-    if (table->fn != NULL)
-        table->fn(table->arg, change, result->status != STATUS_BAD_FRAME ? body : NULL, result);
+    if (table->change_fn != NULL)
+        table->change_fn(table->change_arg, change, result->status != STATUS_BAD_FRAME ? body : NULL, result);
     talloc_free(mem);
 }
 
--- a/packages/state/src/worker.c
+++ b/packages/state/src/worker.c
@@ -1,4 +1,4 @@
-/* The shapes of workers and of agents' updates on attempts, and the words of the latter. */
+/* Shapes of workers and of updates on attempts, and the names of the attempt status. */
 #include "state/worker.h"
 
 #include <string.h>
@@ -8,19 +8,19 @@
 
 static const char *const WORDS[] = {
 #define X(name, word) word,
-    ATTEMPT_WORD_LIST(X)
+    ATTEMPT_STATUS_LIST(X)
 #undef X
 };
 
-const char *attempt_word(uint64_t word)
+const char *attempt_status_name(uint64_t word)
 {
-    return word < ATTEMPT_WORD_COUNT ? WORDS[word] : "unlisted";
+    return word < ATTEMPT_STATUS_COUNT ? WORDS[word] : "unlisted";
 }
 
-AttemptWord attempt_of_word(const char *word)
+AttemptStatus attempt_status_of_name(const char *word)
 {
-    for (int i = 0; i < ATTEMPT_WORD_COUNT; i++)
+    for (int i = 0; i < ATTEMPT_STATUS_COUNT; i++)
         if (strcmp(WORDS[i], word) == 0)
-            return (AttemptWord)i;
-    return ATTEMPT_WORD_COUNT;
+            return (AttemptStatus)i;
+    return ATTEMPT_STATUS_COUNT;
 }
--- a/src/build.c
+++ b/src/build.c
@@ -57,7 +57,7 @@
     for (size_t i = 0; document != NULL && overlays != NULL && overlays[i] != NULL; i++) {
         *source = overlays[i];
         json_object *overlay = parse_file(faults, overlays[i]);
-        json_object *next = overlay != NULL ? template_overlay(faults, document, overlay) : NULL;
+        json_object *next = overlay != NULL ? template_apply_overlay(faults, document, overlay) : NULL;
         json_object_put(overlay);
         json_object_put(document);
         document = next;
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -125,7 +125,7 @@
     Daemon *daemon = talloc_zero(mem, Daemon);
     daemon->mem = mem;
     daemon->role = role;
-    daemon->settings.bounds = bounds_first();
+    daemon->settings.cluster_settings = cluster_settings_default();
     char *record = NULL;
     int code = parse_settings(mem, role, ROLES[role], argc, argv, &daemon->settings, &record);
     if (code == EXIT_OK && record != NULL && (daemon->record = fopen(record, "a")) == NULL)
@@ -169,7 +169,7 @@
     for (int role = 0; role < 3; role++)
         if (strcmp(argv[1], ROLES[role]) == 0) {
             void *mem = talloc_new(NULL);
-            Settings settings = {.bounds = bounds_first()};
+            Settings settings = {.cluster_settings = cluster_settings_default()};
             char *record = NULL;
             const int code = parse_settings(mem, (SettingsRole)role, "check", argc - 1, argv + 1, &settings, &record);
             if (code == EXIT_OK)
--- a/src/node.c
+++ b/src/node.c
@@ -35,9 +35,9 @@
         talloc_free(mem);
         return;
     }
-    const int64_t features_off = run->place.settings.bounds.features_off;
-    run->place.settings.bounds = place.settings.bounds;
-    run->place.settings.bounds.features_off = features_off; /* set on the command line */
+    const int64_t features_off = run->place.settings.cluster_settings.features_off;
+    run->place.settings.cluster_settings = place.settings.cluster_settings;
+    run->place.settings.cluster_settings.features_off = features_off; /* set on the command line */
     const char *seeds[SEEDS];
     for (int i = 0; i < SEEDS; i++)
         run->place.settings.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.settings.seeds[i]);
--- a/src/standins.c
+++ b/src/standins.c
@@ -38,14 +38,16 @@
     record_event(arg, "started", worker, job, task, attempt, rest);
 }
 
-static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
+static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                     AttemptStatus word)
 {
-    record_event(arg, "ended", worker, job, task, attempt, attempt_word(word));
+    record_event(arg, "ended", worker, job, task, attempt, attempt_status_name(word));
 }
 
-static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
+static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                     AttemptStatus word)
 {
-    record_event(arg, "known", worker, job, task, attempt, attempt_word(word));
+    record_event(arg, "known", worker, job, task, attempt, attempt_status_name(word));
 }
 
 static void on_booted(void *arg, const char *worker)
