--- a/packages/base/include/base/array.h
+++ b/packages/base/include/base/array.h
@@ -1,13 +1,13 @@
 #ifndef BASE_ARRAY_H
 #define BASE_ARRAY_H
 
-/* Arrays on talloc memory that grow by one element at a time. */
+/* Growable arrays on talloc memory. */
 
 #include <stddef.h>
 
-/* Makes the array large enough for one more element behind the first count: where they fill *capacity, it is doubled
- * and they move. items: null while *capacity is 0, else what was returned last, a child of mem. Returns where the
- * elements are now. */
+/* Ensures room for one more element after the first count elements. If *capacity is exhausted it is doubled and the
+ * array is reallocated. items: null while *capacity is 0, otherwise the last result, a child of mem. Returns the
+ * array's current address. */
 void *array_grow(void *mem, void *items, size_t item_bytes, size_t count, size_t *capacity);
 
 #endif
--- a/packages/base/include/base/arrivals.h
+++ b/packages/base/include/base/arrivals.h
@@ -1,28 +1,29 @@
 #ifndef BASE_ARRIVALS_H
 #define BASE_ARRIVALS_H
 
-/* How soon a peer that asks again after each answer usually does so: a smoothed mean and deviation, as TCP's
- * retransmission timer keeps them (Jacobson, RFC 6298). Used to suspect a silent peer soon, without a fixed time-out.
- * Times are ms on one steady clock, above 0. Nothing here waits. */
+/* Failure detector for a peer that sends a new request after each response. It keeps a smoothed mean and deviation of
+ * the time from a response to the next request, as TCP's retransmission timer does (Jacobson, RFC 6298), so that a
+ * silent peer is suspected early without a fixed timeout. Times are in ms on one monotonic clock, above 0. No function
+ * here waits. */
 
 #include <stddef.h>
 #include <stdint.h>
 
-/* All zero: nothing has been observed.
- * Invariant: the peer owes a question exactly while pending is 0 and answered_ms is not. */
+/* Zeroed memory is the state before any observation.
+ * Invariant: a request of the peer is expected exactly while pending is 0 and answered_ms is not 0. */
 typedef struct Arrivals {
-    size_t pending;      /* its questions that are not answered yet */
-    int64_t answered_ms; /* when the last of them was answered; 0: none was */
-    int64_t mean_us, deviation_us;
-    uint64_t count; /* gaps observed, each from an answer to the next question */
+    size_t pending;                /* requests of the peer without a response yet */
+    int64_t answered_ms;           /* time of the last response; 0: there was none */
+    int64_t mean_us, deviation_us; /* of the observed gaps */
+    uint64_t count;                /* observed gaps, each from a response to the next request */
 } Arrivals;
 
-/* A question of the peer has come, and waits for its answer from here on. */
+/* Records a request of the peer, which is pending from now on. */
 void arrivals_asked(Arrivals *arrivals, int64_t now_ms);
-/* A question has been answered, or given up: the peer asks again. */
+/* Records the response to a request, or that the request was abandoned: the peer is expected to send another. */
 void arrivals_answered(Arrivals *arrivals, int64_t now_ms);
-/* When its next question is late: longer after the last answer than is usual, within least_ms and most_ms; most_ms
- * while too little has been observed. INT64_MAX: it owes none. */
+/* Returns the time from which the peer's next request is overdue: the last response plus the usual gap, which is
+ * bounded by least_ms and most_ms; most_ms while there are too few observations. INT64_MAX: no request is expected. */
 int64_t arrivals_late_ms(const Arrivals *arrivals, int64_t least_ms, int64_t most_ms);
 
 #endif
--- a/packages/base/include/base/bytes.h
+++ b/packages/base/include/base/bytes.h
@@ -1,26 +1,26 @@
 #ifndef BASE_BYTES_H
 #define BASE_BYTES_H
 
-/* Runs of bytes, which messages, journal records and snapshots are packed into. */
+/* Byte buffers, into which messages, journal records and snapshots are packed. */
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
-/* A run of bytes on talloc memory.
- * Invariant: count <= capacity, or the bytes are borrowed: then capacity is 0 and nothing may be
- * added. data is null while nothing was ever added. */
+/* A byte buffer on talloc memory.
+ * Invariant: count <= capacity, or the bytes are borrowed: capacity is 0 and nothing may be appended. data is null
+ * until something is first appended. */
 typedef struct Bytes {
     uint8_t *data;
     size_t count;
     size_t capacity;
 } Bytes;
 
-/* Makes the buffer hold so many bytes in all without growing. */
+/* Allocates room for capacity bytes in total. */
 void bytes_reserve(void *mem, Bytes *bytes, size_t capacity);
-/* Appends a copy. The buffer is made on mem by the first call and grows there. */
+/* Appends a copy of the data. The first call allocates the buffer on mem, and it grows there. */
 void bytes_add(void *mem, Bytes *bytes, const void *data, size_t count);
-/* A copy on memory of its own, on mem. */
+/* Returns a copy with a buffer of its own on mem. */
 Bytes bytes_copy(void *mem, Bytes from);
 bool bytes_equal(Bytes a, Bytes b);
 /* CRC-32 (IEEE), the checksum of journal records. */
--- a/packages/base/include/base/invariant.h
+++ b/packages/base/include/base/invariant.h
@@ -3,25 +3,25 @@
 
 #include <stdbool.h>
 
-/* Invariants of the replicated state that are checked in every build: terms, votes, the log, leases, counts. A process
- * that breaks one stops before it can answer by a wrong state; it is started again and reads its disk. Only what is
- * cheap and certainly true is checked so (docs/design.md, "Checks in the installed program"); assert() remains for the
- * rest. */
+/* Invariants of the replicated state that are checked in every build: terms, votes, the log, leases and counts. A
+ * process that violates one aborts before it can respond with a wrong state; it is restarted and reads its disk. Only
+ * conditions that are cheap and certainly true are checked in this way (docs/design.md, "Checks in the installed
+ * program"); assert() is used for the rest. */
 
-/* X(name, word, what holds). A word never changes its meaning: operators search for it. */
-#define INVARIANT_LIST(X)                                                                           \
-    X(PROMISE_RISES, "promise-rises", "a promised term is never below the last one")                \
-    X(VOTER_PLACES, "voter-places", "a voter's place is within the list of voters")                 \
-    X(LEASE_CLAIM, "lease-claim", "a lease ends at its holder before it ends at who granted it")    \
-    X(LOG_ORDER, "log-order", "entries of the log follow each other by one, and terms never fall")  \
-    X(COMMIT_IN_LOG, "commit-in-log", "what is committed is in the log")                            \
-    X(DELIVER_COMMITTED, "deliver-committed", "only what is committed is delivered")                \
-    X(STATE_LOADS, "state-loads", "a state that was saved or loaded here can be loaded again")      \
-    X(LEADS_COMMITTED, "leads-committed", "a leader has committed the first entry of its term")     \
-    X(INCARNATION_RISES, "incarnation-rises", "a member's incarnation is never below the last one") \
-    X(ENDED_STAYS, "ended-stays", "a task that has ended stays as it ended")                        \
-    X(TASK_COUNTS, "task-counts", "counts of waiting and of undone tasks are those of the tasks")   \
-    X(WORKER_COUNTS, "worker-counts", "what is in use on a worker is what the tasks on it need")
+/* X(name, word, condition). The meaning of a word never changes, since operators search for it. */
+#define INVARIANT_LIST(X)                                                                                         \
+    X(PROMISE_RISES, "promise-rises", "a promised term is never below the previous one")                          \
+    X(VOTER_PLACES, "voter-places", "a voter's position is within the list of voters")                            \
+    X(LEASE_CLAIM, "lease-claim", "a lease expires at its holder before it expires at the voter that granted it") \
+    X(LOG_ORDER, "log-order", "indexes of log entries are consecutive, and terms never decrease")                 \
+    X(COMMIT_IN_LOG, "commit-in-log", "every committed entry is in the log")                                      \
+    X(DELIVER_COMMITTED, "deliver-committed", "only committed entries are delivered")                             \
+    X(STATE_LOADS, "state-loads", "a state that was saved or loaded in this process can be loaded again")         \
+    X(LEADS_COMMITTED, "leads-committed", "a leader has committed the first entry of its term")                   \
+    X(INCARNATION_RISES, "incarnation-rises", "a member's incarnation is never below the previous one")           \
+    X(ENDED_STAYS, "ended-stays", "the outcome of an ended task never changes")                                   \
+    X(TASK_COUNTS, "task-counts", "the counts of waiting and of unfinished tasks match the tasks")                \
+    X(WORKER_COUNTS, "worker-counts", "the capacity in use on a worker equals the needs of its tasks")
 
 typedef enum Invariant {
 #define X(name, word, what) INVARIANT_##name,
@@ -30,12 +30,12 @@
         INVARIANT_COUNT
 } Invariant;
 
-/* The invariant's word, as it is logged. */
+/* Returns the invariant's word, as it is logged; "unlisted" for an unknown number. */
 const char *invariant_word(Invariant invariant);
-/* Writes the invariant and the place to standard error, and ends the process with SIGABRT. */
+/* Writes the invariant and the source location to standard error, and aborts the process with SIGABRT. */
 _Noreturn void invariant_broken(Invariant invariant, const char *file, int line);
 
-/* Stops the process when the condition, by which the invariant is checked here, does not hold. */
+/* Aborts the process when the condition is false; name is the invariant that the condition checks. */
 #define INVARIANT(name, condition)                                  \
     do {                                                            \
         if (__builtin_expect(!(condition), false))                  \
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -1,12 +1,11 @@
 #ifndef BASE_STATUS_H
 #define BASE_STATUS_H
 
-/* The types of failures. Every function that can fail returns one; it travels between
- * processes and to callers, with its HTTP status. */
+/* Status codes. Every function that can fail returns one; they are sent between processes and, with an HTTP status, to
+ * callers. */
 
-/* Name, word, HTTP status. The words are what users see in results: they are part of the
- * API and never change their meaning. Their order is part of the wire format: new ones are
- * added at the end of the list. */
+/* X(name, word, HTTP status). Users see the words in results: they are part of the API, and their meaning never
+ * changes. The order of the rows is part of the wire format: new rows are added at the end. */
 #define STATUS_LIST(X)                             \
     X(OK, "ok", 200)                               \
     X(BAD_FLAG, "bad-flag", 400)                   \
@@ -75,13 +74,13 @@
         STATUS_COUNT
 } Status;
 
-/* "unlisted" for a number that a later release may have sent. */
+/* Returns the status's word; "unlisted" for a number that is unknown here, which a later release may send. */
 const char *status_word(Status status);
-/* 500 for an unlisted one. */
+/* Returns the HTTP status; 500 for an unknown number. */
 int status_http(Status status);
-/* Retry-After of a response, in seconds; 0: none is sent. */
+/* Returns the Retry-After of a response, in seconds; 0: the header is not sent. */
 int status_retry_s(Status status);
-/* STATUS_COUNT when there is no such word. */
+/* Returns the status with this word, or STATUS_COUNT when there is none. */
 Status status_of_word(const char *word);
 
 #endif
--- a/packages/base/src/array.c
+++ b/packages/base/src/array.c
@@ -1,16 +1,16 @@
-/* Arrays that grow by one element at a time. */
+/* Growable arrays. */
 #include "base/array.h"
 
 #include <assert.h>
 #include <talloc.h>
 
-#define CAPACITY_FIRST 16 /* count; elements of an array at first */
+#define CAPACITY_INITIAL 16 /* Elements of a new array */
 
 void *array_grow(void *mem, void *items, size_t item_bytes, size_t count, size_t *capacity)
 {
     assert(count <= *capacity);
     if (count < *capacity)
         return items;
-    *capacity = *capacity > 0 ? *capacity * 2 : CAPACITY_FIRST;
+    *capacity = *capacity > 0 ? *capacity * 2 : CAPACITY_INITIAL;
     return talloc_realloc_size(mem, items, *capacity * item_bytes);
 }
--- a/packages/base/src/arrivals.c
+++ b/packages/base/src/arrivals.c
@@ -1,13 +1,13 @@
-/* The usual time from an answer to a peer's next question, and the time after which that is late. */
+/* Estimates the usual time from a response to the peer's next request, and when that request is overdue. */
 #include "base/arrivals.h"
 
-#define GAPS_LEAST 8     /* count; fewer say nothing */
-#define MEAN_PART 8      /* RFC 6298: a new gap counts for one part in 8 of the mean ... */
-#define DEVIATION_PART 4 /* ... and one in 4 of the deviation; ... */
-#define DEVIATIONS 4     /* ... the limit is so many deviations above the mean */
+#define GAPS_MIN 8          /* Fewer observed gaps allow no estimate */
+#define MEAN_DIVISOR 8      /* RFC 6298: a new gap has a weight of 1/8 in the mean */
+#define DEVIATION_DIVISOR 4 /* RFC 6298: a new gap has a weight of 1/4 in the deviation */
+#define DEVIATION_FACTOR 4  /* RFC 6298: the limit is the mean plus 4 deviations */
 #define US_PER_MS 1000
 
-static void gap_take(Arrivals *arrivals, int64_t gap_ms)
+static void gap_observe(Arrivals *arrivals, int64_t gap_ms)
 {
     const int64_t gap_us = gap_ms > 0 ? gap_ms * US_PER_MS : 0;
     const int64_t off_us = gap_us - arrivals->mean_us;
@@ -16,29 +16,29 @@
         arrivals->deviation_us = gap_us / 2;
         return;
     }
-    arrivals->deviation_us += ((off_us < 0 ? -off_us : off_us) - arrivals->deviation_us) / DEVIATION_PART;
-    arrivals->mean_us += off_us / MEAN_PART;
+    arrivals->deviation_us += ((off_us < 0 ? -off_us : off_us) - arrivals->deviation_us) / DEVIATION_DIVISOR;
+    arrivals->mean_us += off_us / MEAN_DIVISOR;
 }
 
 void arrivals_asked(Arrivals *arrivals, int64_t now_ms)
 {
     if (arrivals->pending++ == 0 && arrivals->answered_ms != 0)
-        gap_take(arrivals, now_ms - arrivals->answered_ms);
+        gap_observe(arrivals, now_ms - arrivals->answered_ms);
 }
 
 void arrivals_answered(Arrivals *arrivals, int64_t now_ms)
 {
-    if (arrivals->pending > 0) /* 0: it was asked before all was forgotten */
+    if (arrivals->pending > 0) /* 0 for a request from before the state was reset */
         arrivals->pending--;
     arrivals->answered_ms = now_ms;
 }
 
-/* The longest gap that is usual. */
+/* Upper bound of the usual gap, in ms. */
 static int64_t limit_ms(const Arrivals *arrivals, int64_t least_ms, int64_t most_ms)
 {
-    if (arrivals->count < GAPS_LEAST)
+    if (arrivals->count < GAPS_MIN)
         return most_ms;
-    const int64_t usual_ms = (arrivals->mean_us + DEVIATIONS * arrivals->deviation_us) / US_PER_MS;
+    const int64_t usual_ms = (arrivals->mean_us + DEVIATION_FACTOR * arrivals->deviation_us) / US_PER_MS;
     if (usual_ms < least_ms)
         return least_ms;
     return usual_ms < most_ms ? usual_ms : most_ms;
--- a/packages/base/src/bytes.c
+++ b/packages/base/src/bytes.c
@@ -4,12 +4,12 @@
 #include <string.h>
 #include <talloc.h>
 
-#define BYTES_FIRST 64 /* bytes; capacity of a new buffer */
+#define CAPACITY_INITIAL_BYTES 64 /* Capacity of a new buffer */
 
-/* Makes place for so many more bytes. */
+/* Makes room for count more bytes. */
 static void grow(void *mem, Bytes *bytes, size_t count)
 {
-    size_t capacity = bytes->capacity < BYTES_FIRST ? BYTES_FIRST : bytes->capacity * 2;
+    size_t capacity = bytes->capacity < CAPACITY_INITIAL_BYTES ? CAPACITY_INITIAL_BYTES : bytes->capacity * 2;
     while (capacity < bytes->count + count)
         capacity *= 2;
     bytes_reserve(mem, bytes, capacity);
@@ -48,7 +48,7 @@
 
 uint32_t bytes_crc(const void *data, size_t count)
 {
-    /* Nibble table: small enough to be const, fast enough beside an fdatasync. */
+    /* A table by nibble is small enough to be const, and fast enough compared with an fdatasync. */
     static const uint32_t TABLE[16] = {0x00000000, 0x1db71064, 0x3b6e20c8, 0x26d930ac, 0x76dc4190, 0x6b6b51f4,
                                        0x4db26158, 0x5005713c, 0xedb88320, 0xf00f9344, 0xd6d6a3e8, 0xcb61b38c,
                                        0x9b64c2b0, 0x86d3d2d4, 0xa00ae278, 0xbdbdf21c};
--- a/packages/base/src/failure.c
+++ b/packages/base/src/failure.c
@@ -1,4 +1,4 @@
-/* Failures with their messages. */
+/* Formatting of failures. */
 #include "base/failure.h"
 
 #include <stdarg.h>
--- a/packages/base/src/inside.h
+++ b/packages/base/src/inside.h
@@ -1,8 +1,7 @@
 #ifndef BASE_SRC_INSIDE_H
 #define BASE_SRC_INSIDE_H
 
-/* The flight recorder's data, shared by recorder.c (lines, and when they are written) and
- * log_event.c (events). */
+/* The flight recorder's data, shared by recorder.c (lines and their output) and log_event.c (events). */
 
 #include "base/constants.h"
 #include "base/log_event.h"
@@ -12,41 +11,41 @@
     int64_t at_ms;
     RecorderLevel level;
     RecorderPlace place;
-    const char *event; /* an event's word; null: a line of text */
-    char peer[ID_MAX]; /* an event's peer; empty: none */
+    const char *event; /* word of the event; null: the line is plain text */
+    char peer[ID_MAX]; /* peer of the event; empty: none */
     char text[RECORDER_LINE_BYTES];
 } RecorderLine;
 
-/* Lines that may be logged or written now, at most RECORDER_NOTES_AT_ONCE. */
+/* A token bucket for lines. */
 typedef struct LineBudget {
-    int64_t lines;
-    int64_t added_ms; /* ms; when one was last added to them */
+    int64_t lines;    /* lines that may be logged or written now, at most RECORDER_NOTES_AT_ONCE */
+    int64_t added_ms; /* time at which lines were last added to the budget */
 } LineBudget;
 
-/* What was logged of one event. */
-typedef struct EventBound {
+/* The rate limit on the lines of one event. */
+typedef struct EventLimit {
     LineBudget budget;
-    uint64_t passed_over; /* since the last line of it */
-} EventBound;
+    uint64_t suppressed; /* lines of the event that were not logged since the last one that was */
+} EventLimit;
 
 struct Recorder {
     const char *node;
-    bool quiet;
-    RecorderLevel least;
+    bool quiet;          /* no line is written */
+    RecorderLevel least; /* lines below this level wait for one at or above it */
     RecorderPlaceFn place_of;
     void *place_arg;
-    uint64_t said;    /* lines ever logged; line n is at n % RECORDER_LINES */
-    uint64_t written; /* lines ever written out, or given up: written <= said */
-    LineBudget notes; /* notes that may be written now */
-    EventBound events[LOG_EVENT_COUNT];
+    uint64_t logged;  /* lines ever logged; line n is at n % RECORDER_LINES */
+    uint64_t written; /* lines ever written, or overwritten before that: written <= logged */
+    LineBudget notes; /* rate limit on the output of notes */
+    EventLimit events[LOG_EVENT_COUNT];
     RecorderLine lines[RECORDER_LINES];
 };
 
-/* Takes one line of the budget; false: there is none at this time. */
+/* Takes one line from the budget; returns false when it is exhausted at this time. */
 bool line_budget_take(LineBudget *budget, int64_t at_ms);
-/* A new line, empty, at the recorder's place; it is the recorder's until the next one is added. */
+/* Adds an empty line at the recorder's place. The recorder owns it; it is valid until it is overwritten. */
 RecorderLine *recorder_line_add(Recorder *recorder, RecorderLevel level, int64_t at_ms);
-/* Writes out what may be written now that this line has been logged. */
+/* Writes the lines that may be written once the newest one has been logged. */
 void recorder_lines_write(Recorder *recorder, const RecorderLine *newest);
 
 #endif
--- a/packages/base/src/invariant.c
+++ b/packages/base/src/invariant.c
@@ -1,4 +1,4 @@
-/* Broken invariants: what is written, and the end of the process. */
+/* Reports a violated invariant and aborts the process. */
 #include "base/invariant.h"
 
 #include <stdio.h>
@@ -19,7 +19,7 @@
 
 _Noreturn void invariant_broken(Invariant invariant, const char *file, int line)
 {
-    fprintf(stderr, "invariant-broken %s: not so at %s:%d: %s; the process stops\n", invariant_word(invariant), file,
+    fprintf(stderr, "invariant-broken %s: violated at %s:%d: %s; the process aborts\n", invariant_word(invariant), file,
             line, (unsigned)invariant < INVARIANT_COUNT ? ROWS[invariant].what : "");
     fflush(stderr);
     abort();
--- a/packages/base/src/log_event.c
+++ b/packages/base/src/log_event.c
@@ -1,4 +1,4 @@
-/* Control events: their words, levels and messages, and how many lines of each are logged. */
+/* Control events: their words, levels and messages, and the rate limit on the lines of each. */
 #include "base/log_event.h"
 
 #include <assert.h>
@@ -19,15 +19,17 @@
     return EVENTS[event].word;
 }
 
-static void text_print(RecorderLine *line, const char *message, uint64_t passed_over, const char *text)
+/* Composes the line's text: the message, the number of suppressed lines, the free text. */
+static void text_print(RecorderLine *line, const char *message, uint64_t suppressed, const char *text)
 {
-    char before[LOG_TEXT_BYTES] = "";
-    if (passed_over > 0)
-        snprintf(before, sizeof(before), " (%" PRIu64 " before it were passed over)", passed_over);
-    snprintf(line->text, sizeof(line->text), "%s%s%s%s", message, before, text != NULL ? ": " : "",
+    char count[LOG_TEXT_BYTES] = "";
+    if (suppressed > 0)
+        snprintf(count, sizeof(count), " (%" PRIu64 " before it were passed over)", suppressed);
+    snprintf(line->text, sizeof(line->text), "%s%s%s%s", message, count, text != NULL ? ": " : "",
              text != NULL ? text : "");
 }
 
+/* Sets the line's peer: the name, or the disk id in hexadecimal. */
 static void peer_print(RecorderLine *line, const LogFields *fields)
 {
     if (fields->peer != NULL)
@@ -39,9 +41,9 @@
 void log_event(Recorder *recorder, LogEvent event, int64_t at_ms, const LogFields *fields)
 {
     assert((unsigned)event < LOG_EVENT_COUNT);
-    EventBound *bound = &recorder->events[event];
-    if (!line_budget_take(&bound->budget, at_ms)) {
-        bound->passed_over++;
+    EventLimit *limit = &recorder->events[event];
+    if (!line_budget_take(&limit->budget, at_ms)) {
+        limit->suppressed++;
         return;
     }
     RecorderLine *line = recorder_line_add(recorder, EVENTS[event].level, at_ms);
@@ -50,8 +52,8 @@
         line->place.term = fields->term;
     if (fields->index != 0)
         line->place.index = fields->index;
-    text_print(line, EVENTS[event].message, bound->passed_over, fields->text);
+    text_print(line, EVENTS[event].message, limit->suppressed, fields->text);
     peer_print(line, fields);
-    bound->passed_over = 0;
+    limit->suppressed = 0;
     recorder_lines_write(recorder, line);
 }
--- a/packages/base/src/map.c
+++ b/packages/base/src/map.c
@@ -1,4 +1,4 @@
-/* A hash table from text to any value, on GLib's. */
+/* The map, implemented on GLib's hash table. */
 #include "base/map.h"
 
 #include <glib.h>
--- a/packages/base/src/recorder.c
+++ b/packages/base/src/recorder.c
@@ -1,4 +1,4 @@
-/* The flight recorder: lines kept in memory, and what of them is written out, when. */
+/* The flight recorder: keeps lines in memory, and decides when they are written. */
 #define G_LOG_DOMAIN "spancart"
 #include "base/recorder.h"
 
@@ -51,18 +51,19 @@
     return false;
 }
 
-/* The first line from that one on that is still kept. */
+/* Returns the number of the first line, at or after from, that is still in memory. */
 static uint64_t recorder_first(const Recorder *recorder, uint64_t from)
 {
-    return recorder->said > RECORDER_LINES && from < recorder->said - RECORDER_LINES ? recorder->said - RECORDER_LINES
-                                                                                     : from;
+    return recorder->logged > RECORDER_LINES && from < recorder->logged - RECORDER_LINES
+               ? recorder->logged - RECORDER_LINES
+               : from;
 }
 
-#define NUMBER_BYTES 24 /* bytes; any 64 bits in decimal */
+#define NUMBER_BYTES 24 /* Any 64-bit number in decimal */
 
-#define PLACE_BYTES (3 * NUMBER_BYTES) /* bytes; " term=T index=I" */
+#define PLACE_BYTES (3 * NUMBER_BYTES) /* " term=T index=I" */
 
-/* The place as it stands in a line; empty where there is none. An event may have a term and no index. */
+/* Formats the line's place; the result is empty when there is none. An event may have a term without an index. */
 static void place_print(char to[PLACE_BYTES], const RecorderLine *line)
 {
     const RecorderPlace *place = &line->place;
@@ -73,9 +74,9 @@
         snprintf(to, PLACE_BYTES, " term=%" PRIu64, place->term);
 }
 
-#define MESSAGE_BYTES (3 * RECORDER_LINE_BYTES) /* bytes; a line with all its fields */
+#define MESSAGE_BYTES (3 * RECORDER_LINE_BYTES) /* A line with all its fields */
 
-/* The line as it is written: an event's fields follow its message. */
+/* Formats the line for output: the fields of an event follow its message. */
 static void message_print(char message[MESSAGE_BYTES], const char *node, const RecorderLine *line)
 {
     char place[PLACE_BYTES];
@@ -88,7 +89,7 @@
                  line->event, line->text, place, node, line->peer[0] != '\0' ? " peer=" : "", line->peer);
 }
 
-/* Hands one line to GLib's log writer. */
+/* Passes one line to GLib's log writer. */
 static void line_write(const char *node, const RecorderLine *line)
 {
     char at_ms[NUMBER_BYTES], term[NUMBER_BYTES], index[NUMBER_BYTES];
@@ -107,8 +108,8 @@
         {"AT_MS", at_ms, -1},
         {"TERM", term, -1},
         {"INDEX", index, -1},
-        {"EVENT", line->event, -1}, /* an event's only; ... */
-        {"PEER", line->peer, -1},   /* ... the last two */
+        {"EVENT", line->event, -1}, /* EVENT and PEER are the last two fields: only events have them */
+        {"PEER", line->peer, -1},
     };
     const gsize count = sizeof(fields) / sizeof(fields[0]);
     g_log_structured_array(level, fields, line->event != NULL ? count : count - 2);
@@ -127,8 +128,8 @@
     return true;
 }
 
-/* Lines that were overwritten before they could be written. */
-static void missed_write(Recorder *recorder, int64_t at_ms)
+/* Writes a line with the number of lines that were overwritten before they could be written, if there are any. */
+static void overwritten_count_write(Recorder *recorder, int64_t at_ms)
 {
     const uint64_t first = recorder_first(recorder, recorder->written);
     if (first == recorder->written)
@@ -141,7 +142,7 @@
 
 RecorderLine *recorder_line_add(Recorder *recorder, RecorderLevel level, int64_t at_ms)
 {
-    RecorderLine *line = &recorder->lines[recorder->said++ % RECORDER_LINES];
+    RecorderLine *line = &recorder->lines[recorder->logged++ % RECORDER_LINES];
     line->at_ms = at_ms;
     line->level = level;
     line->place = recorder->place_of != NULL ? recorder->place_of(recorder->place_arg) : (RecorderPlace){0};
@@ -155,10 +156,10 @@
     const int64_t at_ms = newest->at_ms;
     if (newest->level < recorder->least || recorder->quiet)
         return;
-    while (recorder->written < recorder->said) {
+    while (recorder->written < recorder->logged) {
         if (newest->level == RECORDER_NOTE && !line_budget_take(&recorder->notes, at_ms))
             return;
-        missed_write(recorder, at_ms);
+        overwritten_count_write(recorder, at_ms);
         line_write(recorder->node, &recorder->lines[recorder->written++ % RECORDER_LINES]);
     }
 }
@@ -173,7 +174,7 @@
     recorder_lines_write(recorder, line);
 }
 
-/* The line as recorder_text has it, at the end of the text. */
+/* Appends the line to the text, in the format of recorder_text. */
 static char *line_append(char *text, const char *node, const RecorderLine *line)
 {
     text = talloc_asprintf_append(text, "%10" PRId64 " %-10s %-5s ", line->at_ms, node, LEVELS[line->level]);
@@ -188,7 +189,7 @@
 char *recorder_text(const Recorder *recorder, void *mem)
 {
     char *text = talloc_strdup(mem, "");
-    for (uint64_t i = recorder_first(recorder, 0); i < recorder->said; i++)
+    for (uint64_t i = recorder_first(recorder, 0); i < recorder->logged; i++)
         text = line_append(text, recorder->node, &recorder->lines[i % RECORDER_LINES]);
     return text;
 }
--- a/packages/base/src/status.c
+++ b/packages/base/src/status.c
@@ -1,4 +1,4 @@
-/* Words and HTTP statuses of the types of failures. */
+/* Words, HTTP statuses and retry times of status codes. */
 #include "base/status.h"
 
 #include <string.h>
--- a/packages/base/test/draw.h
+++ b/packages/base/test/draw.h
@@ -1,11 +1,11 @@
 #ifndef BASE_TEST_DRAW_H
 #define BASE_TEST_DRAW_H
 
-/* Random numbers for tests that draw their cases: the same seed draws the same ones. */
+/* Pseudo-random numbers for randomized tests: the same seed gives the same sequence. */
 
 #include <stdint.h>
 
-/* From 0 up to below, which must not be 0; the seed moves on. */
+/* Returns a number from 0 to below - 1 and advances the seed. below must not be 0. */
 static inline uint64_t draw(uint64_t *seed, uint64_t below)
 {
     *seed = *seed * 6364136223846793005u + 1442695040888963407u;
--- a/packages/base/test/invariant.c
+++ b/packages/base/test/invariant.c
@@ -1,4 +1,5 @@
-/* A broken invariant ends the process in every build, before it goes on by a wrong state, and says which one it was. */
+/* A violated invariant aborts the process in every build, before it continues with a wrong state, and is named in the
+ * output. */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -22,30 +23,30 @@
     siglongjmp(aborted, number);
 }
 
-/* Runs the function with memory of its own, which must end by SIGABRT; text: what was written to standard error
- * meanwhile. */
-static void must_stop(void (*run)(void *mem), char *text, size_t size)
+/* Runs the function, which must end in SIGABRT, on talloc memory that is freed afterwards. text receives what was
+ * written to standard error meanwhile. */
+static void must_abort(void (*run)(void *mem), char *text, size_t size)
 {
-    int ends[2];
+    int pipe_fds[2];
     void *mem = talloc_new(NULL);
-    assert_int_equal(pipe(ends), 0);
+    assert_int_equal(pipe(pipe_fds), 0);
     const int saved = dup(STDERR_FILENO);
-    dup2(ends[1], STDERR_FILENO);
+    dup2(pipe_fds[1], STDERR_FILENO);
     void (*const before)(int) = signal(SIGABRT, on_abort);
     if (sigsetjmp(aborted, 1) == 0) {
         run(mem);
         signal(SIGABRT, before);
         dup2(saved, STDERR_FILENO);
-        fail_msg("it went on");
+        fail_msg("the process did not abort");
     }
     signal(SIGABRT, before);
     talloc_free(mem);
     dup2(saved, STDERR_FILENO);
-    const ssize_t count = read(ends[0], text, size - 1);
+    const ssize_t count = read(pipe_fds[0], text, size - 1);
     text[count > 0 ? count : 0] = '\0';
     close(saved);
-    close(ends[0]);
-    close(ends[1]);
+    close(pipe_fds[0]);
+    close(pipe_fds[1]);
 }
 
 static void promise_lower(void *mem)
@@ -59,7 +60,7 @@
 {
     (void)state;
     char text[256];
-    must_stop(promise_lower, text, sizeof(text));
+    must_abort(promise_lower, text, sizeof(text));
     assert_non_null(strstr(text, "invariant-broken promise-rises: "));
     assert_non_null(strstr(text, "lock.c:"));
 }
@@ -75,7 +76,7 @@
 {
     (void)state;
     char text[256];
-    must_stop(entry_skip, text, sizeof(text));
+    must_abort(entry_skip, text, sizeof(text));
     assert_non_null(strstr(text, "invariant-broken log-order: "));
 }
 
--- a/packages/base/test/log_event.c
+++ b/packages/base/test/log_event.c
@@ -1,4 +1,4 @@
-/* Control events: their fields, the bound on their lines, and that docs/oncall.md has a row for each. */
+/* Tests of control events: their fields, the rate limit on their lines, and their rows in docs/oncall.md. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,7 +15,7 @@
 #define LINES_MOST 200
 #define FIELD_BYTES (3 * RECORDER_LINE_BYTES)
 
-/* One written line's fields; empty where the line does not have one. */
+/* The fields of one written line; a missing field is empty. */
 typedef struct Line {
     char message[FIELD_BYTES], event[FIELD_BYTES], node[FIELD_BYTES], peer[FIELD_BYTES];
     char term[FIELD_BYTES], index[FIELD_BYTES], level[FIELD_BYTES], at_ms[FIELD_BYTES];
@@ -36,19 +36,19 @@
     const struct {
         const char *key;
         char *to;
-    } kept[] = {
+    } copied[] = {
         {"MESSAGE", line->message}, {"EVENT", line->event}, {"NODE", line->node},   {"PEER", line->peer},
         {"TERM", line->term},       {"INDEX", line->index}, {"LEVEL", line->level}, {"AT_MS", line->at_ms},
     };
     for (gsize i = 0; i < count; i++)
-        for (size_t k = 0; k < sizeof(kept) / sizeof(kept[0]); k++)
-            if (strcmp(fields[i].key, kept[k].key) == 0)
-                snprintf(kept[k].to, FIELD_BYTES, "%s", (const char *)fields[i].value);
+        for (size_t k = 0; k < sizeof(copied) / sizeof(copied[0]); k++)
+            if (strcmp(fields[i].key, copied[k].key) == 0)
+                snprintf(copied[k].to, FIELD_BYTES, "%s", (const char *)fields[i].value);
     return G_LOG_WRITER_HANDLED;
 }
 
-/* The lines written from now on. */
-static Written *written_new(void **state)
+/* Clears the written lines and returns them. */
+static Written *written_clear(void **state)
 {
     Written *written = *state;
     written->count = 0;
@@ -57,7 +57,7 @@
 
 static void event_has_its_fields(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "controller1");
     log_event(recorder, LOG_VOTER_OUT, 1500,
               &(LogFields){.term = 7, .index = 4001, .peer_disk = 0x5b6182ee279161acu, .text = "silent"});
@@ -73,9 +73,9 @@
     assert_int_equal(line->priority, G_LOG_LEVEL_WARNING);
     assert_string_equal(line->message, "1500 alert voter-out commits wait no longer for the voter: silent term=7 "
                                        "index=4001 node=controller1 peer=5b6182ee279161ac");
-    const char *kept = recorder_text(recorder, recorder);
-    assert_non_null(strstr(kept, "controller1 alert voter-out commits wait no longer for the voter: silent term=7 "
-                                 "index=4001 peer=5b6182ee279161ac\n"));
+    const char *recorded = recorder_text(recorder, recorder);
+    assert_non_null(strstr(recorded, "controller1 alert voter-out commits wait no longer for the voter: silent term=7 "
+                                     "index=4001 peer=5b6182ee279161ac\n"));
     talloc_free(recorder);
 }
 
@@ -85,10 +85,10 @@
     return (RecorderPlace){.term = 7, .index = 4001};
 }
 
-/* What the caller leaves out is the recorder's place, or not there at all. */
+/* Fields that the caller leaves out are taken from the recorder's place, or are missing. */
 static void fields_left_out(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "entry1");
     log_event(recorder, LOG_FRAME_BAD, 2, &(LogFields){0});
     recorder_set_place(recorder, place_seven, NULL);
@@ -108,21 +108,21 @@
     talloc_free(recorder);
 }
 
-/* The bound holds for each event by itself, by the clock that is passed in, and for alerts too. */
+/* The rate limit holds for each event separately, by the clock that is passed in, and for alerts too. */
 static void lines_of_an_event_are_bounded(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "controller1");
     for (int i = 0; i < RECORDER_NOTES_AT_ONCE + 7; i++)
         log_event(recorder, LOG_WORKER_LOST, 10, &(LogFields){.peer = "worker1"});
     assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE);
     log_event(recorder, LOG_WORKER_LOST, RECORDER_NOTE_GAP_MS - 1, &(LogFields){.peer = "worker1"});
     assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE);
-    /* another event is not held up */
+    /* another event is not limited */
     log_event(recorder, LOG_DISK_FAILED, RECORDER_NOTE_GAP_MS - 1, &(LogFields){0});
     assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE + 1);
     assert_string_equal(written->lines[RECORDER_NOTES_AT_ONCE].event, "disk-failed");
-    /* the next one tells what was passed over, the one after it does not again */
+    /* the next line gives the number of suppressed lines; the one after it does not repeat it */
     log_event(recorder, LOG_WORKER_LOST, 2 * RECORDER_NOTE_GAP_MS, &(LogFields){.peer = "worker2"});
     log_event(recorder, LOG_WORKER_LOST, 2 * RECORDER_NOTE_GAP_MS, &(LogFields){.peer = "worker3"});
     log_event(recorder, LOG_WORKER_LOST, 2 * RECORDER_NOTE_GAP_MS, &(LogFields){.peer = "worker4"});
@@ -137,13 +137,13 @@
 
 static void notes_wait_for_their_level(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "controller1");
     recorder_set_level(recorder, RECORDER_ALERT);
     log_event(recorder, LOG_ELECTION_WON, 1, &(LogFields){.term = 2, .text = "2 voters"});
     assert_int_equal(written->count, 0);
     log_event(recorder, LOG_LEADER_LEASE_LAPSED, 2, &(LogFields){.term = 2});
-    assert_int_equal(written->count, 2); /* the note says what came before, with its fields */
+    assert_int_equal(written->count, 2); /* the earlier note is written as well, with its fields */
     assert_string_equal(written->lines[0].event, "election-won");
     assert_string_equal(written->lines[0].term, "2");
     assert_string_equal(written->lines[1].event, "leader-lease-lapsed");
@@ -154,10 +154,10 @@
     talloc_free(recorder);
 }
 
-/* A long free text is cut; the fields stay whole. */
+/* A long free text is truncated; the fields are not. */
 static void long_text_keeps_the_fields(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "controller1");
     char text[2 * RECORDER_LINE_BYTES], peer[ID_MAX];
     memset(text, 'x', sizeof(text) - 1);
@@ -173,7 +173,7 @@
     talloc_free(recorder);
 }
 
-/* Each event has a row in the section of docs/oncall.md, and the section has no other rows. */
+/* Each event has one row in the section "Log events" of docs/oncall.md, and the section has no other rows. */
 static void documented(void **state)
 {
     (void)state;
--- a/packages/base/test/recorder.c
+++ b/packages/base/test/recorder.c
@@ -1,4 +1,4 @@
-/* What a ring writes through GLib's log, when, and how much of it. */
+/* Tests of the flight recorder: what it writes through GLib's log, when, and how much. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -57,8 +57,8 @@
     return (RecorderPlace){.term = 7, .index = 4001};
 }
 
-/* The lines written since the last time it was asked. */
-static Written *written_new(void **state)
+/* Clears the written lines and returns them. */
+static Written *written_clear(void **state)
 {
     Written *written = *state;
     memset(written, 0, sizeof(*written));
@@ -67,7 +67,7 @@
 
 static void line_has_its_fields(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "one");
     recorder_set_place(recorder, place_seven, NULL);
     recorder_write(recorder, RECORDER_NOTE, 1500, "leads with %d", 3);
@@ -84,7 +84,7 @@
 
 static void line_without_place_has_term_zero(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "gate");
     recorder_write(recorder, RECORDER_ALERT, 2, "lost");
     assert_int_equal(written->count, 1);
@@ -95,16 +95,16 @@
 
 static void notes_are_bounded_alerts_are_not(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "one");
     for (int i = 0; i < 100; i++)
         recorder_write(recorder, RECORDER_NOTE, 10, "note %d", i);
     assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE);
-    /* one more for each gap, in order */
+    /* one more note is written for each RECORDER_NOTE_GAP_MS, in order */
     recorder_write(recorder, RECORDER_NOTE, 10 + 2 * RECORDER_NOTE_GAP_MS, "note 100");
     assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE + 2);
     assert_non_null(strstr(written->lines[RECORDER_NOTES_AT_ONCE + 1].message, "note 21"));
-    /* an alert doesn't wait, and comes after all that does */
+    /* an alert is written at once, after all waiting lines */
     recorder_write(recorder, RECORDER_ALERT, 10 + 2 * RECORDER_NOTE_GAP_MS, "now");
     assert_int_equal(written->count, 102);
     assert_non_null(strstr(written->lines[101].message, "alert now"));
@@ -113,11 +113,11 @@
 
 static void overwritten_lines_are_counted(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     Recorder *recorder = recorder_new(NULL, "one");
     for (int i = 0; i < RECORDER_NOTES_AT_ONCE + RECORDER_LINES + 5; i++)
         recorder_write(recorder, RECORDER_NOTE, 10, "note %d", i);
-    recorder_write(recorder, RECORDER_ALERT, 10, "now"); /* overwrites one more */
+    recorder_write(recorder, RECORDER_ALERT, 10, "now"); /* overwrites one more line */
     assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE + 1 + RECORDER_LINES);
     assert_non_null(strstr(written->lines[RECORDER_NOTES_AT_ONCE].message, " 6 lines were not written"));
     talloc_free(recorder);
@@ -125,7 +125,7 @@
 
 static void lower_levels_wait_and_quiet_is_silent(void **state)
 {
-    Written *written = written_new(state);
+    Written *written = written_clear(state);
     RecorderLevel level = RECORDER_NOTE;
     assert_true(recorder_level_of_word("alert", &level));
     assert_int_equal(level, RECORDER_ALERT);
@@ -137,7 +137,7 @@
     recorder_write(recorder, RECORDER_NOTE, 1, "kept");
     assert_int_equal(written->count, 0);
     recorder_write(recorder, RECORDER_ALERT, 1, "now");
-    assert_int_equal(written->count, 2); /* the note says what came before */
+    assert_int_equal(written->count, 2); /* the earlier note is written as well */
     recorder_quiet(recorder);
     recorder_write(recorder, RECORDER_FATAL, 1, "unheard");
     assert_int_equal(written->count, 2);
