--- a/packages/loop/include/loop/inside.h
+++ b/packages/loop/include/loop/inside.h
@@ -1,44 +1,45 @@
 #ifndef LOOP_INSIDE_H
 #define LOOP_INSIDE_H
 
-/* What the two implementations of the loop share: the scheduler of coroutines and timers (task.c, timers.c), the
- * queue of received frames (channel.c). Only they include this; node code uses loop/loop.h. */
+/* Code shared by the two implementations of the loop: the scheduler of coroutines and timers (task.c, timers.c) and the
+ * queue of received frames (channel.c). Only the implementations include this header; node code uses loop/loop.h. */
 
 #include "loop/loop.h"
 
-/* A task that is to be woken at a time. A timer whose wakes is not its task's is stale: the task has been woken by
+/* Wakes a task at a given time. A timer whose wake_count differs from its task's is stale: the task has been woken by
  * something else since. */
 typedef struct Timer {
     int64_t when_ms;
-    uint64_t order;
+    uint64_t sequence; /* order of creation */
     Task *task;
-    uint64_t wakes; /* those of the task when it began to wait */
+    uint64_t wake_count; /* the task's wake_count when it began to wait */
 } Timer;
 
-/* Common part of both implementations, the first member of theirs.
- * Invariants: the ready list holds each task at most once; timers is a heap by (when_ms, order); tasks holds all tasks
- * that were spawned and have not ended. */
+/* Common part of both implementations, which have it as their first member.
+ * Invariants: the ready list holds each task at most once; timers is a heap by (when_ms, sequence); tasks holds all
+ * tasks that were spawned and have not ended. */
 struct Loop {
     const LoopOps *ops;
     bool stopping;
-    Task *current; /* the task that runs now; null: the loop itself */
+    Task *current; /* the running task; null: the loop itself runs */
     Task *tasks;
     Task *ready_first, *ready_last;
     Timer *timers;
     size_t timer_count, timer_capacity;
-    uint64_t timer_order;
-    void *stacks[TASK_STACKS_IDLE_MOST]; /* of ended tasks, for reuse */
-    size_t stack_count;
+    uint64_t next_timer_sequence;
+    void *idle_stacks[TASK_STACKS_IDLE_MOST]; /* stacks of ended tasks, for reuse */
+    size_t idle_stack_count;
 };
 
+/* A received frame in a channel's queue. */
 typedef struct Frame {
     struct Frame *next;
     Bytes bytes;
 } Frame;
 
-/* Invariants: frames are in order of arrival; none is added once closed; queued counts the bytes given to
- * channel_send, handed those of them that may have left the process, written those that have: written <= handed <=
- * queued. */
+/* Invariants: frames are in order of arrival; none is added once the channel is closed; queued counts the bytes passed
+ * to channel_send, handed those of them that may have left the process, and written those that have left it:
+ * written <= handed <= queued. */
 struct Channel {
     Loop *loop;
     bool closed;
@@ -52,23 +53,23 @@
     Loop *loop;
 };
 
-/* loop is zeroed memory of the implementation. */
+/* Initialises a loop, which is zeroed memory of the implementation. */
 void loop_init(Loop *loop, const LoopOps *ops);
-/* Drops every task without running it; what a task owned is on talloc memory. */
+/* Discards every task without running it; all that a task owns is on talloc memory. */
 void loop_end(Loop *loop);
-/* Runs all tasks that are ready or whose timer is due, until none is left. */
+/* Runs all tasks that are ready or whose timer is due, until there are none. */
 void loop_run(Loop *loop);
-/* When loop_run has to be called next; INT64_MAX: not before something else happens. */
+/* Returns the time at which loop_run must be called next; INT64_MAX: only after another event. */
 int64_t loop_next_ms(Loop *loop);
 
-/* Adds a timer that wakes task at when_ms, unless it has been woken since wakes was read. */
-void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t wakes);
+/* Adds a timer that wakes the task at when_ms, unless it has been woken since wake_count was read. */
+void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t wake_count);
 /* Removes the earliest timer. There must be one. */
-void timer_drop(Loop *loop);
+void timer_pop(Loop *loop);
 
-/* A frame has arrived; it is copied. No effect once the channel has ended. */
+/* Appends a copy of a received frame to the channel's queue. No effect once the channel has ended. */
 void channel_arrive(Channel *channel, Bytes frame);
-/* The connection is over: the reader gets what had arrived, then CLOSED. */
+/* Marks the connection as ended: the reader gets the frames that have arrived, then CLOSED. */
 void channel_end(Channel *channel);
 
 #endif
--- a/packages/loop/src/channel.c
+++ b/packages/loop/src/channel.c
@@ -1,4 +1,4 @@
-/* Connections: the queue of received frames, and what both implementations do alike. */
+/* Connections: the queue of received frames, and the code that both implementations share. */
 #include <talloc.h>
 
 #include "loop/inside.h"
--- a/packages/loop/src/file.c
+++ b/packages/loop/src/file.c
@@ -1,4 +1,4 @@
-/* Files: node code's calls, passed on to the implementation. */
+/* Files: passes calls of node code to the implementation of the loop. */
 #include "loop/inside.h"
 
 Status file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
@@ -23,7 +23,7 @@
 
 Status file_hint_write(File *file, Bytes bytes)
 {
-    return bytes.count <= FILE_HINT_MOST ? file->loop->ops->hint_write(file, bytes) : STATUS_DISK_FAILED;
+    return bytes.count <= FILE_HINT_MAX_BYTES ? file->loop->ops->hint_write(file, bytes) : STATUS_DISK_FAILED;
 }
 
 Status file_hint_read(File *file, void *mem, Bytes *content)
--- a/packages/loop/src/http.c
+++ b/packages/loop/src/http.c
@@ -1,4 +1,4 @@
-/* HTTP: node code's calls, passed on to the implementation, and the reading of headers. */
+/* HTTP: passes calls of node code to the implementation of the loop, and reads headers. */
 #include <string.h>
 #include <talloc.h>
 
@@ -54,7 +54,7 @@
 {
     if (text == NULL)
         return "";
-    /* an address in brackets holds colons of its own */
+    /* an IPv6 address in brackets contains colons */
     const char *from = text[0] == '[' ? strchrnul(text, ']') : text;
     char *host = talloc_strndup(mem, text, (size_t)(strchrnul(from, ':') - text));
     for (char *at = host; *at != '\0'; at++)
--- a/packages/loop/src/real.c
+++ b/packages/loop/src/real.c
@@ -1,4 +1,4 @@
-/* The real loop: clocks, random numbers, process signals, and the turns of h2o's event loop. */
+/* The real loop: clocks, random numbers, process signals, and running h2o's event loop. */
 #include "real.h"
 
 #include <pthread.h>
@@ -31,23 +31,24 @@
 
 static uint64_t real_random(Loop *loop)
 {
-    GRand *draw = ((RealLoop *)loop)->draw;
-    const uint64_t high = g_rand_int(draw);
-    return high << 32 | g_rand_int(draw);
+    GRand *random = ((RealLoop *)loop)->random;
+    const uint64_t high = g_rand_int(random);
+    return high << 32 | g_rand_int(random);
 }
 
-/* Ids of disks and clusters are drawn: no two processes may start from the same seed. */
-static GRand *draw_new(void)
+/* Creates a generator with a random seed: ids of disks and clusters are random, so no two processes may have the same
+ * seed. */
+static GRand *random_new(void)
 {
     guint32 seed[16];
     if (getrandom(seed, sizeof(seed), 0) != (ssize_t)sizeof(seed))
-        abort(); /* the kernel never refuses so few bytes once it has booted */
+        abort(); /* the kernel never refuses a request of this size once its generator is initialised */
     return g_rand_new_with_seed_array(seed, sizeof(seed) / sizeof(seed[0]));
 }
 
 static void real_arm(Loop *loop, int64_t when_ms)
 {
-    /* real_loop_run asks loop_next_ms before each turn */
+    /* not needed: real_loop_run calls loop_next_ms before each turn */
     (void)loop;
     (void)when_ms;
 }
@@ -63,7 +64,7 @@
     RealLoop *real = talloc_zero(mem, RealLoop);
     loop_init(&real->loop, &REAL_OPS);
     real->evloop = h2o_evloop_create();
-    real->draw = draw_new();
+    real->random = random_new();
     real->queue = h2o_multithread_create_queue(real->evloop);
     h2o_multithread_register_receiver(real->queue, &real->disk_done, real_disk_done);
     h2o_multithread_register_receiver(real->queue, &real->host_done, h2o_hostinfo_getaddr_receiver);
@@ -92,7 +93,7 @@
     }
     if (real->on_term != NULL)
         loop_spawn(&real->loop, "term", real->on_term, real->on_term_arg);
-    real->on_term = NULL; /* once */
+    real->on_term = NULL; /* only the first signal has an effect */
 }
 
 void real_loop_on_user(Loop *loop, TaskFn fn, void *arg)
--- a/packages/loop/src/real.h
+++ b/packages/loop/src/real.h
@@ -9,30 +9,32 @@
 #include "loop/inside.h"
 #include "loop/real.h"
 
-/* State and functions that the files of the real loop share: real_socket.c; on it real_channel.c
- * (connections), real_serve.c (HTTP server), real_call.c (HTTP client) and real_disk.c (files); on those real.c. */
+/* State and functions that the files of the real loop share. real_channel.c (connections), real_serve.c (HTTP server),
+ * real_call.c (HTTP client) and real_disk.c (files) use real_socket.c; real.c uses all of them. */
 
 typedef struct RealLoop {
-    Loop loop; /* first: a Loop is a RealLoop */
+    Loop loop; /* first member, so that a Loop can be cast to a RealLoop */
     h2o_loop_t *evloop;
-    GRand *draw; /* random numbers */
-    h2o_multithread_queue_t *queue;
-    h2o_multithread_receiver_t disk_done;
-    h2o_multithread_receiver_t host_done;
-    /* HTTP service; config stays null until the first loop_serve */
+    GRand *random;
+    h2o_multithread_queue_t *queue;       /* messages from other threads */
+    h2o_multithread_receiver_t disk_done; /* disk jobs that the threads have completed */
+    h2o_multithread_receiver_t host_done; /* results of h2o's host lookups */
+    /* HTTP server; config is zero until the first loop_serve */
     h2o_globalconf_t config;
     h2o_context_t context;
     h2o_accept_ctx_t accept;
     bool serving;
-    bool leaving;
+    bool leaving;                     /* graceful shutdown has begun */
     size_t http_tasks;                /* requests in progress, at most HTTP_TASKS_MAX */
-    HttpLimits limits;                /* none is 0 once it serves */
+    HttpLimits limits;                /* no field is 0 once the server is started */
     struct RealChannel *flush_first;  /* channels with frames to write at the end of this turn */
-    struct CallerConnection *callers; /* the callers' connections */
-    size_t caller_count;              /* of them */
-    int64_t swept_ms;                 /* when unfinished heads were last looked for */
+    struct CallerConnection *callers; /* list of the callers' connections */
+    size_t caller_count;              /* length of that list */
+    int64_t swept_ms;                 /* time of the last search for incomplete heads */
+    /* HTTP client */
     h2o_timeout_t call_timeout;
     h2o_http1client_ctx_t client;
+    /* handlers of process signals; null: none */
     TaskFn on_term;
     void *on_term_arg;
     TaskFn on_user;
@@ -41,22 +43,23 @@
     void *on_hup_arg;
 } RealLoop;
 
-/* Splits "a.b.c.d:port"; false: it is not one. */
+/* Parses "a.b.c.d:port"; returns false when the address is malformed. */
 bool real_address(const char *address, struct sockaddr_in *sin);
-/* A listening socket; the address in use is written to bound. Null: why is in failure. */
+/* Returns a listening socket and writes the address in use to bound; returns null, with the text in failure, when it
+ * cannot listen. */
 h2o_socket_t *real_bind(RealLoop *real, const char *address, h2o_socket_cb on_accept, void *data, char *bound,
                         Failure *failure);
 
-/* Sets the time-outs after which a connection ends whose peer's machine does not answer any more. Connections that a
- * listening socket accepts inherit them. */
-void real_patience(int fd);
+/* Sets TCP_NODELAY and the timeouts after which a connection ends when its peer's machine does not respond any more.
+ * Connections that a listening socket accepts inherit them. */
+void real_set_timeouts(int fd);
 
 /* real_channel.c */
 Status real_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
 Status real_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
 Status real_send(Channel *channel, Bytes frame);
 void real_shut(Channel *channel);
-/* Writes what was queued in this turn of the loop. */
+/* Writes the frames that were queued in this turn of the loop. */
 void real_flush(RealLoop *real);
 
 /* real_serve.c */
@@ -64,7 +67,7 @@
 void real_limit(Loop *loop, const HttpLimits *limits);
 void real_leave(Loop *loop);
 size_t real_busy(const Loop *loop);
-/* Closes connections whose request head has been incomplete for too long. */
+/* Closes connections whose request head has been incomplete for longer than the limit. */
 void real_serve_sweep(RealLoop *real);
 
 /* real_call.c */
@@ -77,7 +80,7 @@
 Status real_file_replace(File *file, Bytes bytes);
 Status real_hint_write(File *file, Bytes bytes);
 Status real_hint_read(File *file, void *mem, Bytes *content);
-/* Wakes the tasks whose disk jobs the threads have done. */
+/* Wakes the tasks whose disk jobs the threads have completed. */
 void real_disk_done(h2o_multithread_receiver_t *receiver, h2o_linklist_t *messages);
 
 #endif
--- a/packages/loop/src/real_call.c
+++ b/packages/loop/src/real_call.c
@@ -1,4 +1,4 @@
-/* HTTP requests by h2o's HTTP/1 client: a connection for each. */
+/* The HTTP client, on h2o's HTTP/1 client: one connection for each request. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,63 +6,63 @@
 
 #include "real.h"
 
-/* A call in flight. The task frees it, after the client has ended or was cancelled. */
-typedef struct Calling {
+/* A call in flight. Its task frees it after the client has ended or was cancelled. */
+typedef struct CallState {
     RealLoop *real;
     HttpCall *call;
-    h2o_http1client_t *client;
+    h2o_http1client_t *client; /* null once ended */
     h2o_iovec_t request;
-    Bytes body;
+    Bytes body; /* of the response */
     bool ended;
     Status status;
     Signal done;
-} Calling;
+} CallState;
 
-static void call_end(Calling *calling, Status status)
+static void call_end(CallState *state, Status status)
 {
-    calling->ended = true;
-    calling->client = NULL;
-    calling->status = status;
-    signal_raise(&calling->real->loop, &calling->done);
+    state->ended = true;
+    state->client = NULL;
+    state->status = status;
+    signal_raise(&state->real->loop, &state->done);
 }
 
 static int on_body(h2o_http1client_t *client, const char *err)
 {
-    Calling *calling = client->data;
+    CallState *state = client->data;
     if (err != NULL && err != h2o_http1client_error_is_eos) {
-        call_end(calling, STATUS_CLOSED);
+        call_end(state, STATUS_CLOSED);
         return -1;
     }
-    bytes_add(calling, &calling->body, client->sock->input->bytes, client->sock->input->size);
+    bytes_add(state, &state->body, client->sock->input->bytes, client->sock->input->size);
     h2o_buffer_consume(&client->sock->input, client->sock->input->size);
     if (err == h2o_http1client_error_is_eos)
-        call_end(calling, STATUS_OK);
+        call_end(state, STATUS_OK);
     return 0;
 }
 
 static h2o_http1client_body_cb on_head(h2o_http1client_t *client, const char *err, int minor, int status,
                                        h2o_iovec_t msg, h2o_header_t *headers, size_t count, int rlen)
 {
-    Calling *calling = client->data;
+    CallState *state = client->data;
     (void)minor;
     (void)msg;
     (void)rlen;
     if (err != NULL && err != h2o_http1client_error_is_eos) {
-        call_end(calling, STATUS_CLOSED);
+        call_end(state, STATUS_CLOSED);
         return NULL;
     }
-    calling->call->code = status;
-    HttpPair *response_heads = talloc_array(calling->call->mem, HttpPair, (unsigned)count);
+    state->call->code = status;
+    HttpPair *response_heads = talloc_array(state->call->mem, HttpPair, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         response_heads[i].name = talloc_strndup(response_heads, headers[i].name->base, headers[i].name->len);
         response_heads[i].value = talloc_strndup(response_heads, headers[i].value.base, headers[i].value.len);
         if (strcmp(response_heads[i].name, "retry-after") == 0)
-            calling->call->retry_after_s = atoi(response_heads[i].value);
+            state->call->retry_after_s = atoi(response_heads[i].value);
     }
-    calling->call->response_heads = response_heads;
-    calling->call->response_head_count = count;
+    state->call->response_heads = response_heads;
+    state->call->response_head_count = count;
     if (err == h2o_http1client_error_is_eos) {
-        call_end(calling, STATUS_OK);
+        call_end(state, STATUS_OK);
         return NULL;
     }
     return on_body;
@@ -71,35 +71,36 @@
 static h2o_http1client_head_cb on_connected(h2o_http1client_t *client, const char *err, h2o_iovec_t **bufs,
                                             size_t *count, int *is_head)
 {
-    Calling *calling = client->data;
+    CallState *state = client->data;
     if (err != NULL) {
-        call_end(calling, STATUS_UNREACHABLE);
+        call_end(state, STATUS_UNREACHABLE);
         return NULL;
     }
-    calling->call->sent = true;
-    *bufs = &calling->request;
+    state->call->sent = true;
+    *bufs = &state->request;
     *count = 1;
     *is_head = 0;
     return on_head;
 }
 
-/* The bytes of the request. */
-static void request_write(Calling *calling, const HttpCall *call)
+/* Serializes the request. */
+static void request_write(CallState *state, const HttpCall *call)
 {
-    char *head = talloc_asprintf(calling,
+    char *head = talloc_asprintf(state,
                                  "%s %s HTTP/1.1\r\nconnection: close\r\ncontent-type: application/json\r\n"
                                  "content-length: %zu\r\n",
                                  call->method, call->path, call->body.count);
-    bool named = false;
+    bool has_host = false;
     for (size_t i = 0; i < call->head_count; i++) {
         head = talloc_asprintf_append(head, "%s: %s\r\n", call->heads[i].name, call->heads[i].value);
-        named |= strcmp(call->heads[i].name, "host") == 0;
+        has_host |= strcmp(call->heads[i].name, "host") == 0;
     }
-    head = named ? talloc_strdup_append(head, "\r\n") : talloc_asprintf_append(head, "host: %s\r\n\r\n", call->address);
+    head =
+        has_host ? talloc_strdup_append(head, "\r\n") : talloc_asprintf_append(head, "host: %s\r\n\r\n", call->address);
     Bytes request = {0};
-    bytes_add(calling, &request, head, strlen(head));
-    bytes_add(calling, &request, call->body.data, call->body.count);
-    calling->request = h2o_iovec_init((char *)request.data, request.count);
+    bytes_add(state, &request, head, strlen(head));
+    bytes_add(state, &request, call->body.data, call->body.count);
+    state->request = h2o_iovec_init((char *)request.data, request.count);
 }
 
 Status real_call(Loop *loop, HttpCall *call)
@@ -108,26 +109,26 @@
     struct sockaddr_in sin;
     if (!real_address(call->address, &sin))
         return STATUS_BAD_SETTINGS;
-    Calling *calling = talloc_zero(call->mem, Calling);
-    calling->real = real;
-    calling->call = call;
-    request_write(calling, call);
+    CallState *state = talloc_zero(call->mem, CallState);
+    state->real = real;
+    state->call = call;
+    request_write(state, call);
     char host[ADDRESS_MAX];
     snprintf(host, sizeof(host), "%.*s", (int)(strrchr(call->address, ':') - call->address), call->address);
     const int64_t until_ms = loop_now_ms(loop) + call->wait_ms;
-    h2o_http1client_connect(&calling->client, calling, &real->client, h2o_iovec_init(host, strlen(host)),
+    h2o_http1client_connect(&state->client, state, &real->client, h2o_iovec_init(host, strlen(host)),
                             ntohs(sin.sin_port), 0, on_connected);
-    call->waiting = &calling->done;
-    while (!calling->ended && !call->cut)
-        if (!signal_wait(loop, &calling->done, until_ms))
+    call->waiting = &state->done;
+    while (!state->ended && !call->cut)
+        if (!signal_wait(loop, &state->done, until_ms))
             break;
-    Status status = calling->status;
-    if (!calling->ended) {
-        h2o_http1client_cancel(calling->client);
+    Status status = state->status;
+    if (!state->ended) {
+        h2o_http1client_cancel(state->client);
         status = call->cut ? STATUS_CLOSED : STATUS_EXPIRED;
     }
-    talloc_steal(call->mem, calling->body.data);
-    call->result = calling->body;
-    talloc_free(calling);
+    talloc_steal(call->mem, state->body.data);
+    call->result = state->body;
+    talloc_free(state);
     return status;
 }
--- a/packages/loop/src/real_channel.c
+++ b/packages/loop/src/real_channel.c
@@ -1,7 +1,7 @@
-/* Connections: frames over TCP, four bytes of length before each.
+/* Connections: frames over TCP, each preceded by its length in four bytes.
  *
- * What is sent to one peer within a turn of the loop is written together at its end, by one system call made here.
- * h2o writes only what the kernel did not take, since each of its writes costs a further turn. */
+ * All frames sent to one peer within a turn of the loop are written at the end of the turn by one system call made
+ * here. h2o writes only the bytes that the kernel did not accept, since each of its writes costs a further turn. */
 #include <errno.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -9,10 +9,10 @@
 
 #include "real.h"
 
-/* Invariants: sock is null once the connection has ended; while writing, out belongs to h2o until its callback; it is
- * on the loop's flush list exactly while to_flush. */
+/* Invariants: sock is null once the connection has ended; while writing is set, out belongs to h2o until its callback;
+ * the channel is on the loop's flush list exactly while to_flush is set. */
 typedef struct RealChannel {
-    Channel channel; /* first */
+    Channel channel; /* first member, so that a Channel can be cast to a RealChannel */
     RealLoop *real;
     h2o_socket_t *sock;
     bool connecting;
@@ -21,23 +21,24 @@
     bool broken; /* a write has failed */
     struct RealChannel *flush_next, *flush_prev;
     Signal connected;
-    Bytes out;  /* being written by h2o */
-    Bytes next; /* queued meanwhile */
+    Bytes out;  /* bytes that h2o is writing */
+    Bytes next; /* bytes queued for the next write */
 } RealChannel;
 
+/* An address at which connections are accepted. */
 typedef struct Listener {
     RealLoop *real;
     ChannelFn fn;
     void *arg;
 } Listener;
 
-/* Passes a new connection to its task. */
+/* The argument of a new connection's task. */
 typedef struct Accepted {
     const Listener *listener;
     Channel *channel;
 } Accepted;
 
-static void drop(RealChannel *real_channel)
+static void socket_close(RealChannel *real_channel)
 {
     if (real_channel->sock != NULL) {
         h2o_socket_t *sock = real_channel->sock;
@@ -46,7 +47,8 @@
     }
 }
 
-static void flush_leave(RealChannel *real_channel)
+/* Removes the channel from the loop's flush list. */
+static void flush_cancel(RealChannel *real_channel)
 {
     if (!real_channel->to_flush)
         return;
@@ -61,8 +63,8 @@
 
 static int channel_free(RealChannel *real_channel)
 {
-    flush_leave(real_channel);
-    drop(real_channel);
+    flush_cancel(real_channel);
+    socket_close(real_channel);
     return 0;
 }
 
@@ -70,7 +72,7 @@
 {
     RealChannel *real_channel = sock->data;
     if (err != NULL) {
-        drop(real_channel);
+        socket_close(real_channel);
         channel_end(&real_channel->channel);
         return;
     }
@@ -78,7 +80,7 @@
         const uint8_t *at = (const uint8_t *)sock->input->bytes;
         const uint32_t count = (uint32_t)at[0] << 24 | (uint32_t)at[1] << 16 | (uint32_t)at[2] << 8 | at[3];
         if (count > FRAME_MAX_BYTES || real_channel->channel.frame_count >= CHANNEL_QUEUE_FRAMES) {
-            drop(real_channel);
+            socket_close(real_channel);
             channel_end(&real_channel->channel);
             return;
         }
@@ -91,25 +93,26 @@
 
 static void on_written(h2o_socket_t *sock, const char *err);
 
-/* Writes what the kernel takes without waiting. */
+/* Writes as many of the queued bytes as the kernel accepts without blocking. */
 static void write_now(RealChannel *real_channel)
 {
-    const ssize_t took = send(h2o_socket_get_fd(real_channel->sock), real_channel->next.data, real_channel->next.count,
+    const ssize_t sent = send(h2o_socket_get_fd(real_channel->sock), real_channel->next.data, real_channel->next.count,
                               MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (took < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
-        real_channel->broken = true; /* nothing more is written; what has arrived is read first, then the end */
-    if (took <= 0)
+    if (sent < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
+        real_channel->broken = true; /* writes nothing more; frames that have arrived are read before the end */
+    if (sent <= 0)
         return;
-    real_channel->channel.handed += (uint64_t)took;
-    real_channel->channel.written += (uint64_t)took;
-    real_channel->next.count -= (size_t)took;
-    memmove(real_channel->next.data, real_channel->next.data + took, real_channel->next.count);
+    real_channel->channel.handed += (uint64_t)sent;
+    real_channel->channel.written += (uint64_t)sent;
+    real_channel->next.count -= (size_t)sent;
+    memmove(real_channel->next.data, real_channel->next.data + sent, real_channel->next.count);
     if (real_channel->next.count == 0 && real_channel->next.capacity > CHANNEL_KEEP_BYTES) {
         talloc_free(real_channel->next.data);
         real_channel->next = (Bytes){0};
     }
 }
 
+/* Writes the queued bytes, and passes those that the kernel did not accept to h2o. */
 static void write_next(RealChannel *real_channel)
 {
     if (real_channel->writing || real_channel->connecting || real_channel->broken || real_channel->sock == NULL ||
@@ -122,7 +125,7 @@
     real_channel->out = real_channel->next;
     real_channel->next = (Bytes){spare.data, 0, spare.capacity};
     real_channel->writing = true;
-    real_channel->channel.handed += real_channel->out.count; /* some of it may leave before the callback */
+    real_channel->channel.handed += real_channel->out.count; /* some of the bytes may leave before the callback */
     h2o_iovec_t vec = h2o_iovec_init((char *)real_channel->out.data, real_channel->out.count);
     h2o_socket_write(real_channel->sock, &vec, 1, on_written);
 }
@@ -137,7 +140,7 @@
         real_channel->out = (Bytes){0};
     }
     if (err != NULL) {
-        drop(real_channel);
+        socket_close(real_channel);
         channel_end(&real_channel->channel);
         return;
     }
@@ -167,12 +170,12 @@
 static void on_accept(h2o_socket_t *sock, const char *err)
 {
     Listener *listener = sock->data;
-    h2o_socket_t *got;
+    h2o_socket_t *accepted_sock;
     if (err != NULL)
         return;
-    while ((got = h2o_evloop_socket_accept(sock)) != NULL) {
-        RealChannel *real_channel = channel_new(listener->real, listener->real, got);
-        h2o_socket_read_start(got, on_read);
+    while ((accepted_sock = h2o_evloop_socket_accept(sock)) != NULL) {
+        RealChannel *real_channel = channel_new(listener->real, listener->real, accepted_sock);
+        h2o_socket_read_start(accepted_sock, on_read);
         Accepted *accepted = talloc_zero(listener->real, Accepted);
         *accepted = (Accepted){listener, &real_channel->channel};
         loop_spawn(&listener->real->loop, "connection", accepted_main, accepted);
@@ -192,7 +195,7 @@
     RealChannel *real_channel = sock->data;
     real_channel->connecting = false;
     if (err != NULL) {
-        drop(real_channel);
+        socket_close(real_channel);
     } else {
         h2o_socket_read_start(sock, on_read);
         write_next(real_channel);
@@ -209,7 +212,7 @@
     h2o_socket_t *sock = h2o_socket_connect(real->evloop, (struct sockaddr *)&sin, sizeof(sin), on_connect);
     if (sock == NULL)
         return STATUS_UNREACHABLE;
-    real_patience(h2o_socket_get_fd(sock));
+    real_set_timeouts(h2o_socket_get_fd(sock));
     RealChannel *real_channel = channel_new(real, mem, sock);
     real_channel->connecting = true;
     if (!signal_wait(loop, &real_channel->connected, loop_now_ms(loop) + wait_ms) || real_channel->sock == NULL) {
@@ -226,7 +229,7 @@
     if (frame.count > FRAME_MAX_BYTES)
         return STATUS_TOO_LARGE;
     if (real_channel->next.count + frame.count > CHANNEL_QUEUE_BYTES) {
-        drop(real_channel);
+        socket_close(real_channel);
         channel_end(channel);
         return STATUS_BUSY;
     }
@@ -251,7 +254,7 @@
 {
     while (real->flush_first != NULL) {
         RealChannel *real_channel = real->flush_first;
-        flush_leave(real_channel);
+        flush_cancel(real_channel);
         write_next(real_channel);
     }
 }
@@ -259,7 +262,7 @@
 void real_shut(Channel *channel)
 {
     RealChannel *real_channel = (RealChannel *)channel;
-    flush_leave(real_channel);
-    write_next(real_channel); /* what was queued before */
-    drop(real_channel);
+    flush_cancel(real_channel);
+    write_next(real_channel); /* writes frames that were queued before */
+    socket_close(real_channel);
 }
--- a/packages/loop/src/real_serve.c
+++ b/packages/loop/src/real_serve.c
@@ -1,4 +1,4 @@
-/* HTTP server: one h2o server for all addresses of the process; each request is handled in a task of its own. */
+/* The HTTP server: one h2o server for all addresses of the process. Each request is handled in a task of its own. */
 #include <stdio.h>
 #include <string.h>
 #include <sys/resource.h>
@@ -7,11 +7,11 @@
 
 #include "real.h"
 
-#define SWEEP_MS 500            /* ms; unfinished heads are looked for this often, when the loop runs anyway */
-#define BEYOND_PART 8           /* part of the bound on callers' connections that is kept beyond it */
-#define AHEAD_BYTES (64 * 1024) /* bytes; so much is read of what a caller sends before its result */
+#define SWEEP_MS 500                 /* Minimum interval between searches for incomplete heads, in turns of the loop */
+#define EXTRA_CONNECTIONS_DIVISOR 8  /* 1 in this many of the limit on connections is accepted beyond the limit */
+#define READ_AHEAD_BYTES (64 * 1024) /* Bytes read from a caller that sends more before its response */
 
-/* An address served. */
+/* An address at which HTTP is served. */
 typedef struct Endpoint {
     RealLoop *real;
     HttpFn fn;
@@ -21,40 +21,43 @@
 typedef struct Served Served;
 
 /* A caller's connection. Invariants: it is on the loop's list from its acceptance until it is closed; served is the
- * request in work, if any. */
+ * request in progress, if any. */
 typedef struct CallerConnection {
     struct CallerConnection *prev, *next;
     Endpoint *endpoint;
     h2o_socket_t *sock;
     Served *served;
-    int64_t begun_ms; /* when a head was first seen unfinished; 0: none is */
-    bool beyond;      /* it came when there were as many as there may be */
+    int64_t head_begun_ms; /* time at which an incomplete head was first seen; 0: there is none */
+    bool over_limit;       /* it was accepted when the limit on connections had been reached */
 } CallerConnection;
 
-/* Ties an h2o request to its task: it is on the request's pool, whose end marks the task's caller as gone. */
-typedef struct Watch {
+/* Links an h2o request to its task. It is allocated on the request's pool; when the pool is freed, the caller is marked
+ * as gone. */
+typedef struct RequestLink {
     Served *served;
-} Watch;
+} RequestLink;
 
+/* A request in progress. */
 struct Served {
     HttpTask task;
-    CallerConnection *caller; /* null once gone */
+    CallerConnection *caller; /* null once the connection is closed */
     Endpoint *endpoint;
-    h2o_req_t *req; /* null once gone */
-    Watch *watch;
+    h2o_req_t *req; /* null once h2o has freed the request */
+    RequestLink *request_link;
 };
 
-static void on_gone(void *arg)
+/* Called by h2o when it frees the pool of a request. */
+static void on_pool_freed(void *arg)
 {
-    Watch *watch = arg;
-    if (watch->served != NULL) {
-        watch->served->task.gone = true;
-        watch->served->req = NULL;
-        watch->served->caller = NULL;
+    RequestLink *request_link = arg;
+    if (request_link->served != NULL) {
+        request_link->served->task.gone = true;
+        request_link->served->req = NULL;
+        request_link->served->caller = NULL;
     }
 }
 
-static const char *code_word(int code)
+static const char *reason_phrase(int code)
 {
     switch (code) {
     case 200:
@@ -70,7 +73,7 @@
     }
 }
 
-static void notify(h2o_req_t *req, const char *name, const char *value)
+static void header_add(h2o_req_t *req, const char *name, const char *value)
 {
     const h2o_iovec_t name_copy = h2o_strdup(&req->pool, name, SIZE_MAX);
     const h2o_iovec_t value_copy = h2o_strdup(&req->pool, value, SIZE_MAX);
@@ -78,27 +81,28 @@
                           value_copy.len);
 }
 
-static void answer(RealLoop *real, h2o_req_t *req, const HttpTask *task)
+/* Sends the response in the task. */
+static void respond(RealLoop *real, h2o_req_t *req, const HttpTask *task)
 {
     req->res.status = task->code;
-    req->res.reason = code_word(task->code);
+    req->res.reason = reason_phrase(task->code);
     req->res.content_length = task->result.count;
     const h2o_iovec_t kind = h2o_strdup(&req->pool, task->kind, SIZE_MAX);
     h2o_add_header(&req->pool, &req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL, kind.base, kind.len);
     if (task->retry_after_s > 0) {
         char text[16];
         snprintf(text, sizeof(text), "%d", task->retry_after_s);
-        notify(req, "retry-after", text);
+        header_add(req, "retry-after", text);
     }
     for (size_t i = 0; i < task->response_head_count; i++)
-        notify(req, task->response_heads[i].name, task->response_heads[i].value);
+        header_add(req, task->response_heads[i].name, task->response_heads[i].value);
     if (real->leaving)
         req->http1_is_persistent = 0;
     h2o_send_inline(req, (const char *)task->result.data, task->result.count);
 }
 
-/* Rejects a request without a task. */
-static void refuse(RealLoop *real, h2o_req_t *req, Status status, const char *text)
+/* Rejects a request without starting a task. */
+static void reject(RealLoop *real, h2o_req_t *req, Status status, const char *text)
 {
     char body[160];
     const int count = snprintf(body, sizeof(body), "{\"status\":\"%s\",\"text\":\"%s\"}\n", status_word(status), text);
@@ -106,7 +110,7 @@
                              .kind = "application/json",
                              .result = {(uint8_t *)body, (size_t)count, 0},
                              .retry_after_s = status_retry_s(status)};
-    answer(real, req, &result);
+    respond(real, req, &result);
 }
 
 static void served_main(void *arg)
@@ -118,24 +122,24 @@
     if (served->caller != NULL)
         served->caller->served = NULL;
     if (served->req != NULL) {
-        served->watch->served = NULL;
-        answer(real, served->req, &served->task);
+        served->request_link->served = NULL;
+        respond(real, served->req, &served->task);
     }
     talloc_free(served);
 }
 
-/* While a request is in work its connection is read all the same, to notice that the caller disconnects. h2o reads on
- * by itself after the response. */
-static void on_ahead(h2o_socket_t *sock, const char *err)
+/* Reads the connection while a request is in progress, to detect that the caller disconnects. After the response h2o
+ * resumes reading by itself. */
+static void on_read_ahead(h2o_socket_t *sock, const char *err)
 {
     const CallerConnection *caller = sock->on_close.data;
     if (err != NULL && caller->served != NULL)
         caller->served->task.gone = true;
-    if (err != NULL || sock->input->size > AHEAD_BYTES)
+    if (err != NULL || sock->input->size > READ_AHEAD_BYTES)
         h2o_socket_read_stop(sock);
 }
 
-static void take_heads(Served *served, const h2o_req_t *req)
+static void headers_copy(Served *served, const h2o_req_t *req)
 {
     HttpTask *task = &served->task;
     HttpPair *heads = talloc_array(served, HttpPair, (unsigned)req->headers.size + 1);
@@ -151,6 +155,7 @@
     task->host = http_host(served, authority);
 }
 
+/* Returns the approximate size of the request's head, in bytes. */
 static size_t head_bytes(const h2o_req_t *req)
 {
     size_t bytes = req->method.len + req->path.len + req->input.authority.len;
@@ -159,24 +164,25 @@
     return bytes;
 }
 
+/* Handles a complete request: starts its task, or rejects it. */
 static int on_req(h2o_handler_t *super, h2o_req_t *req)
 {
     (void)super;
     h2o_socket_t *sock = req->conn->callbacks->get_socket(req->conn);
     CallerConnection *caller = sock->on_close.data;
     RealLoop *real = caller->endpoint->real;
-    caller->begun_ms = 0;
+    caller->head_begun_ms = 0;
     if (head_bytes(req) > real->limits.head_bytes) {
-        refuse(real, req, STATUS_HEAD_LARGE, "the head of this request is too large");
+        reject(real, req, STATUS_HEAD_LARGE, "the head of this request is too large");
         return 0;
     }
-    if (caller->beyond) {
-        req->http1_is_persistent = 0; /* its caller finds another process, or comes back */
-        refuse(real, req, STATUS_BUSY, "too many connections");
+    if (caller->over_limit) {
+        req->http1_is_persistent = 0; /* the caller retries here or at another process */
+        reject(real, req, STATUS_BUSY, "too many connections");
         return 0;
     }
     if (real->http_tasks >= HTTP_TASKS_MAX) {
-        refuse(real, req, STATUS_BUSY, "too many requests in work");
+        reject(real, req, STATUS_BUSY, "too many requests in progress");
         return 0;
     }
     real->http_tasks++;
@@ -185,8 +191,8 @@
     served->endpoint = caller->endpoint;
     served->caller = caller;
     served->req = req;
-    served->watch = h2o_mem_alloc_shared(&req->pool, sizeof(*served->watch), on_gone);
-    served->watch->served = served;
+    served->request_link = h2o_mem_alloc_shared(&req->pool, sizeof(*served->request_link), on_pool_freed);
+    served->request_link->served = served;
     caller->served = served;
     task->loop = &real->loop;
     task->method = talloc_strndup(served, req->method.base, req->method.len);
@@ -195,11 +201,11 @@
     task->query = req->query_at == SIZE_MAX
                       ? ""
                       : talloc_strndup(served, req->path.base + path_len + 1, req->path.len - path_len - 1);
-    take_heads(served, req);
+    headers_copy(served, req);
     bytes_add(served, &task->body, req->entity.base, req->entity.len);
     task->code = 500;
     task->kind = "application/json";
-    h2o_socket_read_start(sock, on_ahead);
+    h2o_socket_read_start(sock, on_read_ahead);
     loop_spawn(&real->loop, "http", served_main, served);
     return 0;
 }
@@ -228,14 +234,14 @@
     if (err != NULL)
         return;
     while ((sock = h2o_evloop_socket_accept(listener)) != NULL) {
-        /* a few beyond the bound are kept until they ask, so that their callers are told why */
-        if (real->caller_count >= real->limits.connections + real->limits.connections / BEYOND_PART + 1) {
+        /* a few connections over the limit are kept until their first request, to reject it with a reason */
+        if (real->caller_count >= real->limits.connections + real->limits.connections / EXTRA_CONNECTIONS_DIVISOR + 1) {
             h2o_socket_close(sock);
             continue;
         }
         CallerConnection *caller = talloc_zero(real, CallerConnection);
         *caller = (CallerConnection){.next = real->callers, .endpoint = endpoint, .sock = sock};
-        caller->beyond = real->caller_count >= real->limits.connections;
+        caller->over_limit = real->caller_count >= real->limits.connections;
         if (real->callers != NULL)
             real->callers->prev = caller;
         real->callers = caller;
@@ -246,15 +252,15 @@
     }
 }
 
-/* A part of a request head has arrived, but not all of it. */
+/* Whether a part of a request head has arrived, but not all of it. */
 static bool head_begun(const CallerConnection *caller)
 {
     const h2o_buffer_t *input = caller->sock->input;
     return caller->served == NULL && input->size > 0 && memmem(input->bytes, input->size, "\r\n\r\n", 4) == NULL;
 }
 
-/* h2o has one time-out from the end of a request to the complete head of the next, the idle one. A head that has begun
- * has a shorter one, which is checked here. */
+/* h2o has a single timeout from the end of a request to the complete head of the next: the idle timeout. An incomplete
+ * head has a shorter one, which is checked here. */
 void real_serve_sweep(RealLoop *real)
 {
     const int64_t now_ms = loop_now_ms(&real->loop);
@@ -263,16 +269,16 @@
     real->swept_ms = now_ms;
     for (CallerConnection *caller = real->callers; caller != NULL; caller = caller->next) {
         if (!head_begun(caller)) {
-            caller->begun_ms = 0;
-        } else if (caller->begun_ms == 0) {
-            caller->begun_ms = now_ms;
-        } else if (now_ms - caller->begun_ms > real->limits.head_ms) {
+            caller->head_begun_ms = 0;
+        } else if (caller->head_begun_ms == 0) {
+            caller->head_begun_ms = now_ms;
+        } else if (now_ms - caller->head_begun_ms > real->limits.head_ms) {
             shutdown(h2o_socket_get_fd(caller->sock), SHUT_RDWR); /* h2o reads the end and closes it */
         }
     }
 }
 
-static void serve_begin(RealLoop *real)
+static void server_start(RealLoop *real)
 {
     real->serving = true;
     h2o_config_init(&real->config);
@@ -284,9 +290,9 @@
     h2o_context_init(&real->context, real->evloop, &real->config);
     real->accept.ctx = &real->context;
     real->accept.hosts = real->config.hosts;
-    const HttpLimits first = {0};
+    const HttpLimits defaults = {0};
     if (real->limits.body_bytes == 0)
-        real->limits = first;
+        real->limits = defaults;
     real_limit(&real->loop, &real->limits);
 }
 
@@ -294,14 +300,14 @@
 {
     RealLoop *real = (RealLoop *)loop;
     if (!real->serving)
-        serve_begin(real);
+        server_start(real);
     Endpoint *endpoint = talloc_zero(real, Endpoint);
     *endpoint = (Endpoint){real, fn, arg};
     return real_bind(real, address, on_accept, endpoint, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_SETTINGS;
 }
 
-/* Callers get three quarters of the descriptors that the process may have: the rest is for peers and files. */
-static size_t connections_most(void)
+/* Callers get three quarters of the file descriptors that the process may have; the rest is for peers and files. */
+static size_t connections_default(void)
 {
     struct rlimit files;
     if (getrlimit(RLIMIT_NOFILE, &files) != 0 || files.rlim_cur / 4 * 3 > HTTP_CONNECTIONS_MAX)
@@ -316,7 +322,7 @@
                                 limits->body_bytes > 0 ? limits->body_bytes : HTTP_BODY_MAX,
                                 limits->head_ms > 0 ? limits->head_ms : HTTP_HEAD_MS,
                                 limits->idle_ms > 0 ? limits->idle_ms : HTTP_IDLE_MS,
-                                limits->connections > 0 ? limits->connections : connections_most()};
+                                limits->connections > 0 ? limits->connections : connections_default()};
     if (!real->serving)
         return;
     real->config.max_request_entity_size = real->limits.body_bytes;
--- a/packages/loop/src/real_socket.c
+++ b/packages/loop/src/real_socket.c
@@ -1,4 +1,4 @@
-/* Sockets of the real loop: addresses, listening, and how soon a silent peer is given up. */
+/* Sockets of the real loop: addresses, listening, and the timeouts for unresponsive peers. */
 #include "real.h"
 
 #include <arpa/inet.h>
@@ -51,7 +51,7 @@
             close(fd);
         return NULL;
     }
-    real_patience(fd);
+    real_set_timeouts(fd);
     socklen_t size = sizeof(sin);
     getsockname(fd, (struct sockaddr *)&sin, &size);
     char host[INET_ADDRSTRLEN];
@@ -63,7 +63,7 @@
     return sock;
 }
 
-void real_patience(int fd)
+void real_set_timeouts(int fd)
 {
     const int on = 1, idle_s = CONNECTION_QUIET_S, between_s = CONNECTION_PROBE_S, probes = CONNECTION_PROBES;
     const unsigned unheard_ms = CONNECTION_UNHEARD_MS;
--- a/packages/loop/src/task.c
+++ b/packages/loop/src/task.c
@@ -1,4 +1,4 @@
-/* Tasks: coroutines on stacks of their own, a list of those that are ready, and signals that they wait for. */
+/* Tasks: coroutines on idle_stacks of their own, the list of ready tasks, and the signals that tasks wait for. */
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
@@ -15,27 +15,28 @@
 #define FIBER_FINISH(saved, bottom, size) ((void)(saved), (void)(bottom), (void)(size))
 #endif
 
-/* Invariant: wakes grows each time the task is woken, so that a timer of an earlier wait cannot end a later one. */
+/* Invariant: wake_count grows each time the task is woken, so that a timer of an earlier wait cannot end a later one.
+ */
 struct Task {
     Loop *loop;
     Task *prev, *next; /* on loop->tasks */
     Task *ready_next;
     Task *signal_next;
-    Signal *signal; /* the signal that it waits for; null: none */
+    Signal *signal; /* the signal that the task waits for; null: none */
     bool ready;
-    bool raised; /* its last wait ended by the signal, not by the timer */
+    bool raised; /* the last wait ended by the signal, not by the timer */
     bool ended;
-    uint64_t wakes;
-    size_t timers; /* in the heap that refer to it; it is freed after the last of them */
+    uint64_t wake_count;
+    size_t timers; /* timers in the heap that refer to the task, which is freed after the last of them */
     const char *name;
     TaskFn fn;
     void *arg;
-    FiberPlace place; /* where it continues */
-    FiberPlace main;  /* where the loop continues when it is suspended */
+    FiberContext context;      /* the suspended task */
+    FiberContext loop_context; /* the loop while the task runs */
     void *stack;
-    /* bounds of the main stack, for the address sanitizer */
-    const void *main_bottom;
-    size_t main_size;
+    /* for the address sanitizer: bounds of the loop's stack, and the task's fake stack while it is suspended */
+    const void *loop_stack_bottom;
+    size_t loop_stack_size;
     void *fake_stack;
 };
 
@@ -69,13 +70,14 @@
     return loop->stopping;
 }
 
+/* Appends the task to the ready list, unless it is on it. */
 static void task_ready(Task *task)
 {
     if (task->ready)
         return;
     Loop *loop = task->loop;
     task->ready = true;
-    task->wakes++;
+    task->wake_count++;
     task->ready_next = NULL;
     if (loop->ready_last != NULL)
         loop->ready_last->ready_next = task;
@@ -86,29 +88,31 @@
         loop->ops->arm(loop, loop_now_ms(loop));
 }
 
-static void task_main(FiberTurn turn)
+/* The entry function of a task's stack. */
+static void task_main(FiberTransfer transfer)
 {
-    Task *task = turn.data;
-    task->main = turn.from;
-    FIBER_FINISH(NULL, &task->main_bottom, &task->main_size);
+    Task *task = transfer.data;
+    task->loop_context = transfer.from;
+    FIBER_FINISH(NULL, &task->loop_stack_bottom, &task->loop_stack_size);
     task->fn(task->arg);
     task->ended = true;
-    FIBER_START(NULL, task->main_bottom, task->main_size);
-    jump_fcontext(task->main, NULL); /* does not return: loop_run frees the task */
+    FIBER_START(NULL, task->loop_stack_bottom, task->loop_stack_size);
+    jump_fcontext(task->loop_context, NULL); /* does not return: loop_run frees the task */
 }
 
-/* Stacks of ended tasks are reused, up to TASK_STACKS_IDLE_MOST: their pages stay mapped. */
+/* Reuses the stack of an ended task, whose pages are still mapped, or allocates one. Up to TASK_STACKS_IDLE_MOST idle
+ * stacks are retained. */
 static void *stack_take(Loop *loop)
 {
-    if (loop->stack_count > 0)
-        return loop->stacks[--loop->stack_count];
+    if (loop->idle_stack_count > 0)
+        return loop->idle_stacks[--loop->idle_stack_count];
     return malloc(TASK_STACK_BYTES);
 }
 
-static void stack_give(Loop *loop, void *stack)
+static void stack_release(Loop *loop, void *stack)
 {
-    if (loop->stack_count < TASK_STACKS_IDLE_MOST)
-        loop->stacks[loop->stack_count++] = stack;
+    if (loop->idle_stack_count < TASK_STACKS_IDLE_MOST)
+        loop->idle_stacks[loop->idle_stack_count++] = stack;
     else
         free(stack);
 }
@@ -121,7 +125,7 @@
     task->fn = fn;
     task->arg = arg;
     task->stack = stack_take(loop);
-    task->place = make_fcontext((char *)task->stack + TASK_STACK_BYTES, TASK_STACK_BYTES, task_main);
+    task->context = make_fcontext((char *)task->stack + TASK_STACK_BYTES, TASK_STACK_BYTES, task_main);
     task->next = loop->tasks;
     if (loop->tasks != NULL)
         loop->tasks->prev = task;
@@ -129,6 +133,7 @@
     task_ready(task);
 }
 
+/* Releases the task's stack, and the task itself unless timers still refer to it. */
 static void task_free(Task *task)
 {
     Loop *loop = task->loop;
@@ -138,7 +143,7 @@
         loop->tasks = task->next;
     if (task->next != NULL)
         task->next->prev = task->prev;
-    stack_give(loop, task->stack);
+    stack_release(loop, task->stack);
     task->stack = NULL;
     if (task->timers == 0)
         talloc_free(task);
@@ -148,13 +153,13 @@
 {
     while (loop->tasks != NULL)
         task_free(loop->tasks);
-    while (loop->stack_count > 0)
-        free(loop->stacks[--loop->stack_count]);
+    while (loop->idle_stack_count > 0)
+        free(loop->idle_stacks[--loop->idle_stack_count]);
     loop->ready_first = loop->ready_last = NULL;
     loop->timer_count = 0;
 }
 
-/* Takes a task whose timer is due off the list of its signal. */
+/* Removes a task whose timer is due from the list of its signal. */
 static void signal_leave(Task *task)
 {
     Signal *signal = task->signal;
@@ -172,12 +177,12 @@
     task->signal = NULL;
 }
 
-/* Suspends the task that runs until loop_run resumes it. */
-static void task_park(Task *task)
+/* Suspends the running task until loop_run resumes it. */
+static void task_suspend(Task *task)
 {
-    FIBER_START(&task->fake_stack, task->main_bottom, task->main_size);
-    task->main = jump_fcontext(task->main, NULL).from;
-    FIBER_FINISH(task->fake_stack, &task->main_bottom, &task->main_size);
+    FIBER_START(&task->fake_stack, task->loop_stack_bottom, task->loop_stack_size);
+    task->loop_context = jump_fcontext(task->loop_context, NULL).from;
+    FIBER_FINISH(task->fake_stack, &task->loop_stack_bottom, &task->loop_stack_size);
 }
 
 void loop_sleep(Loop *loop, int64_t wait_ms)
@@ -203,10 +208,10 @@
         signal->first = task;
     signal->last = task;
     if (until_ms != INT64_MAX) {
-        timer_add(loop, until_ms, task, task->wakes);
+        timer_add(loop, until_ms, task, task->wake_count);
         task->timers++;
     }
-    task_park(task);
+    task_suspend(task);
     return task->raised;
 }
 
@@ -224,16 +229,16 @@
     }
 }
 
-/* The earliest timer that a task still waits for; null: none. The stale ones before it, whose tasks were woken or
- * have ended, are dropped: most waits end long before their time-out, and the loop must not wake for their timers. */
+/* Returns the earliest timer that a task still waits for, or null. Earlier stale timers, whose tasks were woken or have
+ * ended, are removed: most waits end long before their timeout, and the loop must not wake for their timers. */
 static const Timer *timer_first(Loop *loop)
 {
     while (loop->timer_count > 0) {
         const Timer *first = &loop->timers[0];
         Task *task = first->task;
-        if (!task->ended && task->wakes == first->wakes && !task->ready)
+        if (!task->ended && task->wake_count == first->wake_count && !task->ready)
             return first;
-        timer_drop(loop);
+        timer_pop(loop);
         task->timers--;
         if (task->ended && task->timers == 0)
             talloc_free(task);
@@ -247,7 +252,7 @@
         const Timer *first;
         while ((first = timer_first(loop)) != NULL && first->when_ms <= loop_now_ms(loop)) {
             signal_leave(first->task);
-            task_ready(first->task); /* its wakes grows: the timer is stale from here on */
+            task_ready(first->task); /* increments wake_count, which makes the timer stale */
         }
         Task *task = loop->ready_first;
         if (task == NULL)
@@ -259,7 +264,7 @@
         loop->current = task;
         void *fake = NULL;
         FIBER_START(&fake, task->stack, TASK_STACK_BYTES);
-        task->place = jump_fcontext(task->place, task).from;
+        task->context = jump_fcontext(task->context, task).from;
         FIBER_FINISH(fake, NULL, NULL);
         loop->current = NULL;
         if (task->ended)
--- a/packages/loop/src/timers.c
+++ b/packages/loop/src/timers.c
@@ -1,20 +1,20 @@
-/* Timers: a binary heap, the earliest first; of two at the same time the one that was added first. */
+/* Timers: a binary heap ordered by time, and by order of creation for equal times. */
 #include <talloc.h>
 
 #include "loop/inside.h"
 
 static bool timer_before(const Timer *a, const Timer *b)
 {
-    return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->order < b->order);
+    return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->sequence < b->sequence);
 }
 
-void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t wakes)
+void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t wake_count)
 {
     if (loop->timer_count == loop->timer_capacity) {
         loop->timer_capacity = loop->timer_capacity ? loop->timer_capacity * 2 : 64;
         loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timer_capacity);
     }
-    const Timer timer = {when_ms, loop->timer_order++, task, wakes};
+    const Timer timer = {when_ms, loop->next_timer_sequence++, task, wake_count};
     size_t at = loop->timer_count++;
     while (at > 0 && timer_before(&timer, &loop->timers[(at - 1) / 2])) {
         loop->timers[at] = loop->timers[(at - 1) / 2];
@@ -23,7 +23,7 @@
     loop->timers[at] = timer;
 }
 
-void timer_drop(Loop *loop)
+void timer_pop(Loop *loop)
 {
     const Timer last = loop->timers[--loop->timer_count];
     size_t at = 0;
--- a/packages/loop/test/files.c
+++ b/packages/loop/test/files.c
@@ -1,4 +1,4 @@
-/* Files on the real loop: what is appended and replaced is read back, and so is the hint beside a file. */
+/* Tests of files on the real loop: appended and replaced content is read back, and so is the hint beside a file. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -16,7 +16,7 @@
 
 typedef struct Fixture {
     Loop *loop;
-    char folder[32];
+    char directory[32];
     const char *path;
 } Fixture;
 
@@ -57,7 +57,7 @@
     assert_int_equal(file_hint_write(file, bytes_of(fixture, "short")), STATUS_OK);
     assert_int_equal(file_append(file, bytes_of(fixture, "four")), STATUS_OK);
     must_read(fixture, file, "threefour", "short");
-    const Bytes large = {talloc_zero_size(fixture, FILE_HINT_MOST + 1), FILE_HINT_MOST + 1, 0};
+    const Bytes large = {talloc_zero_size(fixture, FILE_HINT_MAX_BYTES + 1), FILE_HINT_MAX_BYTES + 1, 0};
     assert_int_equal(file_hint_write(file, large), STATUS_DISK_FAILED);
     must_read(fixture, file, "threefour", "short");
     loop_stop(fixture->loop);
@@ -80,13 +80,13 @@
 {
     (void)state;
     Fixture *fixture = talloc_zero(NULL, Fixture);
-    strcpy(fixture->folder, "/tmp/files-XXXXXX");
-    assert_non_null(mkdtemp(fixture->folder));
-    fixture->path = talloc_asprintf(fixture, "%s/data/file", fixture->folder);
+    strcpy(fixture->directory, "/tmp/files-XXXXXX");
+    assert_non_null(mkdtemp(fixture->directory));
+    fixture->path = talloc_asprintf(fixture, "%s/data/file", fixture->directory);
     fixture->loop = real_loop_new(fixture);
     loop_spawn(fixture->loop, "file", file_main, fixture);
     real_loop_run(fixture->loop, on_term, fixture);
-    nftw(fixture->folder, entry_remove, 8, FTW_DEPTH | FTW_PHYS);
+    nftw(fixture->directory, entry_remove, 8, FTW_DEPTH | FTW_PHYS);
 }
 
 int main(void)
@@ -96,5 +96,5 @@
     };
     const int failed = cmocka_run_group_tests(tests, NULL, NULL);
     fflush(NULL);
-    _exit(failed); /* a real loop lives as long as its process: what it leaves is no leak */
+    _exit(failed); /* a real loop lives as long as its process: memory that it still holds is no leak */
 }
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -1,4 +1,4 @@
-/* The real loop's HTTP, over loopback: a thread is the caller, with plain sockets. */
+/* Tests of the real loop's HTTP server over loopback. A thread with plain sockets is the caller. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -20,20 +20,20 @@
 #include "loop/real.h"
 #include "socket_fixture.h"
 
-#define LARGE_BYTES (16 * 1024 * 1024) /* more than the kernel takes at once */
+#define LARGE_BYTES (16 * 1024 * 1024) /* Size of a response that the kernel does not accept at once */
 
-/* What the two sides share. Invariant: the loop's thread alone touches loop. */
-typedef struct Stage {
+/* State shared by the loop's thread and the caller's. Invariant: only the loop's thread accesses loop. */
+typedef struct Fixture {
     Loop *loop;
     char first[ADDRESS_MAX], second[ADDRESS_MAX];
-    void (*script)(struct Stage *stage);
+    void (*script)(struct Fixture *fixture);
     HttpLimits limits;
-    atomic_int gone; /* callers seen to leave */
+    atomic_int gone; /* callers whose disconnection was detected */
     atomic_int served;
     atomic_int hups;
-} Stage;
+} Fixture;
 
-static void say(HttpTask *task, const char *text)
+static void respond(HttpTask *task, const char *text)
 {
     task->code = 200;
     task->kind = "text/plain";
@@ -42,12 +42,12 @@
 
 static void on_first(void *arg, HttpTask *task)
 {
-    Stage *stage = arg;
-    stage->served++;
+    Fixture *fixture = arg;
+    fixture->served++;
     if (strcmp(task->path, "/wait") == 0) {
         while (!task->gone)
             loop_sleep(task->loop, 1);
-        stage->gone++;
+        fixture->gone++;
     } else if (strcmp(task->path, "/large") == 0) {
         task->code = 200;
         task->result.data = talloc_zero_size(task, LARGE_BYTES);
@@ -55,13 +55,13 @@
         memset(task->result.data, 'x', LARGE_BYTES);
     } else if (strcmp(task->path, "/leave") == 0) {
         loop_serve_leave(task->loop);
-        say(task, talloc_asprintf(task, "busy %zu", loop_serve_busy(task->loop)));
+        respond(task, talloc_asprintf(task, "busy %zu", loop_serve_busy(task->loop)));
     } else {
         const char *kind = http_head(task, "x-kind");
         task->response_heads = talloc_memdup(task, (&(HttpPair){"x-told", "yes"}), sizeof(HttpPair));
         task->response_head_count = 1;
-        say(task, talloc_asprintf(task, "first %s %s?%s host=%s kind=%s body=%zu", task->method, task->path,
-                                  task->query, task->host, kind != NULL ? kind : "none", task->body.count));
+        respond(task, talloc_asprintf(task, "first %s %s?%s host=%s kind=%s body=%zu", task->method, task->path,
+                                      task->query, task->host, kind != NULL ? kind : "none", task->body.count));
     }
 }
 
@@ -70,95 +70,97 @@
     (void)arg;
     if (strcmp(task->path, "/end") == 0)
         loop_stop(task->loop);
-    say(task, "second");
+    respond(task, "second");
 }
 
 /* --- the caller ---------------------------------------------------------------------- */
 
-static void asked(int fd, const char *request, const char *code, const char *words)
+static void must_respond(int fd, const char *request, const char *code, const char *words)
 {
     char text[4096];
-    put(fd, request);
-    if (http_answer(fd, text, sizeof(text)) == 0)
+    send_text(fd, request);
+    if (http_response(fd, text, sizeof(text)) == 0)
         snprintf(text, sizeof(text), "nothing");
     if (strncmp(text, "HTTP/1.1 ", 9) != 0 || strncmp(text + 9, code, 3) != 0 || strstr(text, words) == NULL)
-        fail_msg("asked %s told %s instead of %s with %s", request, text, code, words);
+        fail_msg("request %s got response %s instead of %s with %s", request, text, code, words);
 }
 
 static void *caller_main(void *arg)
 {
-    Stage *stage = arg;
+    Fixture *fixture = arg;
     sigset_t set;
     sigemptyset(&set);
-    sigaddset(&set, SIGHUP); /* it is the loop's */
+    sigaddset(&set, SIGHUP); /* the loop's thread handles the signal */
     pthread_sigmask(SIG_BLOCK, &set, NULL);
-    stage->script(stage);
-    ask_until_taken(stage->second, "GET /end HTTP/1.1\r\nhost: x\r\n\r\n");
+    fixture->script(fixture);
+    request_until_accepted(fixture->second, "GET /end HTTP/1.1\r\nhost: x\r\n\r\n");
     return NULL;
 }
 
 static void on_term(void *arg)
 {
-    Stage *stage = arg;
-    loop_stop(stage->loop);
+    Fixture *fixture = arg;
+    loop_stop(fixture->loop);
 }
 
 static void on_hup(void *arg)
 {
-    Stage *stage = arg;
-    stage->hups++;
+    Fixture *fixture = arg;
+    fixture->hups++;
 }
 
-static void play(void (*script)(Stage *stage), HttpLimits limits)
+static void run_script(void (*script)(Fixture *fixture), HttpLimits limits)
 {
-    Stage *stage = talloc_zero(NULL, Stage);
-    stage->loop = real_loop_new(stage);
-    stage->script = script;
-    stage->limits = limits;
-    assert_int_equal(loop_serve(stage->loop, "127.0.0.1:0", on_first, stage, stage->first, NULL), STATUS_OK);
-    loop_serve_limits(stage->loop, &limits);
-    assert_int_equal(loop_serve(stage->loop, "127.0.0.1:0", on_second, stage, stage->second, NULL), STATUS_OK);
-    real_loop_on_hup(stage->loop, on_hup, stage);
+    Fixture *fixture = talloc_zero(NULL, Fixture);
+    fixture->loop = real_loop_new(fixture);
+    fixture->script = script;
+    fixture->limits = limits;
+    assert_int_equal(loop_serve(fixture->loop, "127.0.0.1:0", on_first, fixture, fixture->first, NULL), STATUS_OK);
+    loop_serve_limits(fixture->loop, &limits);
+    assert_int_equal(loop_serve(fixture->loop, "127.0.0.1:0", on_second, fixture, fixture->second, NULL), STATUS_OK);
+    real_loop_on_hup(fixture->loop, on_hup, fixture);
     pthread_t caller;
-    assert_int_equal(pthread_create(&caller, NULL, caller_main, stage), 0);
-    real_loop_run(stage->loop, on_term, stage);
+    assert_int_equal(pthread_create(&caller, NULL, caller_main, fixture), 0);
+    real_loop_run(fixture->loop, on_term, fixture);
     pthread_join(caller, NULL);
-    /* the loop's memory is the process's: it is left to its end */
+    /* the loop must not be freed before the process ends */
 }
 
-/* --- what is played --------------------------------------------------------------------- */
+/* --- scripts of the caller ------------------------------------------------------------- */
 
-static void two_addresses(Stage *stage)
+static void two_addresses(Fixture *fixture)
 {
-    const int first = dial(stage->first), second = dial(stage->second);
-    asked(first, "GET /a/b?c=d HTTP/1.1\r\nHost: Jobs.Example:8080\r\nX-Kind: Some\r\n\r\n", "200",
-          "first GET /a/b?c=d host=jobs.example kind=Some body=0");
-    asked(second, "GET /a HTTP/1.1\r\nhost: x\r\n\r\n", "200", "second");
-    /* the same connections again */
-    asked(second, "GET /a HTTP/1.1\r\nhost: x\r\n\r\n", "200", "second");
-    asked(first, "POST /p HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhello", "200", "body=5");
-    asked(first, "POST /p HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n",
-          "200", "body=7");
-    asked(first, "GET / HTTP/1.1\r\n\r\n", "200", "x-told: yes");
+    const int first = connect_to(fixture->first), second = connect_to(fixture->second);
+    must_respond(first, "GET /a/b?c=d HTTP/1.1\r\nHost: Jobs.Example:8080\r\nX-Kind: Some\r\n\r\n", "200",
+                 "first GET /a/b?c=d host=jobs.example kind=Some body=0");
+    must_respond(second, "GET /a HTTP/1.1\r\nhost: x\r\n\r\n", "200", "second");
+    /* the connections are reused */
+    must_respond(second, "GET /a HTTP/1.1\r\nhost: x\r\n\r\n", "200", "second");
+    must_respond(first, "POST /p HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhello", "200", "body=5");
+    must_respond(first,
+                 "POST /p HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n",
+                 "200", "body=7");
+    must_respond(first, "GET / HTTP/1.1\r\n\r\n", "200", "x-told: yes");
     close(first);
     close(second);
 }
 
-static void pipelined(Stage *stage)
+static void pipelined(Fixture *fixture)
 {
-    const int fd = dial(stage->first);
+    const int fd = connect_to(fixture->first);
     char text[4096];
-    put(fd,
+    send_text(
+        fd,
         "GET /1 HTTP/1.1\r\nhost: x\r\n\r\nPOST /2 HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nhiGET /3 HTTP/1.1\r\nhost: x\r\n\r\n");
     static const char *const WORDS[] = {"GET /1?", "POST /2?", "GET /3?"};
     for (int i = 0; i < 3; i++) {
-        if (http_answer(fd, text, sizeof(text)) == 0 || strstr(text, WORDS[i]) == NULL)
+        if (http_response(fd, text, sizeof(text)) == 0 || strstr(text, WORDS[i]) == NULL)
             fail_msg("%s instead of %s", text, WORDS[i]);
     }
     close(fd);
 }
 
-static void broken(Stage *stage)
+static void broken(Fixture *fixture)
 {
     static const char *const ROWS[] = {
         "GARBAGE\r\n\r\n",
@@ -170,86 +172,86 @@
         "POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
     };
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
-        const int fd = dial(stage->first);
+        const int fd = connect_to(fixture->first);
         char text[4096];
-        put(fd, ROWS[i]);
+        send_text(fd, ROWS[i]);
         shutdown(fd, SHUT_WR);
-        if (http_answer(fd, text, sizeof(text)) > 0 && strncmp(text, "HTTP/1.1 4", 10) != 0)
-            fail_msg("row %zu told %s", i, text);
+        if (http_response(fd, text, sizeof(text)) > 0 && strncmp(text, "HTTP/1.1 4", 10) != 0)
+            fail_msg("row %zu got response %s", i, text);
         close(fd);
     }
-    /* half a head, half a body, and gone */
+    /* callers that disconnect after a part of the head or body */
     static const char *const HALVES[] = {"G", "GET / HT", "GET / HTTP/1.1\r\nhost: x\r\n",
                                          "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\nabc"};
-    const int before = stage->served;
+    const int before = fixture->served;
     for (size_t i = 0; i < sizeof(HALVES) / sizeof(HALVES[0]); i++) {
-        const int fd = dial(stage->first);
-        put(fd, HALVES[i]);
+        const int fd = connect_to(fixture->first);
+        send_text(fd, HALVES[i]);
         close(fd);
     }
-    /* in two parts, and served */
-    const int fd = dial(stage->first);
-    put(fd, "GET /whole HT");
-    asked(dial(stage->second), "GET /a HTTP/1.1\r\nhost: x\r\n\r\n", "200", "second");
-    asked(fd, "TP/1.1\r\nhost: x\r\n\r\n", "200", "/whole");
-    assert_int_equal(stage->served, before + 1);
+    /* a head that arrives in two parts is served */
+    const int fd = connect_to(fixture->first);
+    send_text(fd, "GET /whole HT");
+    must_respond(connect_to(fixture->second), "GET /a HTTP/1.1\r\nhost: x\r\n\r\n", "200", "second");
+    must_respond(fd, "TP/1.1\r\nhost: x\r\n\r\n", "200", "/whole");
+    assert_int_equal(fixture->served, before + 1);
     close(fd);
 }
 
-static void too_large(Stage *stage)
+static void too_large(Fixture *fixture)
 {
     char *head = talloc_strdup(NULL, "GET / HTTP/1.1\r\nhost: x\r\nx-long: ");
     for (int i = 0; i < 100; i++)
         head = talloc_strdup_append(head, "0123456789012345678901234567890123456789");
     head = talloc_strdup_append(head, "\r\n\r\n");
-    int fd = dial(stage->first);
-    asked(fd, head, "431", "head-large");
-    /* the connection goes on */
-    asked(fd, "GET /after HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/after");
+    int fd = connect_to(fixture->first);
+    must_respond(fd, head, "431", "head-large");
+    /* the connection stays usable */
+    must_respond(fd, "GET /after HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/after");
     close(fd);
-    fd = dial(stage->first);
-    asked(fd, "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1001\r\n\r\n", "413", "");
+    fd = connect_to(fixture->first);
+    must_respond(fd, "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1001\r\n\r\n", "413", "");
     close(fd);
-    fd = dial(stage->first);
-    asked(fd, "GET /alive HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/alive");
+    fd = connect_to(fixture->first);
+    must_respond(fd, "GET /alive HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/alive");
     close(fd);
     talloc_free(head);
 }
 
-/* A head that never ends, and a connection without a request, are closed. */
-static void patience(Stage *stage)
+/* A connection with an incomplete head and one without a request are closed. */
+static void timeouts(Fixture *fixture)
 {
-    const int half = dial(stage->first), idle = dial(stage->first);
-    put(half, "GET / HT");
-    asked(idle, "GET /once HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/once");
-    assert_true(ended(idle));
-    assert_true(ended(half));
+    const int half = connect_to(fixture->first), idle = connect_to(fixture->first);
+    send_text(half, "GET / HT");
+    must_respond(idle, "GET /once HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/once");
+    assert_true(is_closed(idle));
+    assert_true(is_closed(half));
     close(half);
     close(idle);
 }
 
-/* A body has more time than a head. */
-static void slow_body(Stage *stage)
+/* The timeout of a head does not apply to a body. */
+static void slow_body(Fixture *fixture)
 {
-    const int body = dial(stage->first), half = dial(stage->first);
-    put(body, "POST /slow HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhe");
-    put(half, "GET / HT");
-    assert_true(ended(half));
-    asked(body, "llo", "200", "body=5");
+    const int body = connect_to(fixture->first), half = connect_to(fixture->first);
+    send_text(body, "POST /slow HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhe");
+    send_text(half, "GET / HT");
+    assert_true(is_closed(half));
+    must_respond(body, "llo", "200", "body=5");
     close(body);
     close(half);
 }
 
-/* A caller who leaves is seen; one who reads slowly keeps nobody else waiting. */
-static void callers(Stage *stage)
+/* A caller's disconnection is detected, and a caller that reads slowly does not delay others. */
+static void callers(Fixture *fixture)
 {
-    int fd = dial(stage->first);
-    put(fd, "GET /wait HTTP/1.1\r\nhost: x\r\n\r\n");
+    int fd = connect_to(fixture->first);
+    send_text(fd, "GET /wait HTTP/1.1\r\nhost: x\r\n\r\n");
     close(fd);
-    const int slow = dial(stage->first), other = dial(stage->first);
-    put(slow, "GET /large HTTP/1.1\r\nhost: x\r\n\r\n");
-    while (stage->gone == 0)
-        asked(other, "GET /meanwhile HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/meanwhile");
+    const int slow = connect_to(fixture->first), other = connect_to(fixture->first);
+    send_text(slow, "GET /large HTTP/1.1\r\nhost: x\r\n\r\n");
+    while (fixture->gone == 0)
+        must_respond(other, "GET /meanwhile HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/meanwhile");
     static char bytes[65536];
     size_t count = 0, parts = 0;
     while (count < LARGE_BYTES) {
@@ -257,68 +259,68 @@
         assert_true(got > 0);
         count += (size_t)got;
         if (++parts % 16 == 0)
-            asked(other, "GET /between HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/between");
+            must_respond(other, "GET /between HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/between");
     }
     close(slow);
     close(other);
 }
 
-/* Connections are closed after their next answer, not before. */
-static void leaving(Stage *stage)
+/* During a graceful shutdown, connections are closed after their next response, not before. */
+static void leaving(Fixture *fixture)
 {
-    const int open = dial(stage->first), asking = dial(stage->first);
-    asked(open, "GET /open HTTP/1.1\r\nhost: x\r\n\r\n", "200", "keep-alive");
-    asked(asking, "GET /leave HTTP/1.1\r\nhost: x\r\n\r\n", "200", "busy 1");
-    assert_true(ended(asking));
-    asked(open, "GET /last HTTP/1.1\r\nhost: x\r\n\r\n", "200", "onnection: close");
-    assert_true(ended(open));
-    const int fresh = dial(stage->first);
-    asked(fresh, "GET /fresh HTTP/1.1\r\nhost: x\r\n\r\n", "200", "onnection: close");
-    assert_true(ended(fresh));
+    const int open = connect_to(fixture->first), asking = connect_to(fixture->first);
+    must_respond(open, "GET /open HTTP/1.1\r\nhost: x\r\n\r\n", "200", "keep-alive");
+    must_respond(asking, "GET /leave HTTP/1.1\r\nhost: x\r\n\r\n", "200", "busy 1");
+    assert_true(is_closed(asking));
+    must_respond(open, "GET /last HTTP/1.1\r\nhost: x\r\n\r\n", "200", "onnection: close");
+    assert_true(is_closed(open));
+    const int fresh = connect_to(fixture->first);
+    must_respond(fresh, "GET /fresh HTTP/1.1\r\nhost: x\r\n\r\n", "200", "onnection: close");
+    assert_true(is_closed(fresh));
     close(open);
     close(asking);
     close(fresh);
 }
 
-/* Guards against: connections were taken without a bound until the process had no descriptors left, for its peers and
- * files neither. */
-static void crowded(Stage *stage)
+/* Guards against accepting connections without a limit, which left the process without file descriptors for its peers
+ * and files. */
+static void crowded(Fixture *fixture)
 {
-    const int one = dial(stage->first), other = dial(stage->first);
-    asked(one, "GET /one HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /one");
-    asked(other, "GET /other HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /other");
-    const int served = stage->served;
-    /* those that ask nothing are closed beyond one more than the bound, and keep nobody else from asking */
+    const int one = connect_to(fixture->first), other = connect_to(fixture->first);
+    must_respond(one, "GET /one HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /one");
+    must_respond(other, "GET /other HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /other");
+    const int served = fixture->served;
+    /* with the limit of 2, one more connection is kept and further idle ones are closed; other callers are served */
     int idle[20], closed = 0;
     for (size_t i = 0; i < sizeof(idle) / sizeof(idle[0]); i++)
-        idle[i] = dial(stage->first);
+        idle[i] = connect_to(fixture->first);
     for (size_t i = 1; i < sizeof(idle) / sizeof(idle[0]); i++)
-        closed += ended(idle[i]);
+        closed += is_closed(idle[i]);
     assert_int_equal(closed, 19);
-    asked(one, "GET /between HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /between");
-    asked(idle[0], "GET /idle HTTP/1.1\r\nhost: x\r\n\r\n", "503", "etry-after: ");
-    assert_true(ended(idle[0]));
+    must_respond(one, "GET /between HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /between");
+    must_respond(idle[0], "GET /idle HTTP/1.1\r\nhost: x\r\n\r\n", "503", "etry-after: ");
+    assert_true(is_closed(idle[0]));
     for (size_t i = 0; i < sizeof(idle) / sizeof(idle[0]); i++)
         close(idle[i]);
-    const int third = dial(stage->first);
-    asked(third, "GET /third HTTP/1.1\r\nhost: x\r\n\r\n", "503", "etry-after: ");
-    assert_true(ended(third));
+    const int third = connect_to(fixture->first);
+    must_respond(third, "GET /third HTTP/1.1\r\nhost: x\r\n\r\n", "503", "etry-after: ");
+    assert_true(is_closed(third));
     close(third);
-    assert_int_equal(stage->served, served + 1); /* it was certainly not taken */
-    asked(one, "GET /again HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /again");
+    assert_int_equal(fixture->served, served + 1); /* the rejected request was not handled */
+    must_respond(one, "GET /again HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /again");
     close(one);
     close(other);
 }
 
-/* SIGHUP, again and again, ends nothing. */
-static void hups(Stage *stage)
+/* Repeated SIGHUPs call the handler, and neither the loop nor a connection ends. */
+static void hups(Fixture *fixture)
 {
-    const int fd = dial(stage->first);
+    const int fd = connect_to(fixture->first);
     for (int i = 1; i <= 3; i++) {
-        asked(fd, "GET /up HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/up"); /* the loop runs */
+        must_respond(fd, "GET /up HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/up"); /* the loop is running */
         kill(getpid(), SIGHUP);
-        while (stage->hups < i)
-            asked(fd, "GET /up HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/up");
+        while (fixture->hups < i)
+            must_respond(fd, "GET /up HTTP/1.1\r\nhost: x\r\n\r\n", "200", "/up");
     }
     close(fd);
 }
@@ -326,61 +328,61 @@
 static void test_hups(void **state)
 {
     (void)state;
-    play(hups, (HttpLimits){0});
+    run_script(hups, (HttpLimits){0});
 }
 
 static void test_two_addresses(void **state)
 {
     (void)state;
-    play(two_addresses, (HttpLimits){0});
+    run_script(two_addresses, (HttpLimits){0});
 }
 
 static void test_pipelined(void **state)
 {
     (void)state;
-    play(pipelined, (HttpLimits){0});
+    run_script(pipelined, (HttpLimits){0});
 }
 
 static void test_broken(void **state)
 {
     (void)state;
-    play(broken, (HttpLimits){0});
+    run_script(broken, (HttpLimits){0});
 }
 
 static void test_too_large(void **state)
 {
     (void)state;
-    play(too_large, (HttpLimits){.head_bytes = 2000, .body_bytes = 1000});
+    run_script(too_large, (HttpLimits){.head_bytes = 2000, .body_bytes = 1000});
 }
 
 static void test_patience(void **state)
 {
     (void)state;
-    play(patience, (HttpLimits){.head_ms = 50, .idle_ms = 100});
+    run_script(timeouts, (HttpLimits){.head_ms = 50, .idle_ms = 100});
 }
 
 static void test_slow_body(void **state)
 {
     (void)state;
-    play(slow_body, (HttpLimits){.head_ms = 50});
+    run_script(slow_body, (HttpLimits){.head_ms = 50});
 }
 
 static void test_callers(void **state)
 {
     (void)state;
-    play(callers, (HttpLimits){0});
+    run_script(callers, (HttpLimits){0});
 }
 
 static void test_leaving(void **state)
 {
     (void)state;
-    play(leaving, (HttpLimits){0});
+    run_script(leaving, (HttpLimits){0});
 }
 
 static void test_crowded(void **state)
 {
     (void)state;
-    play(crowded, (HttpLimits){.connections = 2});
+    run_script(crowded, (HttpLimits){.connections = 2});
 }
 
 int main(void)
@@ -393,5 +395,5 @@
     };
     const int failed = cmocka_run_group_tests(tests, NULL, NULL);
     fflush(NULL);
-    _exit(failed); /* a real loop lives as long as its process: what it leaves is no leak */
+    _exit(failed); /* a real loop lives as long as its process: memory that it still holds is no leak */
 }
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -1,5 +1,5 @@
-/* The real loop over loopback: an answer goes to its own caller. A thread is the other
- * side, with plain sockets; nobody sleeps, each waits for what the other has done. */
+/* Tests of the real loop over loopback: a response reaches its own caller only. A thread with plain sockets is the
+ * other side. The two sides do not rely on delays: each waits wait_for_step the other has reached a step. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -21,38 +21,40 @@
 #include "loop/real.h"
 #include "socket_fixture.h"
 
-#define GIVEN_UP_MS 20  /* ms; a call that is to be given up */
-#define PATIENT_MS 5000 /* ms; one that is not */
-#define CALLERS 40      /* count; that leave, one after the other */
+#define SHORT_TIMEOUT_MS 20  /* Timeout of a call that must expire */
+#define LONG_TIMEOUT_MS 5000 /* Timeout of a call that must not expire */
+#define CALLERS 40           /* Callers that disconnect, one after the other */
 #define FRAME_BYTES (1024 * 1024)
-#define BURST_FRAMES 64           /* count; of FRAME_BYTES: far more than the kernel's send buffer ever grows to */
-#define RECEIVE_BYTES (64 * 1024) /* of the listener's sockets: a size that is set doesn't grow by itself */
+#define BURST_FRAMES 64 /* Frames of FRAME_BYTES: far more than the kernel's send buffer grows to */
+#define RECEIVE_BYTES \
+    (64 * 1024) /* Receive buffer of the listener's sockets: an explicit size does not grow by itself */
 
-typedef struct Stage {
+typedef struct Fixture {
     Loop *loop;
-    char address[ADDRESS_MAX]; /* the loop's server */
-    int listener;              /* the thread's */
-    char peer[ADDRESS_MAX];
-    void (*thread)(struct Stage *stage); /* the other side's part */
-    TaskFn task;                         /* the loop's part; null: it serves only */
-    atomic_int step;                     /* how far the two have come */
-    atomic_int gone;
-} Stage;
+    char address[ADDRESS_MAX];               /* the loop's server */
+    int listener;                            /* the thread's listening socket */
+    char peer[ADDRESS_MAX];                  /* address of the listener */
+    void (*thread)(struct Fixture *fixture); /* runs in the thread */
+    TaskFn task;                             /* runs in the loop; null: the loop only serves */
+    atomic_int step;                         /* the step that the two sides have reached */
+    atomic_int gone;                         /* callers whose disconnection was detected */
+} Fixture;
 
-static void until(Stage *stage, int step)
+/* Waits for a step in the thread. */
+static void wait_for_step(Fixture *fixture, int step)
 {
-    while (stage->step < step)
+    while (fixture->step < step)
         sched_yield();
 }
 
-/* Likewise, in a task of the loop. */
-static void until_step(Stage *stage, int step)
+/* Waits for a step in a task of the loop. */
+static void sleep_until_step(Fixture *fixture, int step)
 {
-    while (stage->step < step)
-        loop_sleep(stage->loop, 1);
+    while (fixture->step < step)
+        loop_sleep(fixture->loop, 1);
 }
 
-/* Reads until the text has these words; false: it ended before. */
+/* Reads until the text contains the words; returns false when the connection ends before that. */
 static bool read_until(int fd, char *text, size_t capacity, const char *words)
 {
     size_t count = 0;
@@ -68,8 +70,8 @@
 
 static void *thread_main(void *arg)
 {
-    Stage *stage = arg;
-    stage->thread(stage);
+    Fixture *fixture = arg;
+    fixture->thread(fixture);
     return NULL;
 }
 
@@ -78,36 +80,36 @@
     (void)arg;
 }
 
-/* --- two requests on one caller's connection, callers that leave ------------------------ */
+/* --- several requests on one caller's connection, callers that disconnect --------------- */
 
-/* "/up" waits until it has been given up, as one whose deadline comes. */
+/* "/up" is answered with 504 after step 1, as a request whose deadline expires. */
 static void on_http(void *arg, HttpTask *task)
 {
-    Stage *stage = arg;
+    Fixture *fixture = arg;
     task->code = 200;
     if (strcmp(task->path, "/end") == 0)
         loop_stop(task->loop);
     if (strcmp(task->path, "/up") == 0) {
-        until_step(stage, 1);
+        sleep_until_step(fixture, 1);
         task->code = 504;
     }
     if (strcmp(task->path, "/leaver") == 0) {
         while (!task->gone)
             loop_sleep(task->loop, 1);
-        stage->gone++;
+        fixture->gone++;
     }
     const char *text = talloc_asprintf(task, "answer to %s.", task->path);
     bytes_add(task, &task->result, text, strlen(text));
 }
 
-static void ask(int fd, const char *path)
+static void send_request(int fd, const char *path)
 {
     char request[256];
     snprintf(request, sizeof(request), "GET %s HTTP/1.1\r\nhost: x\r\n\r\n", path);
-    put(fd, request);
+    send_text(fd, request);
 }
 
-static void reported(int fd, const char *code, const char *path)
+static void must_respond(int fd, const char *code, const char *path)
 {
     char text[1024], words[256];
     snprintf(words, sizeof(words), "answer to %s.", path);
@@ -120,41 +122,42 @@
         fail_msg("%s instead of %s", text, words);
 }
 
-static void callers(Stage *stage)
+static void callers(Fixture *fixture)
 {
-    /* three at once on one connection, the first given up */
-    const int fd = dial(stage->address);
-    ask(fd, "/up");
-    ask(fd, "/second");
-    ask(fd, "/third");
-    stage->step = 1;
-    reported(fd, "504", "/up");
-    reported(fd, "200", "/second");
-    reported(fd, "200", "/third");
-    /* one leaves with its request in work, the next takes its place */
+    /* three requests at once on one connection; the first expires */
+    const int fd = connect_to(fixture->address);
+    send_request(fd, "/up");
+    send_request(fd, "/second");
+    send_request(fd, "/third");
+    fixture->step = 1;
+    must_respond(fd, "504", "/up");
+    must_respond(fd, "200", "/second");
+    must_respond(fd, "200", "/third");
+    /* a caller disconnects while its request is in progress, and another connects */
     for (int i = 0; i < CALLERS; i++) {
         char path[64];
-        const int leaver = dial(stage->address);
-        ask(leaver, "/leaver");
+        const int leaver = connect_to(fixture->address);
+        send_request(leaver, "/leaver");
         close(leaver);
-        const int next = dial(stage->address);
+        const int next = connect_to(fixture->address);
         snprintf(path, sizeof(path), "/next%d", i);
-        ask(next, path);
-        reported(next, "200", path);
+        send_request(next, path);
+        must_respond(next, "200", path);
         snprintf(path, sizeof(path), "/again%d", i);
-        ask(next, path);
-        reported(next, "200", path);
+        send_request(next, path);
+        must_respond(next, "200", path);
         close(next);
     }
-    while (stage->gone < CALLERS)
+    while (fixture->gone < CALLERS)
         sched_yield();
-    ask(fd, "/end");
-    reported(fd, "200", "/end");
+    send_request(fd, "/end");
+    must_respond(fd, "200", "/end");
     close(fd);
 }
 
-/* --- calls of ours: late, cut short, reset ----------------------------------------------- */
+/* --- outgoing calls: late, truncated and reset responses ---------------------------------- */
 
+/* Closes the connection with a TCP reset. */
 static void reset_close(int fd)
 {
     const struct linger now = {1, 0};
@@ -162,10 +165,11 @@
     close(fd);
 }
 
-static int accepted(const Stage *stage, const char *words)
+/* Accepts a connection and reads its request, which must contain the words. */
+static int accept_request(const Fixture *fixture, const char *words)
 {
     char text[1024];
-    const int fd = accept(stage->listener, NULL, NULL);
+    const int fd = accept(fixture->listener, NULL, NULL);
     if (fd < 0 || !read_until(fd, text, sizeof(text), words))
         fail_msg("%s instead of %s", text, words);
     return fd;
@@ -175,32 +179,32 @@
 #define OWN "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nown"
 #define SHORT "HTTP/1.1 200 OK\r\ncontent-length: 30\r\n\r\nshort"
 
-static void answering(Stage *stage)
+static void respond_to_calls(Fixture *fixture)
 {
-    const int late = accepted(stage, "/late");
-    until(stage, 1); /* it has been given up */
+    const int late = accept_request(fixture, "/late");
+    wait_for_step(fixture, 1); /* the call has expired */
     send(late, LATE, strlen(LATE), MSG_NOSIGNAL);
-    const int own = accepted(stage, "/own");
+    const int own = accept_request(fixture, "/own");
     send(late, LATE, strlen(LATE), MSG_NOSIGNAL);
-    put(own, OWN);
+    send_text(own, OWN);
     close(own);
     close(late);
-    const int half = accepted(stage, "/short");
-    put(half, SHORT);
+    const int half = accept_request(fixture, "/short");
+    send_text(half, SHORT);
     close(half);
-    const int reset = accepted(stage, "/reset");
-    put(reset, "HTTP/1.1 200 OK\r\ncontent-le");
+    const int reset = accept_request(fixture, "/reset");
+    send_text(reset, "HTTP/1.1 200 OK\r\ncontent-le");
     reset_close(reset);
-    const int last = accepted(stage, "/last");
-    put(last, OWN);
+    const int last = accept_request(fixture, "/last");
+    send_text(last, OWN);
     close(last);
 }
 
-static Status call(Stage *stage, const char *path, int64_t wait_ms, const char *body)
+static Status call(Fixture *fixture, const char *path, int64_t wait_ms, const char *body)
 {
     HttpCall one = {
-        .mem = talloc_new(stage), .address = stage->peer, .method = "GET", .path = path, .wait_ms = wait_ms};
-    const Status status = loop_call(stage->loop, &one);
+        .mem = talloc_new(fixture), .address = fixture->peer, .method = "GET", .path = path, .wait_ms = wait_ms};
+    const Status status = loop_call(fixture->loop, &one);
     if (status == STATUS_OK)
         assert_true(one.result.count == strlen(body) && memcmp(one.result.data, body, one.result.count) == 0);
     assert_true(one.sent);
@@ -208,106 +212,107 @@
     return status;
 }
 
-static void calling(void *arg)
+static void make_calls(void *arg)
 {
-    Stage *stage = arg;
-    assert_int_equal(call(stage, "/late", GIVEN_UP_MS, ""), STATUS_EXPIRED);
-    stage->step = 1;
-    assert_int_equal(call(stage, "/own", PATIENT_MS, "own"), STATUS_OK);
-    assert_int_equal(call(stage, "/short", PATIENT_MS, ""), STATUS_CLOSED);
-    assert_int_equal(call(stage, "/reset", PATIENT_MS, ""), STATUS_CLOSED);
-    assert_int_equal(call(stage, "/last", PATIENT_MS, "own"), STATUS_OK);
-    loop_stop(stage->loop);
+    Fixture *fixture = arg;
+    assert_int_equal(call(fixture, "/late", SHORT_TIMEOUT_MS, ""), STATUS_EXPIRED);
+    fixture->step = 1;
+    assert_int_equal(call(fixture, "/own", LONG_TIMEOUT_MS, "own"), STATUS_OK);
+    assert_int_equal(call(fixture, "/short", LONG_TIMEOUT_MS, ""), STATUS_CLOSED);
+    assert_int_equal(call(fixture, "/reset", LONG_TIMEOUT_MS, ""), STATUS_CLOSED);
+    assert_int_equal(call(fixture, "/last", LONG_TIMEOUT_MS, "own"), STATUS_OK);
+    loop_stop(fixture->loop);
 }
 
-/* --- frames: half written, and never sent ------------------------------------------------- */
+/* --- frames: partly received, and not sent ------------------------------------------------ */
 
-static void framing(Stage *stage)
+static void peer_of_frames(Fixture *fixture)
 {
     static const uint8_t WHOLE[] = {0, 0, 0, 2, 'o', 'k'}, HALF[] = {0, 0, 0, 9, 'h', 'a', 'l', 'f'};
-    const int half = accept(stage->listener, NULL, NULL);
+    const int half = accept(fixture->listener, NULL, NULL);
     send(half, WHOLE, sizeof(WHOLE), MSG_NOSIGNAL);
     send(half, HALF, sizeof(HALF), MSG_NOSIGNAL);
     close(half);
-    const int full = accept(stage->listener, NULL, NULL);
-    until(stage, 1); /* more has been sent than the kernel takes; nothing is read of it */
+    const int full = accept(fixture->listener, NULL, NULL);
+    wait_for_step(fixture, 1); /* the loop has sent more than the kernel accepts; none of it is read */
     reset_close(full);
 }
 
-static void framed(void *arg)
+static void exchange_frames(void *arg)
 {
-    Stage *stage = arg;
+    Fixture *fixture = arg;
     Channel *channel;
     Bytes frame = {0};
-    assert_int_equal(loop_open(stage->loop, stage, stage->peer, PATIENT_MS, &channel), STATUS_OK);
-    assert_int_equal(channel_receive(channel, stage, INT64_MAX, &frame), STATUS_OK);
+    assert_int_equal(loop_open(fixture->loop, fixture, fixture->peer, LONG_TIMEOUT_MS, &channel), STATUS_OK);
+    assert_int_equal(channel_receive(channel, fixture, INT64_MAX, &frame), STATUS_OK);
     assert_int_equal(frame.count, 2);
-    assert_int_equal(channel_receive(channel, stage, INT64_MAX, &frame), STATUS_CLOSED); /* and nothing of the half */
+    assert_int_equal(channel_receive(channel, fixture, INT64_MAX, &frame),
+                     STATUS_CLOSED); /* the partial frame is dropped */
     channel_close(channel);
-    assert_int_equal(loop_open(stage->loop, stage, stage->peer, PATIENT_MS, &channel), STATUS_OK);
-    const Bytes large = {talloc_zero_size(stage, FRAME_BYTES), FRAME_BYTES, 0};
+    assert_int_equal(loop_open(fixture->loop, fixture, fixture->peer, LONG_TIMEOUT_MS, &channel), STATUS_OK);
+    const Bytes large = {talloc_zero_size(fixture, FRAME_BYTES), FRAME_BYTES, 0};
     for (int i = 0; i < BURST_FRAMES; i++)
         assert_int_equal(channel_send(channel, large), STATUS_OK);
     const uint64_t burst = channel_queued(channel);
-    assert_true(channel_unsent(channel, 1)); /* written at the end of a turn, not before */
+    assert_true(channel_unsent(channel, 1)); /* frames are written at the end of a turn */
     while (channel_unsent(channel, 1))
-        loop_sleep(stage->loop, 1);
-    assert_false(channel_unsent(channel, burst)); /* some of it has left, the rest may at any time: not known */
+        loop_sleep(fixture->loop, 1);
+    assert_false(channel_unsent(channel, burst)); /* a part has left, the rest may leave at any time */
     assert_int_equal(channel_send(channel, large), STATUS_OK);
     const uint64_t last = channel_queued(channel);
-    loop_sleep(stage->loop, 1);
-    assert_true(channel_unsent(channel, last)); /* gathered behind the burst: nobody can have it */
-    stage->step = 1;
-    assert_int_equal(channel_receive(channel, stage, INT64_MAX, &frame), STATUS_CLOSED);
+    loop_sleep(fixture->loop, 1);
+    assert_true(channel_unsent(channel, last)); /* queued after the burst, so the peer cannot have it */
+    fixture->step = 1;
+    assert_int_equal(channel_receive(channel, fixture, INT64_MAX, &frame), STATUS_CLOSED);
     assert_true(channel_unsent(channel, last));
     assert_false(channel_unsent(channel, burst));
     channel_close(channel);
-    loop_stop(stage->loop);
+    loop_stop(fixture->loop);
 }
 
-/* --- play ------------------------------------------------------------------------------- */
+/* --- fixture ---------------------------------------------------------------------------- */
 
-static void play(void (*thread)(Stage *stage), TaskFn task)
+static void run_sides(void (*thread)(Fixture *fixture), TaskFn task)
 {
-    Stage *stage = talloc_zero(NULL, Stage);
-    stage->loop = real_loop_new(stage);
-    stage->thread = thread;
+    Fixture *fixture = talloc_zero(NULL, Fixture);
+    fixture->loop = real_loop_new(fixture);
+    fixture->thread = thread;
     struct sockaddr_in sin = {.sin_family = AF_INET};
     socklen_t length = sizeof(sin);
     inet_pton(AF_INET, "127.0.0.1", &sin.sin_addr);
-    stage->listener = socket(AF_INET, SOCK_STREAM, 0);
+    fixture->listener = socket(AF_INET, SOCK_STREAM, 0);
     const int receive_bytes = RECEIVE_BYTES;
-    assert_int_equal(setsockopt(stage->listener, SOL_SOCKET, SO_RCVBUF, &receive_bytes, sizeof(receive_bytes)), 0);
-    assert_int_equal(bind(stage->listener, (struct sockaddr *)&sin, length), 0);
-    assert_int_equal(listen(stage->listener, 16), 0);
-    assert_int_equal(getsockname(stage->listener, (struct sockaddr *)&sin, &length), 0);
-    snprintf(stage->peer, sizeof(stage->peer), "127.0.0.1:%d", ntohs(sin.sin_port));
-    assert_int_equal(loop_serve(stage->loop, "127.0.0.1:0", on_http, stage, stage->address, NULL), STATUS_OK);
+    assert_int_equal(setsockopt(fixture->listener, SOL_SOCKET, SO_RCVBUF, &receive_bytes, sizeof(receive_bytes)), 0);
+    assert_int_equal(bind(fixture->listener, (struct sockaddr *)&sin, length), 0);
+    assert_int_equal(listen(fixture->listener, 16), 0);
+    assert_int_equal(getsockname(fixture->listener, (struct sockaddr *)&sin, &length), 0);
+    snprintf(fixture->peer, sizeof(fixture->peer), "127.0.0.1:%d", ntohs(sin.sin_port));
+    assert_int_equal(loop_serve(fixture->loop, "127.0.0.1:0", on_http, fixture, fixture->address, NULL), STATUS_OK);
     if (task != NULL)
-        loop_spawn(stage->loop, "part", task, stage);
+        loop_spawn(fixture->loop, "part", task, fixture);
     pthread_t other;
-    assert_int_equal(pthread_create(&other, NULL, thread_main, stage), 0);
-    real_loop_run(stage->loop, on_term, stage);
+    assert_int_equal(pthread_create(&other, NULL, thread_main, fixture), 0);
+    real_loop_run(fixture->loop, on_term, fixture);
     assert_int_equal(pthread_join(other, NULL), 0);
-    close(stage->listener);
+    close(fixture->listener);
 }
 
 static void own_answers(void **state)
 {
     (void)state;
-    play(callers, NULL);
+    run_sides(callers, NULL);
 }
 
 static void own_calls(void **state)
 {
     (void)state;
-    play(answering, calling);
+    run_sides(respond_to_calls, make_calls);
 }
 
 static void whole_frames(void **state)
 {
     (void)state;
-    play(framing, framed);
+    run_sides(peer_of_frames, exchange_frames);
 }
 
 int main(void)
@@ -319,5 +324,5 @@
     };
     const int failed = cmocka_run_group_tests(tests, NULL, NULL);
     fflush(NULL);
-    _exit(failed); /* a real loop lives as long as its process: what it leaves is no leak */
+    _exit(failed); /* a real loop lives as long as its process: memory that it still holds is no leak */
 }
