--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -23,15 +23,15 @@
 #define LARGE_BYTES (16 * 1024 * 1024) /* Size of a response that the kernel does not accept at once */
 
 /* State shared by the loop's thread and the caller's. Invariant: only the loop's thread accesses loop. */
-typedef struct Fixture {
+typedef struct PeerFixture {
     Loop *loop;
     char first[ADDRESS_MAX], second[ADDRESS_MAX];
-    void (*script)(struct Fixture *fixture);
+    void (*script)(struct PeerFixture *fixture);
     HttpLimits limits;
     atomic_int gone; /* callers whose disconnection was detected */
     atomic_int served;
     atomic_int hups;
-} Fixture;
+} PeerFixture;
 
 static void respond(HttpTask *task, const char *text)
 {
@@ -42,7 +42,7 @@
 
 static void on_first(void *arg, HttpTask *task)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     fixture->served++;
     if (strcmp(task->path, "/wait") == 0) {
         while (!task->gone)
@@ -87,7 +87,7 @@
 
 static void *caller_main(void *arg)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGHUP); /* the loop's thread handles the signal */
@@ -99,19 +99,19 @@
 
 static void on_term(void *arg)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     loop_stop(fixture->loop);
 }
 
 static void on_hup(void *arg)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     fixture->hups++;
 }
 
-static void run_script(void (*script)(Fixture *fixture), HttpLimits limits)
+static void run_script(void (*script)(PeerFixture *fixture), HttpLimits limits)
 {
-    Fixture *fixture = talloc_zero(NULL, Fixture);
+    PeerFixture *fixture = talloc_zero(NULL, PeerFixture);
     fixture->loop = real_loop_new(fixture);
     fixture->script = script;
     fixture->limits = limits;
@@ -128,7 +128,7 @@
 
 /* --- scripts of the caller ------------------------------------------------------------- */
 
-static void two_addresses(Fixture *fixture)
+static void two_addresses(PeerFixture *fixture)
 {
     const int first = connect_to(fixture->first), second = connect_to(fixture->second);
     must_respond(first, "GET /a/b?c=d HTTP/1.1\r\nHost: Jobs.Example:8080\r\nX-Kind: Some\r\n\r\n", "200",
@@ -145,7 +145,7 @@
     close(second);
 }
 
-static void pipelined(Fixture *fixture)
+static void pipelined(PeerFixture *fixture)
 {
     const int fd = connect_to(fixture->first);
     char text[4096];
@@ -160,7 +160,7 @@
     close(fd);
 }
 
-static void broken(Fixture *fixture)
+static void broken(PeerFixture *fixture)
 {
     static const char *const ROWS[] = {
         "GARBAGE\r\n\r\n",
@@ -198,7 +198,7 @@
     close(fd);
 }
 
-static void too_large(Fixture *fixture)
+static void too_large(PeerFixture *fixture)
 {
     char *head = talloc_strdup(NULL, "GET / HTTP/1.1\r\nhost: x\r\nx-long: ");
     for (int i = 0; i < 100; i++)
@@ -219,7 +219,7 @@
 }
 
 /* A connection with an incomplete head and one without a request are closed. */
-static void timeouts(Fixture *fixture)
+static void timeouts(PeerFixture *fixture)
 {
     const int half = connect_to(fixture->first), idle = connect_to(fixture->first);
     send_text(half, "GET / HT");
@@ -231,7 +231,7 @@
 }
 
 /* The timeout of a head does not apply to a body. */
-static void slow_body(Fixture *fixture)
+static void slow_body(PeerFixture *fixture)
 {
     const int body = connect_to(fixture->first), half = connect_to(fixture->first);
     send_text(body, "POST /slow HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhe");
@@ -243,7 +243,7 @@
 }
 
 /* A caller's disconnection is detected, and a caller that reads slowly does not delay others. */
-static void callers(Fixture *fixture)
+static void callers(PeerFixture *fixture)
 {
     int fd = connect_to(fixture->first);
     send_text(fd, "GET /wait HTTP/1.1\r\nhost: x\r\n\r\n");
@@ -266,7 +266,7 @@
 }
 
 /* During a graceful shutdown, connections are closed after their next response, not before. */
-static void leaving(Fixture *fixture)
+static void leaving(PeerFixture *fixture)
 {
     const int open = connect_to(fixture->first), asking = connect_to(fixture->first);
     must_respond(open, "GET /open HTTP/1.1\r\nhost: x\r\n\r\n", "200", "keep-alive");
@@ -284,7 +284,7 @@
 
 /* Guards against accepting connections without a limit, which left the process without file descriptors for its peers
  * and files. */
-static void crowded(Fixture *fixture)
+static void crowded(PeerFixture *fixture)
 {
     const int one = connect_to(fixture->first), other = connect_to(fixture->first);
     must_respond(one, "GET /one HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /one");
@@ -313,7 +313,7 @@
 }
 
 /* Repeated SIGHUPs call the handler, and neither the loop nor a connection ends. */
-static void hups(Fixture *fixture)
+static void hups(PeerFixture *fixture)
 {
     const int fd = connect_to(fixture->first);
     for (int i = 1; i <= 3; i++) {
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -29,26 +29,26 @@
 #define RECEIVE_BYTES \
     (64 * 1024) /* Receive buffer of the listener's sockets: an explicit size does not grow by itself */
 
-typedef struct Fixture {
+typedef struct PeerFixture {
     Loop *loop;
-    char address[ADDRESS_MAX];               /* the loop's server */
-    int listener;                            /* the thread's listening socket */
-    char peer[ADDRESS_MAX];                  /* address of the listener */
-    void (*thread)(struct Fixture *fixture); /* runs in the thread */
-    TaskFn task;                             /* runs in the loop; null: the loop only serves */
-    atomic_int step;                         /* the step that the two sides have reached */
-    atomic_int gone;                         /* callers whose disconnection was detected */
-} Fixture;
+    char address[ADDRESS_MAX];                   /* the loop's server */
+    int listener;                                /* the thread's listening socket */
+    char peer[ADDRESS_MAX];                      /* address of the listener */
+    void (*thread)(struct PeerFixture *fixture); /* runs in the thread */
+    TaskFn task;                                 /* runs in the loop; null: the loop only serves */
+    atomic_int step;                             /* the step that the two sides have reached */
+    atomic_int gone;                             /* callers whose disconnection was detected */
+} PeerFixture;
 
 /* Waits for a step in the thread. */
-static void wait_for_step(Fixture *fixture, int step)
+static void wait_for_step(PeerFixture *fixture, int step)
 {
     while (fixture->step < step)
         sched_yield();
 }
 
 /* Waits for a step in a task of the loop. */
-static void sleep_until_step(Fixture *fixture, int step)
+static void sleep_until_step(PeerFixture *fixture, int step)
 {
     while (fixture->step < step)
         loop_sleep(fixture->loop, 1);
@@ -70,7 +70,7 @@
 
 static void *thread_main(void *arg)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     fixture->thread(fixture);
     return NULL;
 }
@@ -85,7 +85,7 @@
 /* "/up" is answered with 504 after step 1, as a request whose deadline expires. */
 static void on_http(void *arg, HttpTask *task)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     task->code = 200;
     if (strcmp(task->path, "/end") == 0)
         loop_stop(task->loop);
@@ -122,7 +122,7 @@
         fail_msg("%s instead of %s", text, words);
 }
 
-static void callers(Fixture *fixture)
+static void callers(PeerFixture *fixture)
 {
     /* three requests at once on one connection; the first expires */
     const int fd = connect_to(fixture->address);
@@ -166,7 +166,7 @@
 }
 
 /* Accepts a connection and reads its request, which must contain the words. */
-static int accept_request(const Fixture *fixture, const char *words)
+static int accept_request(const PeerFixture *fixture, const char *words)
 {
     char text[1024];
     const int fd = accept(fixture->listener, NULL, NULL);
@@ -179,7 +179,7 @@
 #define OWN "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nown"
 #define SHORT "HTTP/1.1 200 OK\r\ncontent-length: 30\r\n\r\nshort"
 
-static void respond_to_calls(Fixture *fixture)
+static void respond_to_calls(PeerFixture *fixture)
 {
     const int late = accept_request(fixture, "/late");
     wait_for_step(fixture, 1); /* the call has expired */
@@ -200,7 +200,7 @@
     close(last);
 }
 
-static Status call(Fixture *fixture, const char *path, int64_t wait_ms, const char *body)
+static Status call(PeerFixture *fixture, const char *path, int64_t wait_ms, const char *body)
 {
     HttpCall one = {
         .mem = talloc_new(fixture), .address = fixture->peer, .method = "GET", .path = path, .wait_ms = wait_ms};
@@ -214,7 +214,7 @@
 
 static void make_calls(void *arg)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     assert_int_equal(call(fixture, "/late", SHORT_TIMEOUT_MS, ""), STATUS_EXPIRED);
     fixture->step = 1;
     assert_int_equal(call(fixture, "/own", LONG_TIMEOUT_MS, "own"), STATUS_OK);
@@ -226,7 +226,7 @@
 
 /* --- frames: partly received, and not sent ------------------------------------------------ */
 
-static void peer_of_frames(Fixture *fixture)
+static void peer_of_frames(PeerFixture *fixture)
 {
     static const uint8_t WHOLE[] = {0, 0, 0, 2, 'o', 'k'}, HALF[] = {0, 0, 0, 9, 'h', 'a', 'l', 'f'};
     const int half = accept(fixture->listener, NULL, NULL);
@@ -240,7 +240,7 @@
 
 static void exchange_frames(void *arg)
 {
-    Fixture *fixture = arg;
+    PeerFixture *fixture = arg;
     Channel *channel;
     Bytes frame = {0};
     assert_int_equal(loop_open(fixture->loop, fixture, fixture->peer, LONG_TIMEOUT_MS, &channel), STATUS_OK);
@@ -272,9 +272,9 @@
 
 /* --- fixture ---------------------------------------------------------------------------- */
 
-static void run_sides(void (*thread)(Fixture *fixture), TaskFn task)
+static void run_sides(void (*thread)(PeerFixture *fixture), TaskFn task)
 {
-    Fixture *fixture = talloc_zero(NULL, Fixture);
+    PeerFixture *fixture = talloc_zero(NULL, PeerFixture);
     fixture->loop = real_loop_new(fixture);
     fixture->thread = thread;
     struct sockaddr_in sin = {.sin_family = AF_INET};
--- a/packages/loop/test/socket_fixture.h
+++ b/packages/loop/test/socket_fixture.h
@@ -25,7 +25,7 @@
 static inline void send_text(int fd, const char *text)
 {
     if (send(fd, text, strlen(text), MSG_NOSIGNAL) != (ssize_t)strlen(text))
-        fprintf(stderr, "the text was not sent completely\n");
+        fprintf(stderr, "not all was sent\n");
 }
 
 /* Reads one complete response, the head and the body of the stated length, and returns its size; 0: the connection has
