--- a/packages/wire/include/wire/shape.h
+++ b/packages/wire/include/wire/shape.h
@@ -1,22 +1,22 @@
 #ifndef WIRE_SHAPE_H
 #define WIRE_SHAPE_H
 
-/* A shape is a struct described once, as a list of fields; from the list come the struct itself and
- * the table by which it is packed (MessagePack), unpacked, copied and compared. All messages, journal
- * records and snapshots are packed shapes.
+/* A shape describes a struct by a list of fields. The struct itself and the table by which it is packed (as
+ * MessagePack), unpacked, copied and compared are generated from the list. All messages, journal records and snapshots
+ * are packed shapes.
  *
  *     #define RESOURCES_FIELDS(X) X(U64, cpu_milli, 0) X(U64, mem_mb, 0)
  *     SHAPE(Resources, RESOURCES_FIELDS)          in a header
  *     SHAPE_TABLE(Resources, RESOURCES_FIELDS)    in one source file
  *
- * Kinds: U64, I64, FLAG (bool), TXT (text, never null once unpacked), BIN (Bytes), TXS (texts), ONE (a
- * nested shape), LST (a list of a shape; third column: the shape). RAM (third column: any type) is a
- * member that is not in the table: it is neither packed nor compared, and copied bit by bit.
+ * Kinds: U64, I64, FLAG (bool), TXT (text, never null once unpacked), BIN (Bytes), TXS (list of texts), ONE (nested
+ * shape; third column: the shape), LST (list of shapes; third column: the shape). RAM (third column: any type) is a
+ * member that is not in the table: it is neither packed nor compared, and is copied bitwise.
  *
- * Across releases: a reader passes over trailing fields that it does not know, and leaves at zero (a
- * text at "") those that an older writer did not send. So fields are only ever added, at the end.
+ * Compatibility between releases: a reader skips trailing fields that it does not know, and sets fields that an older
+ * writer did not send to zero (texts to ""). Therefore fields are only added, and only at the end.
  *
- * Nothing here waits. */
+ * No function here waits. */
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -44,17 +44,18 @@
     const char *name;
     ShapeKind kind;
     size_t offset;
-    size_t count_offset; /* of TXS and LST, to their count; 0: no list */
-    const Shape *of;     /* of ONE and LST; else null */
+    size_t count_offset; /* offset of the element count of TXS and LST; 0: the field is no list */
+    const Shape *of;     /* shape of ONE and LST; null for other kinds */
 } ShapeField;
 
 struct Shape {
-    const char *name; /* for texts of failures */
-    size_t size;      /* of the struct, bytes */
+    const char *name; /* used in failure texts */
+    size_t size;      /* size of the struct, in bytes */
+    /* returns the table and sets *count to its number of rows */
     const ShapeField *(*fields)(size_t *count);
 };
 
-/* --- what the lists of fields are expanded by ------------------------------------ */
+/* --- macros that expand the lists of fields --------------------------------------- */
 
 #define SHAPE_MEMBER_U64(name, of) uint64_t name;
 #define SHAPE_MEMBER_I64(name, of) int64_t name;
@@ -71,6 +72,7 @@
 #define SHAPE_MEMBER_RAM(name, of) of name;
 #define SHAPE_MEMBER(kind, name, of) SHAPE_MEMBER_##kind(name, of)
 
+/* Defines the struct and declares its shape. */
 #define SHAPE(Type, FIELDS)  \
     typedef struct Type {    \
         FIELDS(SHAPE_MEMBER) \
@@ -91,6 +93,7 @@
 #define SHAPE_ROW_RAM(name, of)
 #define SHAPE_ROW(kind, name, of) SHAPE_ROW_##kind(name, of)
 
+/* Defines the shape and its table. */
 #define SHAPE_TABLE(Type, FIELDS)                             \
     static const ShapeField *Type##_fields(size_t *count)     \
     {                                                         \
@@ -103,17 +106,18 @@
 
 /* --- functions -------------------------------------------------------------------- */
 
-/* Appends the packed struct to the bytes, which grow on mem. Null texts are packed as "". */
+/* Appends the packed struct to the buffer, which grows on mem. Null texts are packed as "". */
 void shape_pack(const Shape *shape, const void *from, void *mem, Bytes *to);
-/* Fills the struct, with all it points to on mem; from is not needed any more. Texts share blocks: none
- * can be freed by itself. Bytes from a peer may be anything. BAD_FRAME, with the field's name: they are not
- * exactly one value of this shape; then the struct may be filled in part. failure may be null. */
+/* Unpacks the bytes, which may come from a peer and are not trusted, into the struct, with everything it points to on
+ * mem. The bytes are not referenced afterwards. Texts share blocks, so that no text can be freed separately. Returns
+ * OK, or BAD_FRAME when the bytes are not exactly one value of this shape: the struct may be filled in part, and
+ * failure, which may be null, names the shape or field. */
 Status shape_unpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure);
-/* A deep copy, each part on memory of its own on mem. */
+/* Makes a deep copy, each part of which is a separate allocation on mem. */
 void shape_copy(const Shape *shape, const void *from, void *mem, void *to);
-/* A deep copy in one block on mem: no part of it can be freed, and nothing may be added to its Bytes. */
+/* Makes a deep copy in one block on mem: no part of it can be freed, and nothing may be appended to its Bytes. */
 void shape_copy_flat(const Shape *shape, const void *from, void *mem, void *to);
-/* Whether both are packed alike. */
+/* Whether the packed forms of both structs are equal. */
 bool shape_equal(const Shape *shape, const void *a, const void *b);
 
 #endif
--- a/packages/wire/include/wire/traffic.h
+++ b/packages/wire/include/wire/traffic.h
@@ -1,12 +1,12 @@
 #ifndef WIRE_TRAFFIC_H
 #define WIRE_TRAFFIC_H
 
-/* What goes over the connections of a process: frames and bytes by kind of message, and whether they wait. Used for
- * metrics and status, and by tests that hold budgets. A frame counts without its length and without what TCP adds. */
+/* Statistics of a process's connections: frames and bytes by kind of message, and bytes that wait to be sent. Used for
+ * metrics and status, and by tests that check traffic budgets. Byte counts exclude length prefixes and TCP overhead. */
 
 #include <stdint.h>
 
-/* Columns: field, its name in metrics (followed by kind and part) and status. */
+/* X(field, name in metrics, where kind and part follow it, and in status). */
 #define RPC_TRAFFIC_LIST(X)              \
     X(frames_sent, "framesSent")         \
     X(bytes_sent, "bytesSent")           \
@@ -19,7 +19,7 @@
 #undef X
 } RpcTraffic;
 
-/* Which frames of a kind. */
+/* The frames of a kind are requests or answers. X(name, name in metrics and status). */
 #define RPC_PART_LIST(X)    \
     X(REQUESTS, "requests") \
     X(ANSWERS, "answers")
@@ -31,15 +31,15 @@
         RPC_PARTS
 } RpcPart;
 
-/* Answers are those that the peer gives from memory (hello, heartbeat, know). Bytes wait while the
- * operating system does not take them. */
-#define RPC_LINK_LIST(X)                                                                       \
-    X(waiting_bytes, "waitingBytes")          /* waiting now, in all connections together */   \
-    X(waiting_most_bytes, "waitingMostBytes") /* the most that has waited in one connection */ \
-    X(answer_ms, "answerMs")                  /* until the last such answer came */            \
-    X(answer_most_ms, "answerMostMs")         /* the longest */
+/* Bytes wait while the operating system does not accept them. Answer times are those of requests that the peer answers
+ * from memory (hello, heartbeat, know). X(field, name in metrics and status). */
+#define RPC_LINK_LIST(X)                                                                          \
+    X(waiting_bytes, "waitingBytes")          /* bytes waiting now, in all connections */         \
+    X(waiting_most_bytes, "waitingMostBytes") /* most bytes that waited in one connection */      \
+    X(answer_ms, "answerMs")                  /* time from the last such request to its answer */ \
+    X(answer_most_ms, "answerMostMs")         /* longest such time */
 
-/* Of all connections of a process, since it started. */
+/* Delays on all connections of a process since it started. */
 typedef struct RpcLink {
 #define X(name, outside) int64_t name;
     RPC_LINK_LIST(X)
--- a/packages/wire/src/answer.c
+++ b/packages/wire/src/answer.c
@@ -1,5 +1,5 @@
-/* Whose answer a frame is, and whether it is taken: kind, wire version, cluster, process and
- * incarnation have to agree with the request. */
+/* Matches received answers with pending requests and checks them: kind, wire version, cluster, process and incarnation
+ * must match the request. */
 #include "answer.h"
 
 #include <talloc.h>
@@ -10,16 +10,16 @@
 #include "pending.h"
 #include "wire/shape.h"
 
-/* Whether the answer is that of the process that was asked, as far as both sides name it. A later
- * incarnation than the one that was known may answer. */
-static bool from_meant(const PendingRequest *request, const Envelope *envelope)
+/* Whether the answer comes from the process for which the request was meant, as far as both messages name it. A later
+ * incarnation than the known one may answer. */
+static bool from_target(const PendingRequest *request, const Envelope *envelope)
 {
     return request->meant.id == 0 || envelope->peer == 0 ||
            (envelope->peer == request->meant.id && envelope->peer_life >= request->meant.incarnation);
 }
 
-/* What the answer comes to: the peer's own status, or why it is not taken. A refusal by another
- * process, cluster or incarnation is taken too: it says that nothing was carried out. */
+/* Returns the peer's own status, or the reason why the answer is not accepted. A refusal by another process, cluster or
+ * incarnation is accepted, because it states that the request was not executed. */
 static Status answer_check(Rpc *rpc, const PendingRequest *request, const Envelope *envelope)
 {
     const Status status = envelope->status < STATUS_COUNT ? (Status)envelope->status : STATUS_INTERNAL;
@@ -31,9 +31,9 @@
         rpc->counts.strangers++;
         return STATUS_STRANGER;
     }
-    if (!from_meant(request, envelope)) {
+    if (!from_target(request, envelope)) {
         rpc->counts.other_peers++;
-        return status != STATUS_OK ? status : STATUS_CLOSED; /* that process may have carried it out */
+        return status != STATUS_OK ? status : STATUS_CLOSED; /* the other process may have executed the request */
     }
     return status;
 }
@@ -47,10 +47,10 @@
         return false;
     }
     rpc_count_received(rpc, envelope.kind, RPC_ANSWERS, frame.count);
-    PendingRequest *request = pending_take(connection, envelope.call);
+    PendingRequest *request = pending_remove(connection, envelope.call);
     if (request == NULL) {
         rpc->counts.late_answers++;
-        connection->misses = 0; /* slow, but not silent */
+        connection->timed_out = 0; /* the peer is slow, but it responds */
         return true;
     }
     if (envelope.kind != request->kind) {
--- a/packages/wire/src/answer.h
+++ b/packages/wire/src/answer.h
@@ -4,9 +4,9 @@
 #include "base/bytes.h"
 #include "pending.h"
 
-/* Takes a frame that came on the connection, unpacked on mem, as the answer to one of its requests,
- * and ends that request. False: the connection is to be ended, for what comes on it can't be
- * trusted. The answer to a request that was given up is dropped. */
+/* Unpacks a received frame on mem as the answer to one of the connection's requests, and completes that request. The
+ * answer to a request that has expired is dropped. Returns false when the connection must be closed, because its data
+ * cannot be trusted. */
 bool answer_take(Connection *connection, Bytes frame, void *mem);
 
 #endif
--- a/packages/wire/src/ask.c
+++ b/packages/wire/src/ask.c
@@ -1,5 +1,4 @@
-/* How a process asks others: sends a request over the connection to the peer's address and waits for
- * its answer. */
+/* Outgoing requests: sends a request over the connection to the peer's address and waits for the answer. */
 #include <talloc.h>
 
 #include "base/constants.h"
@@ -11,7 +10,7 @@
 #include "wire/rpc.h"
 #include "wire/shape.h"
 
-/* Sends the request and puts it on its connection's list. TOO_LARGE, UNREACHABLE: it has not been sent. */
+/* Sends the request and adds it to its connection's list. TOO_LARGE and UNREACHABLE: it has not been sent. */
 static Status pending_send(Connection *connection, PendingRequest *request, const Shape *ask_shape, const void *ask)
 {
     Rpc *rpc = connection->rpc;
@@ -30,18 +29,18 @@
     if (status == STATUS_OK)
         rpc_count_sent(rpc, connection->channel, request->kind, RPC_REQUESTS, frame.count);
     else
-        pending_take(connection, request->call);
+        pending_remove(connection, request->call);
     request->sent_up_to = channel_queued(connection->channel);
     return status == STATUS_OK || status == STATUS_TOO_LARGE ? status : STATUS_UNREACHABLE;
 }
 
-/* Unpacks the answer, on mem. The status is the peer's own, or why there is no answer. */
+/* Unpacks the answer on mem. Returns the peer's own status, or the reason why there is no answer. */
 static Status answer_read(Connection *connection, const PendingRequest *request, void *mem, const Shape *answer_shape,
                           void *answer)
 {
     Rpc *rpc = connection->rpc;
     if (request->payload.count > 0 || (request->status != STATUS_CLOSED && request->status != STATUS_UNREACHABLE)) {
-        connection->misses = 0;
+        connection->timed_out = 0;
         rpc->counts.answered++;
     }
     if (request->payload.count == 0)
@@ -53,7 +52,7 @@
     return unpacked;
 }
 
-/* Waits until the request is done. EXPIRED: it was given up at until_ms, and may have been carried out. */
+/* Waits until the request is done. EXPIRED: it timed out at until_ms, and may have been executed. */
 static Status pending_wait(Connection *connection, PendingRequest *request, int64_t until_ms)
 {
     Rpc *rpc = connection->rpc;
@@ -62,10 +61,10 @@
             break;
     if (request->done)
         return STATUS_OK;
-    pending_take(connection, request->call);
+    pending_remove(connection, request->call);
     rpc->counts.expired++;
-    /* a connection that stays silent may be dead: end it, so that the next request opens another */
-    if (++connection->misses >= CONNECTION_MISSES && connection->channel != NULL)
+    /* a connection without answers may be dead: closing it makes the next request open a new one */
+    if (++connection->timed_out >= CONNECTION_MISSES && connection->channel != NULL)
         channel_shut(connection->channel);
     return STATUS_EXPIRED;
 }
--- a/packages/wire/src/connection.c
+++ b/packages/wire/src/connection.c
@@ -1,5 +1,5 @@
-/* The connection to one peer address: opened when a request needs it, read by a task of its own,
- * opened anew when it stays silent or its peer has restarted. */
+/* The connection to one peer address. It is opened when a request needs it, is read by a task of its own, and is
+ * reopened when it stays silent or its peer has restarted. */
 #include "connection.h"
 
 #include <talloc.h>
@@ -11,7 +11,7 @@
 #include "loop/loop.h"
 #include "pending.h"
 
-/* Reads answers until the connection ends; then every request still on it fails. */
+/* Reads answers until the connection ends; then every pending request on it fails. */
 static void connection_main(void *arg)
 {
     Connection *connection = arg;
@@ -24,9 +24,9 @@
         talloc_free(mem);
     }
     connection->channel = NULL;
-    connection->misses = 0;
+    connection->timed_out = 0;
     channel_shut(channel);
-    while (connection->pending != NULL) /* what never left this process was certainly not taken */
+    while (connection->pending != NULL) /* a request that did not leave this process was certainly not executed */
         pending_end(connection, connection->pending,
                     channel_unsent(channel, connection->pending->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
     channel_close(channel);
@@ -37,7 +37,7 @@
     const Connection *connection = map_get(rpc->connections, address);
     if (connection == NULL || connection->channel == NULL)
         return;
-    /* the present incarnation answers soon: a request that waits for long went to an earlier one */
+    /* the current incarnation answers soon, so a request that has waited for long went to an earlier one */
     for (const PendingRequest *request = connection->pending; request != NULL; request = request->next)
         if (loop_now_ms(rpc->loop) - request->sent_ms >= CONNECTION_SILENT_MS) {
             channel_shut(connection->channel);
--- a/packages/wire/src/envelope.h
+++ b/packages/wire/src/envelope.h
@@ -1,13 +1,13 @@
 #ifndef WIRE_SRC_ENVELOPE_H
 #define WIRE_SRC_ENVELOPE_H
 
-/* The envelope: what encloses every request and answer. A frame is one packed envelope. */
+/* The envelope of every request and answer. A frame is one packed envelope. */
 
 #include "wire/shape.h"
 
-/* call is the request id, which the answer repeats; answer is false for a request. status, of an
- * answer: the Status as a number. peer and peer_life: of a request, the process that it is meant for; of an
- * answer, the one that gives it; 0: not named, as earlier releases did not. */
+/* call: the request id, which the answer repeats. answer: false for a request. status: the Status of an answer, as a
+ * number. peer and peer_life: id and incarnation of the process for which a request is meant, or which sends an answer;
+ * 0: not given, as in earlier releases. */
 #define ENVELOPE_FIELDS(X) \
     X(U64, version, 0)     \
     X(U64, cluster, 0)     \
--- a/packages/wire/src/first_byte.h
+++ b/packages/wire/src/first_byte.h
@@ -1,8 +1,8 @@
 #ifndef WIRE_SRC_FIRST_BYTE_H
 #define WIRE_SRC_FIRST_BYTE_H
 
-/* The first bytes of MessagePack values, by the names of its specification. Of a range the
- * first one; the low bits of the fix* kinds hold a length. */
+/* First bytes of MessagePack values, named as in the specification. For a range it is the first value; the low bits of
+ * the fix* formats contain a length. */
 
 enum {
     FIX_MAP = 0x80,
@@ -37,7 +37,7 @@
     NEGATIVE_FIX_INT = 0xe0
 };
 
-#define FIX_COUNT_MASK 0x0fu /* of a fix map or array */
-#define FIX_STR_MASK 0x1fu
+#define FIX_COUNT_MASK 0x0fu /* Element count in the first byte of a fixmap or fixarray */
+#define FIX_STR_MASK 0x1fu   /* Length in the first byte of a fixstr */
 
 #endif
--- a/packages/wire/src/flat.c
+++ b/packages/wire/src/flat.c
@@ -1,6 +1,6 @@
-/* Deep copies in one block: a shape of a dozen short texts costs one allocation instead of a
- * dozen, each of which has a header of some 100 bytes. The shape is walked twice: the first walk
- * has no block and only counts the bytes, the second copies. */
+/* Deep copies in one block: a shape with a dozen short texts costs one allocation instead of a dozen, each of which has
+ * a header of some 100 bytes. The shape is traversed twice: the first pass has no block and only counts the bytes, the
+ * second pass copies. */
 #include <string.h>
 #include <talloc.h>
 
@@ -8,15 +8,16 @@
 #include "field.h"
 #include "wire/shape.h"
 
-#define ALIGN_BYTES 8 /* bytes; the strictest that a field needs */
+#define ALIGN_BYTES 8 /* Strictest alignment that a field needs */
 
+/* The state of one pass. */
 typedef struct Flat {
-    uint8_t *block; /* null: only count */
+    uint8_t *block; /* null in the counting pass */
     size_t at;      /* bytes used */
 } Flat;
 
-/* The next bytes of the block; null while only counting. */
-static void *flat_take(Flat *flat, size_t bytes, size_t align)
+/* Reserves the next bytes of the block; returns null in the counting pass. */
+static void *flat_reserve(Flat *flat, size_t bytes, size_t align)
 {
     flat->at = (flat->at + align - 1) / align * align;
     void *here = flat->block != NULL ? flat->block + flat->at : NULL;
@@ -27,7 +28,7 @@
 static void flat_text(Flat *flat, const char *from, const char **to)
 {
     const size_t length = from != NULL ? strlen(from) : 0;
-    char *here = length > 0 ? flat_take(flat, length + 1, 1) : NULL;
+    char *here = length > 0 ? flat_reserve(flat, length + 1, 1) : NULL;
     if (flat->block == NULL)
         return;
     if (length > 0)
@@ -35,10 +36,10 @@
     *to = length > 0 ? here : "";
 }
 
-/* The copy is borrowed: nothing may be added to it. */
+/* The copy is borrowed: nothing may be appended to it. */
 static void flat_bytes(Flat *flat, const Bytes *from, Bytes *to)
 {
-    uint8_t *here = flat_take(flat, from->count, 1);
+    uint8_t *here = flat_reserve(flat, from->count, 1);
     if (flat->block == NULL)
         return;
     if (from->count > 0)
@@ -48,7 +49,7 @@
 
 static void flat_texts(Flat *flat, const char *const *from, size_t count, const char ***to)
 {
-    const char **here = flat_take(flat, count * sizeof(*here), ALIGN_BYTES);
+    const char **here = flat_reserve(flat, count * sizeof(*here), ALIGN_BYTES);
     for (size_t i = 0; i < count; i++)
         flat_text(flat, from[i], here != NULL ? &here[i] : NULL);
     if (flat->block != NULL)
@@ -59,14 +60,14 @@
 
 static void flat_list(Flat *flat, const Shape *of, const uint8_t *from, size_t count, uint8_t **to)
 {
-    uint8_t *here = flat_take(flat, count * of->size, ALIGN_BYTES);
+    uint8_t *here = flat_reserve(flat, count * of->size, ALIGN_BYTES);
     for (size_t i = 0; i < count; i++)
         flat_shape(flat, of, from + i * of->size, here != NULL ? here + i * of->size : NULL);
     if (flat->block != NULL)
         *to = count > 0 ? here : NULL;
 }
 
-/* to is null while only counting. */
+/* to is null in the counting pass. */
 static void flat_shape(Flat *flat, const Shape *shape, const void *from, void *to)
 {
     size_t total;
@@ -106,7 +107,7 @@
 {
     Flat flat = {0};
     flat_shape(&flat, shape, from, NULL);
-    uint8_t none[ALIGN_BYTES]; /* nothing to lay out, but the second walk needs a block to copy at all */
+    uint8_t none[ALIGN_BYTES]; /* for a size of 0: the second pass copies only if it has a block */
     flat = (Flat){flat.at > 0 ? talloc_size(mem, flat.at) : none, 0};
     flat_shape(&flat, shape, from, to);
 }
--- a/packages/wire/src/lengths.c
+++ b/packages/wire/src/lengths.c
@@ -1,4 +1,4 @@
-/* Checks the lengths of MessagePack bytes before they are unpacked. */
+/* Checks the lengths in MessagePack data before it is unpacked. */
 #include "lengths.h"
 
 #include <stddef.h>
@@ -6,15 +6,15 @@
 
 #include "first_byte.h"
 
-/* What the length field of a value counts. */
+/* The unit of a value's length field. */
 typedef enum LengthOf { LENGTH_OF_BYTES, LENGTH_OF_VALUES, LENGTH_OF_PAIRS } LengthOf;
 
-/* What follows the first byte of a value. */
+/* The data that follows the first byte of a value. */
 typedef struct ValueHead {
     size_t length_bytes; /* size of the length field; 0: there is none */
     LengthOf length_of;
-    size_t body_bytes; /* known without a length field */
-    uint64_t values;   /* nested ones, known without a length field */
+    size_t body_bytes; /* size of the body */
+    uint64_t values;   /* number of nested values */
 } ValueHead;
 
 static size_t number_bytes(uint8_t first)
@@ -40,7 +40,8 @@
     return (first >= EXT_8 && first < FLOAT_32) || (first >= FIX_EXT_1 && first < STR_8);
 }
 
-/* False for ext values, which no shape packs, and for the byte that begins none. */
+/* Sets the parts of the head that follow from the first byte. Returns false for ext values, which no shape packs, and
+ * for the byte that begins no value. */
 static bool head_read(uint8_t first, ValueHead *head)
 {
     *head = (ValueHead){0};
@@ -67,7 +68,7 @@
     return true;
 }
 
-/* Adds to the head what its length field, in big-endian order at the bytes, states. */
+/* Reads the length field, which is big-endian, and updates the head. */
 static void length_read(const uint8_t *bytes, ValueHead *head)
 {
     uint64_t length = 0;
@@ -86,14 +87,14 @@
     }
 }
 
-/* How values are nested does not matter: each needs at least one byte, so owed, the number of
- * values still to come, may never be more than the bytes that are left. */
+/* The nesting of values does not matter: each value needs at least one byte, so the number of expected values must not
+ * exceed the number of remaining bytes. */
 bool lengths_fit(Bytes from)
 {
-    uint64_t owed = 1;
+    uint64_t expected = 1;
     size_t at = 0;
-    while (owed > 0) {
-        if (at >= from.count || owed > from.count - at)
+    while (expected > 0) {
+        if (at >= from.count || expected > from.count - at)
             return false;
         ValueHead head;
         if (!head_read(from.data[at++], &head))
@@ -105,8 +106,8 @@
         if (head.body_bytes > from.count - at)
             return false;
         at += head.body_bytes;
-        owed += head.values;
-        owed--;
+        expected += head.values;
+        expected--;
     }
     return at == from.count;
 }
--- a/packages/wire/src/lengths.h
+++ b/packages/wire/src/lengths.h
@@ -3,9 +3,9 @@
 
 #include "base/bytes.h"
 
-/* Whether the bytes are one MessagePack value whose stated lengths and counts are all met by
- * the bytes that follow. Unpacking allocates by the count that it reads, so without this check a
- * frame of a few bytes could make it ask for gigabytes. */
+/* Whether the bytes are exactly one MessagePack value, all lengths and counts of which fit the bytes that follow.
+ * Unpacking allocates memory by the counts that it reads, so without this check a frame of a few bytes could make it
+ * request gigabytes. */
 bool lengths_fit(Bytes from);
 
 #endif
--- a/packages/wire/src/pending.c
+++ b/packages/wire/src/pending.c
@@ -1,10 +1,10 @@
-/* The list of the requests that await an answer on a connection. */
+/* The list of pending requests of a connection. */
 #include "pending.h"
 
 #include "inside.h"
 #include "loop/loop.h"
 
-PendingRequest *pending_take(Connection *connection, uint64_t call)
+PendingRequest *pending_remove(Connection *connection, uint64_t call)
 {
     for (PendingRequest **at = &connection->pending; *at != NULL; at = &(*at)->next)
         if ((*at)->call == call) {
@@ -17,7 +17,7 @@
 
 void pending_end(Connection *connection, PendingRequest *request, Status status)
 {
-    pending_take(connection, request->call);
+    pending_remove(connection, request->call);
     request->done = true;
     request->status = status;
     signal_raise(connection->rpc->loop, &request->answered);
--- a/packages/wire/src/rpc.c
+++ b/packages/wire/src/rpc.c
@@ -1,5 +1,4 @@
-/* An RPC endpoint's construction, who this process is on the wire, and what both halves of the RPC endpoint
- * (serve.c, ask.c) need to judge a frame. */
+/* Creation and identity of an RPC endpoint, and the checks that serve.c and ask.c share. */
 #include "wire/rpc.h"
 
 #include <inttypes.h>
@@ -12,7 +11,7 @@
 #include "loop/loop.h"
 #include "wire/kinds.h"
 
-/* Kinds that need no cluster on either side. */
+/* Kinds of requests for which neither side needs to know a cluster. */
 static const bool OPEN_KINDS[MESSAGE_MAX] = {
 #define X(name, number, word, open) [number] = open,
     MESSAGE_LIST(X)
@@ -42,7 +41,7 @@
 void rpc_note_refused(Rpc *rpc, Status status, const char *what, const Envelope *envelope)
 {
     const uint64_t count = ++rpc->refused;
-    if ((count & (count - 1)) != 0) /* the first, second, fourth, ...: a flood of them does not fill the log */
+    if ((count & (count - 1)) != 0) /* logs at powers of two, so that a flood of frames does not fill the log */
         return;
     char text[LOG_TEXT_BYTES];
     snprintf(text, sizeof(text),
--- a/packages/wire/src/serve.c
+++ b/packages/wire/src/serve.c
@@ -1,5 +1,5 @@
-/* How a process answers the requests of others: a task reads each connection, and each request
- * runs in a task of its own, so that a slow one delays no other. */
+/* Incoming requests: a task reads each connection, and each request is handled in a task of its own, so that a slow
+ * request does not delay others. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -11,13 +11,14 @@
 #include "wire/rpc.h"
 #include "wire/shape.h"
 
-/* A request that came in; it is the talloc parent of all that its handling needs. */
-typedef struct Question {
+/* An incoming request; it is the talloc parent of all memory that its handling needs. */
+typedef struct IncomingRequest {
     Served *served;
     Envelope envelope;
-} Question;
+} IncomingRequest;
 
-static void served_leave(Served *served)
+/* Releases one use of the connection; the last one closes and frees it. */
+static void served_release(Served *served)
 {
     if (--served->users > 0)
         return;
@@ -31,13 +32,13 @@
     talloc_free(served);
 }
 
-static void answer_send(Served *served, void *mem, const Envelope *question, Status status, Bytes payload)
+static void answer_send(Served *served, void *mem, const Envelope *request, Status status, Bytes payload)
 {
     Rpc *rpc = served->rpc;
     const Envelope envelope = {.version = WIRE_VERSION,
                                .cluster = rpc->cluster,
-                               .kind = question->kind,
-                               .call = question->call,
+                               .kind = request->kind,
+                               .call = request->call,
                                .answer = true,
                                .status = (uint64_t)status,
                                .payload = payload,
@@ -46,12 +47,12 @@
     Bytes frame = {0};
     shape_pack(&Envelope_shape, &envelope, mem, &frame);
     if (channel_send(served->channel, frame) == STATUS_OK)
-        rpc_count_sent(rpc, served->channel, question->kind, RPC_ANSWERS, frame.count);
+        rpc_count_sent(rpc, served->channel, request->kind, RPC_ANSWERS, frame.count);
 }
 
-/* Whether a request is for this process: of its wire version, of its cluster, and meant for its
- * present incarnation. OK, or why it is refused; then it is certainly not carried out. */
-static Status question_check(Rpc *rpc, const Envelope *envelope)
+/* Checks that a request has this process's wire version and cluster and is meant for its current incarnation. Returns
+ * OK, or the reason of the refusal; a refused request is certainly not executed. */
+static Status request_check(Rpc *rpc, const Envelope *envelope)
 {
     const PeerIdentity *self = &rpc->self;
     if (envelope->version != WIRE_VERSION) {
@@ -64,7 +65,7 @@
         return STATUS_STRANGER;
     }
     if (envelope->peer == 0 || self->id == 0)
-        return STATUS_OK; /* meant for whoever listens here, or of an earlier release */
+        return STATUS_OK; /* meant for any process that listens here, or sent by an earlier release */
     if (envelope->peer != self->id) {
         rpc->counts.other_peers++;
         return STATUS_OTHER_PEER;
@@ -76,72 +77,72 @@
     return STATUS_OK;
 }
 
-/* Counts and logs a frame after which the connection is ended. */
-static void note_bad(Rpc *rpc, const char *text)
+/* Counts and logs a malformed frame, after which the connection is closed. */
+static void bad_frame_note(Rpc *rpc, const char *text)
 {
     rpc->counts.bad_frames++;
     log_event(rpc->recorder, LOG_FRAME_BAD, loop_now_ms(rpc->loop), &(LogFields){.text = text});
 }
 
-/* Waits, as the handler does. Runs the handler and packs its answer. */
-static Status question_serve(Question *question, Bytes *payload)
+/* Waits, if the handler does. Runs the handler and packs its answer. */
+static Status request_serve(IncomingRequest *request, Bytes *payload)
 {
-    Served *served = question->served;
+    Served *served = request->served;
     Rpc *rpc = served->rpc;
-    const Envelope *envelope = &question->envelope;
+    const Envelope *envelope = &request->envelope;
     const Handler *handler = &rpc->handlers[envelope->kind];
-    Status status = question_check(rpc, envelope);
+    Status status = request_check(rpc, envelope);
     if (status != STATUS_OK) {
-        rpc_note_refused(rpc, status, "a question", envelope);
+        rpc_note_refused(rpc, status, "a request", envelope);
         return status;
     }
-    void *ask = talloc_zero_size(question, handler->ask->size);
-    void *answer = talloc_zero_size(question, handler->answer->size);
+    void *ask = talloc_zero_size(request, handler->ask->size);
+    void *answer = talloc_zero_size(request, handler->answer->size);
     Failure failure = {0};
-    status = shape_unpack(handler->ask, envelope->payload, question, ask, &failure);
+    status = shape_unpack(handler->ask, envelope->payload, request, ask, &failure);
     if (status != STATUS_OK) {
-        note_bad(rpc, failure.text);
+        bad_frame_note(rpc, failure.text);
         channel_shut(served->channel);
         return status;
     }
-    status = handler->fn(handler->arg, question, ask, answer);
-    shape_pack(handler->answer, answer, question, payload);
+    status = handler->fn(handler->arg, request, ask, answer);
+    shape_pack(handler->answer, answer, request, payload);
     rpc->counts.served++;
     return status;
 }
 
-static void question_main(void *arg)
+static void request_main(void *arg)
 {
-    Question *question = arg;
-    Served *served = question->served;
+    IncomingRequest *request = arg;
+    Served *served = request->served;
     Bytes payload = {0};
-    const Status status = question_serve(question, &payload);
-    answer_send(served, question, &question->envelope, status, payload);
-    served_leave(served);
-    talloc_free(question);
+    const Status status = request_serve(request, &payload);
+    answer_send(served, request, &request->envelope, status, payload);
+    served_release(served);
+    talloc_free(request);
 }
 
-/* Reads a frame as a request. False: the connection is to be ended. */
-static bool question_read(Served *served, Question *question, Bytes frame)
+/* Unpacks a frame as a request. Returns false when the connection must be closed. */
+static bool request_read(Served *served, IncomingRequest *request, Bytes frame)
 {
     Rpc *rpc = served->rpc;
-    Envelope *envelope = &question->envelope;
+    Envelope *envelope = &request->envelope;
     Failure failure = {0};
-    if (shape_unpack(&Envelope_shape, frame, question, envelope, &failure) != STATUS_OK || envelope->answer) {
-        note_bad(rpc, envelope->answer ? "an answer where a question belongs" : failure.text);
+    if (shape_unpack(&Envelope_shape, frame, request, envelope, &failure) != STATUS_OK || envelope->answer) {
+        bad_frame_note(rpc, envelope->answer ? "an answer instead of a request" : failure.text);
         return false;
     }
     rpc_count_received(rpc, envelope->kind, RPC_REQUESTS, frame.count);
     if (envelope->kind >= MESSAGE_MAX || rpc->handlers[envelope->kind].fn == NULL) {
-        /* of a later release, or for another role: the caller may know that it was not carried out */
-        answer_send(served, question, envelope, STATUS_UNKNOWN_QUESTION, (Bytes){0});
-        note_bad(rpc, "a question that is not known here");
+        /* the request is of a later release or for another role: the answer tells that it was not executed */
+        answer_send(served, request, envelope, STATUS_UNKNOWN_QUESTION, (Bytes){0});
+        bad_frame_note(rpc, "a request of an unknown kind");
         return false;
     }
     return true;
 }
 
-/* The reading task of a connection; it owns the channel. */
+/* Reads a connection's requests in a task of its own, which owns the channel. */
 static void serve(void *arg, Channel *channel)
 {
     Rpc *rpc = arg;
@@ -151,19 +152,19 @@
         rpc->served->previous = served;
     rpc->served = served;
     for (;;) {
-        Question *question = talloc_zero(rpc, Question);
+        IncomingRequest *request = talloc_zero(rpc, IncomingRequest);
         Bytes frame;
-        if (channel_receive(channel, question, INT64_MAX, &frame) != STATUS_OK ||
-            !question_read(served, question, frame)) {
-            talloc_free(question);
+        if (channel_receive(channel, request, INT64_MAX, &frame) != STATUS_OK ||
+            !request_read(served, request, frame)) {
+            talloc_free(request);
             break;
         }
-        question->served = served;
+        request->served = served;
         served->users++;
-        loop_spawn(rpc->loop, "question", question_main, question);
+        loop_spawn(rpc->loop, "question", request_main, request);
     }
     channel_shut(channel);
-    served_leave(served);
+    served_release(served);
 }
 
 Status rpc_listen(Rpc *rpc, const char *address, char bound[ADDRESS_MAX], Failure *failure)
--- a/packages/wire/src/served.h
+++ b/packages/wire/src/served.h
@@ -4,8 +4,8 @@
 #include "loop/loop.h"
 #include "wire/rpc.h"
 
-/* An incoming connection. users: its reading task and one for each request; the last of them to
- * end closes and frees it. Invariant: it is on the RPC endpoint's list until then. */
+/* An incoming connection. users counts the task that reads it and the task of each request; the last of them to end
+ * closes and frees it. Invariant: it is on the RPC endpoint's list until then. */
 typedef struct Served {
     struct Served *previous, *next;
     Rpc *rpc;
--- a/packages/wire/src/shape.c
+++ b/packages/wire/src/shape.c
@@ -1,5 +1,5 @@
-/* Deep copies of structs described by a shape, each part on memory of its own, and their
- * comparison. Copies in one block: flat.c. */
+/* Deep copies, with a separate allocation for each part, and comparison of structs that are described by a shape.
+ * Copies in one block are in flat.c. */
 #include "wire/shape.h"
 
 #include <string.h>
@@ -60,7 +60,7 @@
     }
 }
 
-/* A text that is null is packed as an empty one. */
+/* A null text is packed as an empty text, so both are equal. */
 static bool texts_equal(const char *a, const char *b)
 {
     return strcmp(a != NULL ? a : "", b != NULL ? b : "") == 0;
--- a/packages/wire/src/traffic.c
+++ b/packages/wire/src/traffic.c
@@ -1,4 +1,4 @@
-/* Counts frames and bytes by kind of message, and what waits in connections. */
+/* Counts frames and bytes by kind of message, and bytes that wait in connections. */
 #include "wire/traffic.h"
 
 #include <talloc.h>
@@ -8,9 +8,9 @@
 #include "inside.h"
 #include "served.h"
 
-/* Whether the peer answers such a request from memory, so that the time until its answer is that of the way there and
- * back: others wait for a disk, for the leader, or for something to happen. */
-static bool answered_at_once(MessageKind kind)
+/* Whether the peer answers such a request from memory, so that the time to its answer is the round-trip time. Other
+ * requests wait for a disk, for the leader, or for an event. */
+static bool answered_from_memory(MessageKind kind)
 {
     return kind == MESSAGE_HELLO || kind == MESSAGE_HEARTBEAT || kind == MESSAGE_KNOW;
 }
@@ -32,13 +32,13 @@
     traffic->bytes_received += bytes;
 }
 
-void rpc_count_answer_time(Rpc *rpc, MessageKind kind, int64_t took_ms)
+void rpc_count_answer_time(Rpc *rpc, MessageKind kind, int64_t duration_ms)
 {
-    if (!answered_at_once(kind))
+    if (!answered_from_memory(kind))
         return;
-    rpc->link.answer_ms = took_ms;
-    if (took_ms > rpc->link.answer_most_ms)
-        rpc->link.answer_most_ms = took_ms;
+    rpc->link.answer_ms = duration_ms;
+    if (duration_ms > rpc->link.answer_most_ms)
+        rpc->link.answer_most_ms = duration_ms;
 }
 
 const RpcTraffic *rpc_traffic(const Rpc *rpc, MessageKind kind, RpcPart part)
--- a/packages/wire/src/unpack.c
+++ b/packages/wire/src/unpack.c
@@ -1,8 +1,8 @@
-/* Unpacking: checks MessagePack bytes against a shape, field by field, and fills its struct.
- * Nothing of what a peer sends is trusted: the lengths are checked first (lengths.c), the types here.
+/* Unpacker: checks MessagePack data against a shape, field by field, and fills its struct. Data from peers is not
+ * trusted: the lengths are checked first (lengths.c), the types here.
  *
- * All texts of a value are copied into a few blocks: an allocation for each would cost more than all
- * else that unpacking does. */
+ * All texts of a value are copied into a few blocks, because an allocation for each text would cost more than the rest
+ * of unpacker. */
 #include <string.h>
 #include <talloc.h>
 
@@ -12,20 +12,20 @@
 #include "value.h"
 #include "wire/shape.h"
 
-#define TEXT_BLOCK_BYTES 512 /* bytes; small enough for malloc's per-thread cache */
+#define TEXT_BLOCK_BYTES 512 /* Small enough for malloc's per-thread cache */
 
-/* Invariant: texts_left bytes are free at texts. */
-typedef struct Unpacking {
+/* The state of unpacker. Invariant: texts_left bytes are free at texts. */
+typedef struct Unpacker {
     const uint8_t *at; /* the next value */
     const uint8_t *end;
     void *mem;
-    char *texts; /* what is left of the present block */
+    char *texts; /* free part of the current block for texts */
     size_t texts_left;
-} Unpacking;
+} Unpacker;
 
-/* --- fields without a value: an older writer did not send them --------------------- */
+/* --- fields without a value, which an older writer did not send -------------------- */
 
-/* Texts are never null, also where the value is missing. */
+/* Sets texts to "" from the given field on, since texts are never null, even if the value is missing. */
 static void texts_empty(const Shape *shape, size_t from, void *to)
 {
     size_t total;
@@ -39,7 +39,7 @@
     }
 }
 
-/* --- values: each returns false when the type is not the field's -------------------- */
+/* --- values: each function returns false when the value has another type ------------- */
 
 static bool signed_take(const Value *value, int64_t *to)
 {
@@ -55,26 +55,26 @@
     return value->kind == kind;
 }
 
-/* Memory for a text and its zero byte. A text of the bytes that are left takes at most as much here as there, where its
- * first byte stands before it. */
-static char *text_reserve(Unpacking *unpacking, const Value *text)
+/* Returns memory for a text and its terminating zero byte. A new block is no larger than the remaining bytes of the
+ * frame require: each text there is preceded by at least one byte, which corresponds to its zero byte here. */
+static char *text_reserve(Unpacker *unpacker, const Value *text)
 {
     const size_t bytes = (size_t)text->number + 1;
-    if (bytes > unpacking->texts_left) {
-        const size_t left = (size_t)(unpacking->end - text->body) + 1;
+    if (bytes > unpacker->texts_left) {
+        const size_t left = (size_t)(unpacker->end - text->body) + 1;
         size_t block = left < TEXT_BLOCK_BYTES ? left : TEXT_BLOCK_BYTES;
         block = block > bytes ? block : bytes;
-        unpacking->texts = talloc_size(unpacking->mem, block);
-        unpacking->texts_left = block;
+        unpacker->texts = talloc_size(unpacker->mem, block);
+        unpacker->texts_left = block;
     }
-    char *copy = unpacking->texts;
-    unpacking->texts += bytes;
-    unpacking->texts_left -= bytes;
+    char *copy = unpacker->texts;
+    unpacker->texts += bytes;
+    unpacker->texts_left -= bytes;
     return copy;
 }
 
-/* A text with a zero byte inside is refused: C would read only a part of it. */
-static bool text_take(Unpacking *unpacking, const Value *value, const char **to)
+/* Rejects a text that contains a zero byte, since C would read only a part of it. */
+static bool text_take(Unpacker *unpacker, const Value *value, const char **to)
 {
     *to = "";
     if (value->kind != VALUE_TEXT)
@@ -83,31 +83,31 @@
         return true;
     if (memchr(value->body, 0, value->number) != NULL)
         return false;
-    char *text = text_reserve(unpacking, value);
+    char *text = text_reserve(unpacker, value);
     memcpy(text, value->body, value->number);
     text[value->number] = '\0';
     *to = text;
     return true;
 }
 
-static bool bytes_take(const Unpacking *unpacking, const Value *value, Bytes *to)
+static bool bytes_take(const Unpacker *unpacker, const Value *value, Bytes *to)
 {
     if (value->kind != VALUE_BYTES)
         return false;
-    bytes_add(unpacking->mem, to, value->body, value->number);
+    bytes_add(unpacker->mem, to, value->body, value->number);
     return true;
 }
 
-static bool texts_take(Unpacking *unpacking, const Value *value, const char ***to, size_t *count)
+static bool texts_take(Unpacker *unpacker, const Value *value, const char ***to, size_t *count)
 {
     if (value->kind != VALUE_ARRAY)
         return false;
-    const char **texts = talloc_array(unpacking->mem, const char *, (unsigned)value->number);
+    const char **texts = talloc_array(unpacker->mem, const char *, (unsigned)value->number);
     if (texts == NULL)
         return false;
     for (size_t i = 0; i < value->number; i++) {
-        const Value text = value_read(&unpacking->at);
-        if (!text_take(unpacking, &text, &texts[i]))
+        const Value text = value_read(&unpacker->at);
+        if (!text_take(unpacker, &text, &texts[i]))
             return false;
     }
     *to = texts;
@@ -122,20 +122,20 @@
     return failure_set(failure, STATUS_BAD_FRAME, "%s.%s has the wrong type", shape->name, field->name);
 }
 
-static Status unpack_shape(Unpacking *unpacking, const Shape *shape, void *to, Failure *failure);
+static Status unpack_shape(Unpacker *unpacker, const Shape *shape, void *to, Failure *failure);
 
-/* A field that is a list of a shape. */
-static Status unpack_list(Unpacking *unpacking, const Shape *shape, const ShapeField *field, void *to, Failure *failure)
+/* Unpacks a field that is a list of shapes. */
+static Status unpack_list(Unpacker *unpacker, const Shape *shape, const ShapeField *field, void *to, Failure *failure)
 {
     const Shape *of = field->of;
-    const Value value = value_read(&unpacking->at);
+    const Value value = value_read(&unpacker->at);
     if (value.kind != VALUE_ARRAY)
         return wrong_type(failure, shape, field);
-    uint8_t *list = talloc_array_size(unpacking->mem, of->size, (unsigned)value.number);
-    if (list == NULL) /* a byte of a frame may stand for a whole struct */
+    uint8_t *list = talloc_array_size(unpacker->mem, of->size, (unsigned)value.number);
+    if (list == NULL) /* one byte of a frame may represent a whole struct */
         return wrong_type(failure, shape, field);
     for (size_t i = 0; i < value.number; i++) {
-        const Status status = unpack_shape(unpacking, of, list + i * of->size, failure);
+        const Status status = unpack_shape(unpacker, of, list + i * of->size, failure);
         if (status != STATUS_OK)
             return status;
     }
@@ -144,10 +144,10 @@
     return STATUS_OK;
 }
 
-/* A field that is one value, or texts. */
-static bool unpack_value(Unpacking *unpacking, const ShapeField *field, void *to)
+/* Unpacks a field that is a single value or a list of texts. */
+static bool unpack_value(Unpacker *unpacker, const ShapeField *field, void *to)
 {
-    const Value value = value_read(&unpacking->at);
+    const Value value = value_read(&unpacker->at);
     void *at = field_write(field, to);
     uint64_t number;
     switch (field->kind) {
@@ -159,43 +159,42 @@
         *(bool *)at = number_take(&value, VALUE_FLAG, &number) && number != 0;
         return value.kind == VALUE_FLAG;
     case SHAPE_TXT:
-        return text_take(unpacking, &value, at);
+        return text_take(unpacker, &value, at);
     case SHAPE_BIN:
-        return bytes_take(unpacking, &value, at);
+        return bytes_take(unpacker, &value, at);
     default: { /* SHAPE_TXS */
         size_t count = 0;
-        const bool good = texts_take(unpacking, &value, at, &count);
+        const bool good = texts_take(unpacker, &value, at, &count);
         field_set_count(field, to, count);
         return good;
     }
     }
 }
 
-static Status unpack_field(Unpacking *unpacking, const Shape *shape, const ShapeField *field, void *to,
-                           Failure *failure)
+static Status unpack_field(Unpacker *unpacker, const Shape *shape, const ShapeField *field, void *to, Failure *failure)
 {
     if (field->kind == SHAPE_ONE)
-        return unpack_shape(unpacking, field->of, field_write(field, to), failure);
+        return unpack_shape(unpacker, field->of, field_write(field, to), failure);
     if (field->kind == SHAPE_LST)
-        return unpack_list(unpacking, shape, field, to, failure);
-    return unpack_value(unpacking, field, to) ? STATUS_OK : wrong_type(failure, shape, field);
+        return unpack_list(unpacker, shape, field, to, failure);
+    return unpack_value(unpacker, field, to) ? STATUS_OK : wrong_type(failure, shape, field);
 }
 
-/* Fields beyond those that either side knows are passed over. */
-static Status unpack_shape(Unpacking *unpacking, const Shape *shape, void *to, Failure *failure)
+/* Unpacks a struct. Values beyond the known fields are skipped; fields without a value stay zero. */
+static Status unpack_shape(Unpacker *unpacker, const Shape *shape, void *to, Failure *failure)
 {
     memset(to, 0, shape->size);
-    const Value value = value_read(&unpacking->at);
+    const Value value = value_read(&unpacker->at);
     Status status = STATUS_OK;
     if (value.kind != VALUE_ARRAY)
         status = failure_set(failure, STATUS_BAD_FRAME, "%s is not an array", shape->name);
     size_t total, i = 0;
     const ShapeField *fields = shape->fields(&total);
     for (; status == STATUS_OK && i < total && i < value.number; i++)
-        status = unpack_field(unpacking, shape, &fields[i], to, failure);
+        status = unpack_field(unpacker, shape, &fields[i], to, failure);
     texts_empty(shape, i, to);
     if (status == STATUS_OK)
-        value_skip(&unpacking->at, value.number - i);
+        value_skip(&unpacker->at, value.number - i);
     return status;
 }
 
@@ -203,6 +202,6 @@
 {
     if (!lengths_fit(from))
         return failure_set(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
-    Unpacking unpacking = {.at = from.data, .end = from.data + from.count, .mem = mem};
-    return unpack_shape(&unpacking, shape, to, failure);
+    Unpacker unpacker = {.at = from.data, .end = from.data + from.count, .mem = mem};
+    return unpack_shape(&unpacker, shape, to, failure);
 }
--- a/packages/wire/src/value.c
+++ b/packages/wire/src/value.c
@@ -1,11 +1,11 @@
-/* Reading MessagePack values in place. */
+/* Reads MessagePack values in place. */
 #include "value.h"
 
 #include <stddef.h>
 
 #include "first_byte.h"
 
-/* A number in big-endian order; *at moves behind it. */
+/* Reads a big-endian number and advances *at past it. */
 static uint64_t number_read(const uint8_t **at, size_t bytes)
 {
     uint64_t number = 0;
@@ -24,7 +24,7 @@
     return (Value){number < 0 ? VALUE_NEGATIVE : VALUE_UNSIGNED, (uint64_t)number, NULL};
 }
 
-/* A text or bytes; *at moves from its first byte behind its last. */
+/* Returns a text or bytes whose body is at *at, and advances *at past the body. */
 static Value body_value(const uint8_t **at, ValueKind kind, uint64_t count)
 {
     const Value value = {kind, count, *at};
@@ -32,7 +32,7 @@
     return value;
 }
 
-/* An integer of more than one byte. */
+/* Reads an integer that follows its first byte. */
 static Value number_value(const uint8_t **at, uint8_t first)
 {
     switch (first) {
@@ -55,7 +55,7 @@
     }
 }
 
-/* A value whose first byte holds neither its number nor its length. */
+/* Reads a value whose first byte contains neither its number nor its length. */
 static Value long_value(const uint8_t **at, uint8_t first)
 {
     if (first < BIN_8)
--- a/packages/wire/test/wire.c
+++ b/packages/wire/test/wire.c
@@ -1,4 +1,4 @@
-/* Shapes: packing, unpacking, copies, two releases side by side, and bytes spoiled in every way. */
+/* Tests of shapes: packing, unpacking, copies, compatibility between releases, and malformed data. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,7 +26,7 @@
 SHAPE(Tree, TREE_FIELDS)
 SHAPE_TABLE(Tree, TREE_FIELDS)
 
-/* The same as Leaf, one release later. */
+/* Leaf in the next release. */
 #define NEXT_LEAF_FIELDS(X) \
     X(U64, number, 0)       \
     X(TXT, name, 0)         \
@@ -35,7 +35,7 @@
 SHAPE(NextLeaf, NEXT_LEAF_FIELDS)
 SHAPE_TABLE(NextLeaf, NEXT_LEAF_FIELDS)
 
-/* What each test works on: a tree with every kind of field, and its packed bytes. */
+/* The fixture of each test: a tree with every kind of field, and its packed bytes. */
 typedef struct Fixture {
     Tree tree;
     Bytes packed;
@@ -83,7 +83,7 @@
     assert_int_equal(out.balance, -7);
 }
 
-/* What lies on disks and what other releases read was packed by msgpack-c. */
+/* Data on disks and messages of other releases were packed by msgpack-c, so the packed bytes must be identical. */
 static void packed_as_by_msgpack_c(void **state)
 {
     void *mem = *state;
@@ -155,7 +155,7 @@
     assert_false(shape_equal(&Tree_shape, &fixture->tree, &copy));
 }
 
-/* A difference in any one field is one, as it would be in the packed bytes. */
+/* A difference in any single field is detected, as it would be in the packed bytes. */
 static void each_field_counts_in_a_comparison(void **state)
 {
     Fixture *fixture = *state;
@@ -216,7 +216,8 @@
     assert_int_equal(from_next.number, 4);
 }
 
-/* Each width that a number may be packed in; one that is packed as signed may stand in an unsigned field. */
+/* Numbers are read in each width. A number that is packed as signed is accepted for an unsigned field if it is not
+ * negative. */
 static void numbers_of_all_widths_are_read(void **state)
 {
     static const struct {
@@ -254,7 +255,7 @@
     }
 }
 
-/* What is unpacked costs an allocation for each list and each run of bytes, and one for its short texts together. */
+/* Unpacking makes one allocation for each list and byte buffer, and one for all short texts together. */
 static void texts_share_a_block(void **state)
 {
     Fixture *fixture = *state;
@@ -264,7 +265,7 @@
     assert_int_equal(talloc_total_blocks(mem), 1 + 1 + 1 + 1 + 1); /* mem, texts, blob, words, leaves */
 }
 
-/* Texts longer than a block, and many of them, with what follows them. */
+/* Texts longer than a block, many texts, and the fields after them are read. */
 static void long_texts_are_read(void **state)
 {
     void *mem = *state;
@@ -285,7 +286,7 @@
     }
 }
 
-/* --- bytes that are not what they should be ---------------------------------------------- */
+/* --- malformed data ---------------------------------------------------------------------- */
 
 static void truncated_is_refused(void **state)
 {
@@ -297,22 +298,22 @@
     }
 }
 
-/* Each states a length or count that the bytes after it do not meet, or is of a kind that no shape has. */
+/* Each frame states a length or count that does not match the bytes after it, or has a value that no shape packs. */
 static void untrue_length_is_refused(void **state)
 {
     static const struct {
         size_t count;
         uint8_t bytes[6];
     } FRAMES[] = {
-        {5, {0xdd, 0xff, 0xff, 0xff, 0xff}},       /* array of 4 G values */
-        {5, {0xdf, 0xff, 0xff, 0xff, 0xff}},       /* map of as many pairs */
-        {3, {0xdc, 0x00, 0x02}},                   /* array of two, neither there */
-        {6, {0x91, 0xc6, 0xff, 0xff, 0xff, 0xff}}, /* 4 GB of bytes */
-        {3, {0x91, 0xd9, 0x02}},                   /* text of two bytes, neither there */
-        {2, {0x91, 0xcd}},                         /* number without its bytes */
-        {4, {0x91, 0xd4, 0x00, 0x00}},             /* ext */
-        {2, {0x90, 0x00}},                         /* a byte too many */
-        {2, {0x91, 0xc1}},                         /* a byte that begins no value */
+        {5, {0xdd, 0xff, 0xff, 0xff, 0xff}},       /* array of 2^32 - 1 values */
+        {5, {0xdf, 0xff, 0xff, 0xff, 0xff}},       /* map of 2^32 - 1 pairs */
+        {3, {0xdc, 0x00, 0x02}},                   /* array of two values, both missing */
+        {6, {0x91, 0xc6, 0xff, 0xff, 0xff, 0xff}}, /* 2^32 - 1 bytes */
+        {3, {0x91, 0xd9, 0x02}},                   /* text of two bytes, both missing */
+        {2, {0x91, 0xcd}},                         /* 16-bit number without its bytes */
+        {4, {0x91, 0xd4, 0x00, 0x00}},             /* ext value */
+        {2, {0x90, 0x00}},                         /* surplus byte */
+        {2, {0x91, 0xc1}},                         /* byte that begins no value */
     };
     for (size_t i = 0; i < sizeof(FRAMES) / sizeof(FRAMES[0]); i++) {
         const Bytes frame = {(uint8_t *)(uintptr_t)FRAMES[i].bytes, FRAMES[i].count, 0};
@@ -332,7 +333,8 @@
     assert_string_equal(failure.text, "Tree.on has the wrong type");
 }
 
-/* 20,000 spoiled copies: each is refused or a value that packs again, and never ends the process. */
+/* Unpacks 20,000 corrupted copies: each is either rejected or gives a struct that can be packed, and none ends the
+ * process. */
 static void spoiled_is_refused_or_packs_again(void **state)
 {
     Fixture *fixture = *state;
@@ -360,11 +362,12 @@
     assert_true(refused > 1000);
 }
 
-/* A frame of few bytes for each element ended the process: the memory of the list was not to be had. */
+/* Guards against a crash when the memory for a list cannot be allocated: a frame needs only one byte for each element
+ * of a list. */
 static void list_beyond_memory_is_refused(void **state)
 {
     Fixture *fixture = *state;
-    enum { ELEMENTS = 17 * 1024 * 1024 }; /* of 16 bytes each: more than talloc gives at once */
+    enum { ELEMENTS = 17 * 1024 * 1024 }; /* of 16 bytes each: more than talloc allocates at once */
     static const uint8_t HEAD[] = {0x96, 0x00, 0xc2, 0xc4, 0x00, 0x90, 0x90, 0xdd, 0x01, 0x10, 0x00, 0x00};
     Bytes frame = {0};
     bytes_add(fixture, &frame, HEAD, sizeof(HEAD));
