--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -4,23 +4,23 @@
 #include "loop/loop.h"
 #include "member/members.h"
 
-/* Traces of changes: every process notes the last changes that went through it, and any of
- * them gathers what all have noted of one change. Used by operators (spancart trace) through
- * GET /v1/trace, which every entry point and controller serves.
+/* Traces of changes: every process records events of the last changes that it handled, and can collect the events of
+ * one change from all processes. Operators use this (spancart trace) through GET /v1/trace, which every entry point and
+ * controller serves.
  *
  * Keys: job:ID, config:VERSION, zone:ZONE, view:TERM (a leader's term). */
 
-/* What can be noted of a change on its way; the texts are shown to users. */
-#define TRACE_STEP_LIST(X)                                                                  \
-    X(CARRIED, "carried")     /* an entry point forwarded the request and got its result */ \
-    X(DELIVERED, "delivered") /* a controller applied the change to its state table */      \
-    X(OPENED, "opened")       /* a controller began to lead a term */                       \
-    X(LEARNT, "learnt")       /* a process heard of it */                                   \
-    X(FETCHED, "fetched")     /* an agent got the order */                                  \
-    X(GIVEN, "given")         /* ... and gave it to its worker */                           \
-    X(RUNS, "runs")           /* the worker reported that it runs */                        \
-    X(OVER, "over")           /* the attempt is over */                                     \
-    X(KNOWN, "known")         /* ... and the leader knows it */
+/* The steps of a change that are recorded. X(name, text shown to users). */
+#define TRACE_STEP_LIST(X)                                                                       \
+    X(CARRIED, "carried")     /* an entry point forwarded the request and received its result */ \
+    X(DELIVERED, "delivered") /* a controller applied the change to its state table */           \
+    X(OPENED, "opened")       /* a controller began to lead a term */                            \
+    X(LEARNT, "learnt")       /* a process received the change */                                \
+    X(FETCHED, "fetched")     /* an agent received the order */                                  \
+    X(GIVEN, "given")         /* the agent passed the order to its worker */                     \
+    X(RUNS, "runs")           /* the worker reported that the attempt is running */              \
+    X(OVER, "over")           /* the attempt ended */                                            \
+    X(KNOWN, "known")         /* the leader knows that the attempt ended */
 
 typedef enum TraceStep {
 #define X(name, word) TRACE_##name,
@@ -28,19 +28,19 @@
 #undef X
 } TraceStep;
 
-/* The events of one process. Invariant: the last TRACE_EVENTS are held, in order. */
+/* The events of one process. Invariant: the last TRACE_EVENTS are stored, in order. */
 typedef struct Trace Trace;
 
-/* Lives on mem; loop, RPC endpoint and members outlive it. node: the name that events are shown
- * under. Answers other members' questions from now on. */
+/* Creates a trace on mem and registers the handler of other members' requests for its events. loop, rpc and members
+ * must outlive it. node: the name of this process in traces; copied. */
 Trace *trace_new(void *mem, Loop *loop, Rpc *rpc, Members *members, const char *node);
-/* Notes an event now; both texts are copied, cut where they are too long. A null trace notes
- * nothing. */
+/* Records an event at the current time. Both texts are copied, and truncated if they are too long. No effect if trace
+ * is null. */
 void trace_say(Trace *trace, TraceStep step, const char *detail, const char *key_format, ...)
     __attribute__((format(printf, 4, 5)));
-/* Waits, for ASK_TIMEOUT_MS at most. Serves GET /v1/trace?key=KEY: asks all members at once;
- * those that do not answer in time are named in the result. Times are brought to this
- * process's clock, good to half the time there and back. */
+/* Waits, for ASK_TIMEOUT_MS at most. Serves GET /v1/trace?key=KEY: asks all members concurrently; the result names
+ * those that do not answer in time. Times are converted to this process's clock, with an error of up to half the
+ * round-trip time. */
 void trace_serve(Trace *trace, HttpTask *task);
 
 #endif
--- a/packages/trace/src/events.h
+++ b/packages/trace/src/events.h
@@ -3,28 +3,29 @@
 
 #include "trace/trace.h"
 
-/* The events that a process holds, and how they are handed to one that gathers a trace.
- * Field order in the messages is the wire format: new fields are added at the end only. */
+/* The events that a process stores, and the messages by which another process collects them.
+ * The order of fields in the messages is part of the wire format: new fields are added at the end only. */
 
-#define TRACE_TEXT 128 /* bytes; a key is a kind and a name */
+#define TRACE_KEY_BYTES 128 /* Buffer size of a key, which consists of a kind and a name */
 
 typedef struct Event {
-    int64_t at_ms; /* the loop's clock */
+    int64_t at_ms; /* by the loop's clock */
     TraceStep step;
-    char key[TRACE_TEXT];
-    char detail[TRACE_TEXT / 2];
+    char key[TRACE_KEY_BYTES];
+    char detail[TRACE_KEY_BYTES / 2];
 } Event;
 
 struct Trace {
     Loop *loop;
     Rpc *rpc;
     Members *members;
-    const char *node; /* this process's name */
-    uint64_t count;   /* events ever noted */
+    const char *node; /* name of this process */
+    uint64_t count;   /* events ever recorded; event n is at n % TRACE_EVENTS */
     Event events[TRACE_EVENTS];
 };
 
-/* The events of a key, and the clock that their times are on. */
+/* A request for the events of a key. The answer contains the events and the current time of the clock of their times.
+ */
 #define TRACE_ASK_FIELDS(X) X(TXT, key, 0)
 SHAPE(TraceAsk, TRACE_ASK_FIELDS)
 
@@ -41,6 +42,6 @@
 SHAPE(TraceAnswer, TRACE_ANSWER_FIELDS)
 
 /* Fills in the answer with this process's own events of a key, on mem. */
-void trace_held(Trace *trace, void *mem, const char *key, TraceAnswer *out);
+void trace_own_events(Trace *trace, void *mem, const char *key, TraceAnswer *out);
 
 #endif
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -1,4 +1,4 @@
-/* The events of one process: a ring buffer of the last ones, and the answer to members that ask for them. */
+/* The events of one process: a ring buffer of the last events, and the handler of requests for them. */
 #include "events.h"
 
 #include <stdarg.h>
@@ -10,7 +10,7 @@
 SHAPE_TABLE(TraceEvent, TRACE_EVENT_FIELDS)
 SHAPE_TABLE(TraceAnswer, TRACE_ANSWER_FIELDS)
 
-void trace_held(Trace *trace, void *mem, const char *key, TraceAnswer *out)
+void trace_own_events(Trace *trace, void *mem, const char *key, TraceAnswer *out)
 {
     out->node = trace->node;
     out->now_ms = loop_now_ms(trace->loop);
@@ -24,9 +24,9 @@
     }
 }
 
-static Status on_trace(void *arg, void *mem, const void *question, void *answer)
+static Status on_trace(void *arg, void *mem, const void *ask, void *answer)
 {
-    trace_held(arg, mem, ((const TraceAsk *)question)->key, answer);
+    trace_own_events(arg, mem, ((const TraceAsk *)ask)->key, answer);
     return STATUS_OK;
 }
 
