--- a/packages/base/include/base/array.h
+++ b/packages/base/include/base/array.h
@@ -5,9 +5,9 @@
 
 #include <stddef.h>
 
-/* Ensures room for one more element after the first count elements. If *capacity is exhausted it is doubled and the
- * array is reallocated. items: null while *capacity is 0, otherwise the last result, a child of mem. Returns the
- * array's current address. */
+/* Ensures capacity for one more element than count: if the array is full, *capacity is doubled and the array is
+ * reallocated. items: null while *capacity is 0, otherwise the last result, a child of mem. Returns the array's current
+ * address. */
 void *array_grow(void *mem, void *items, size_t item_bytes, size_t count, size_t *capacity);
 
 #endif
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -12,7 +12,7 @@
 #define HEARTBEAT_MS 500    /* Interval between an agent's heartbeats; six fit in its lease, so five may be lost */
 #define AGENT_LEASE_MS 3000 /* An agent's lease; a lost worker's lease expires after this: "a few seconds at most" */
 #define LOCK_GRANT_MS 1500  /* Longest time for which a voter grants the leader's lease */
-/* Shortest time for which a voter grants the leader's lease; extended by the renewal delays and pauses observed */
+/* Shortest time for which a voter grants the leader's lease; extended by observed delays and pauses */
 #define LOCK_GRANT_LEAST_MS 700
 /* Part of the longest grant that the leader relies on: its clock may be 2% slow, a voter's 2% fast */
 #define LOCK_LEASE_MS 1440
@@ -54,13 +54,13 @@
 #define CLOCK_SLOW_PERCENT 2 /* A worker's steady clock may be this slow, so leases that are passed on are shorter */
 #define LEASE_SLACK_MS 50    /* Added by the leader when it measures a lease, for the granularity of timers */
 
-/* --- questions between processes ------------------------------------------------------------- */
-#define ASK_TIMEOUT_MS 800     /* Deadline of a plain question; shorter than the leader's lease */
+/* --- requests between processes -------------------------------------------------------------- */
+#define ASK_TIMEOUT_MS 800     /* Deadline of an ordinary request; shorter than the leader's lease */
 #define APPEND_TIMEOUT_MS 1500 /* A voter that does not sync an append within this leaves the view */
 #define WATCH_MS 100      /* Interval at which the leader checks its voters, and a voter whether there is a leader */
 #define VOTER_LATE_MS 400 /* A voter that has not synced within this leaves the view if the others suffice */
 #define DISK_RETRY_MS 300 /* First interval between attempts to write to a disk that refused a write */
-/* Bound on that interval, which doubles with each failure: a loss may be over within 4 s */
+/* Longest interval between such attempts; doubled after each failure, as a loss may be over within 4 s */
 #define DISK_RETRY_MOST_MS 2500
 #define DISK_WELL_MS 10000 /* A disk that has taken writes for this long is healthy again */
 #define VOTER_SLOW_MS 500  /* A voter that takes longer than this to sync is slow and delays every caller */
@@ -68,15 +68,16 @@
 /* Time for the other voters to answer once a majority has; those that answer later join afterwards */
 #define POLL_GRACE_MS 60
 #define ELECTION_STEP_TIMEOUT_MS 1200 /* Deadline of one step of an election */
-#define FETCH_WAIT_MS 900         /* Time for which a question for orders alone is held; below ORDER_LIFETIME_MS / 2 */
-#define CONFIG_WATCH_WAIT_MS 2000 /* Time for which an entry point's question for a new configuration is held open */
+#define FETCH_WAIT_MS 900 /* Time for which a request for orders alone is held open; below ORDER_LIFETIME_MS / 2 */
+#define CONFIG_WATCH_WAIT_MS 2000 /* Time for which an entry point's request for a new configuration is held open */
 /* After the loss of the leader, a request that nobody took waits this long for another route */
 #define LEADER_WAIT_MS 150
 #define ELECTION_MS 3000 /* A new leader is normally found within this */
 /* Expected length of an outage of the leader until one has been observed: callers come back after it */
 #define ELECTION_USUAL_MS 1000
-#define PAUSE_LEAST_MS 500 /* A process that was paused for this long reads requests whose callers may have gone on */
-#define PAUSE_AFTER_MS 200 /* Time after a pause within which all that arrived during it is read */
+/* A process that was paused for this long reads requests whose callers may have gone elsewhere */
+#define PAUSE_LEAST_MS 500
+#define PAUSE_AFTER_MS 200       /* Time after a pause within which all that arrived during it is read */
 #define FORWARD_DEADLINE_MS 8000 /* An entry point gives up a request after this */
 #define SUBMIT_TIMEOUT_MS 5000   /* A change that is not committed within this has an unknown outcome */
 #define CONNECT_TIMEOUT_MS 600   /* A connection that takes longer than this to open has failed */
@@ -86,7 +87,7 @@
 #define CONNECTION_QUIET_S 3
 #define CONNECTION_PROBE_S 1 /* Interval between probes */
 #define CONNECTION_PROBES 3  /* Unanswered probes after which the connection ends */
-#define CONNECTION_MISSES 2  /* Unanswered questions in a row after which a new connection is opened */
+#define CONNECTION_MISSES 2  /* Unanswered requests in a row after which a new connection is opened */
 /* A request that a just restarted peer has not answered for this long went to its last incarnation */
 #define CONNECTION_SILENT_MS 200
 
@@ -113,9 +114,9 @@
 #define FOUND_WAIT_MS 1500   /* Three empty disks must see each other for this long before they found a cluster */
 #define VOTE_WAIT_MS 600     /* Delay from a founder's start to its candidacy: the others have started by then */
 #define MEMBERSHIP_CHECK_MS 200 /* Interval at which the leader checks whether the list of voters must change */
-/* The same interval while a learner is not ready yet, or when one change follows another */
+/* Interval of that check while a learner is not ready yet, or when one change follows another */
 #define MEMBERSHIP_SOON_MS 30
-#define LEARNER_MOST 4        /* Learners that follow the log at a time: each costs a copy of it */
+#define LEARNER_MOST 4        /* Learners that follow the log at a time: each costs a copy of the log */
 #define LEARNER_APPEND_MS 100 /* A learner gets what has come within this in one append, since nobody waits for it */
 #define VOTE_SETTLE_MS 700    /* Two renewals: within this a learner that leaves hears that it was given the vote */
 #define VOTE_LEAVE_PART 2     /* A leaving voter waits 1 in this many of its grace period for its vote to pass on */
@@ -124,7 +125,7 @@
 #define VOTER_REST_MS 1000      /* Minimum time out of the view for a voter that left it for being late */
 #define VOTER_LOST_REST_MS 5000 /* A controller that is no longer a voter does not propose itself for this long */
 #define VOTER_REPLACE_MS 15000  /* Default of the setting: a lost voter is replaced within this */
-/* A silent voter is replaced after 1 in this many of that time: the replacement takes the rest */
+/* A silent voter is replaced after 1 in this many of VOTER_REPLACE_MS: the replacement takes the rest */
 #define VOTER_SILENT_PART 2
 
 /* --- log and disk ---------------------------------------------------------------------------- */
@@ -138,9 +139,9 @@
 #define STATE_SHRINK_MS 10000 /* Minimum interval between measurements of a full state, each of which serializes it */
 #define SNAPSHOT_WHOLE_BYTES (2 * 1024 * 1024) /* A snapshot of up to this size is sent in one message */
 #define SNAPSHOT_PIECE_BYTES (1024 * 1024)     /* Size of the pieces of a larger snapshot: 40 ms each at 200 Mbit/s */
-#define LOG_BATCH_BYTES (512 * 1024)           /* Bytes in one append at most */
-#define LOG_BATCH_ENTRIES 256                  /* Entries in one append at most */
-#define LOG_WRITE_BYTES (16 * 1024 * 1024)     /* Bytes in one write of the leader to its own journal at most */
+#define LOG_BATCH_BYTES (512 * 1024)           /* Maximum size of one append */
+#define LOG_BATCH_ENTRIES 256                  /* Maximum number of entries in one append */
+#define LOG_WRITE_BYTES (16 * 1024 * 1024)     /* Maximum size of one write of the leader to its own journal */
 #define LOG_BACK_STEP 64 /* Entries by which the leader goes back when it asks a voter whose log differs again */
 #define RECORD_MAX_BYTES (64 * 1024 * 1024) /* A journal record larger than this is corruption */
 /* Delay after a sync until its position is written to the hint: one more write per second */
@@ -156,7 +157,7 @@
 #define REPAIR_HEAR_MS (CONNECTION_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS)
 #define REPAIR_COPIES 2 /* Entry points, in different zones, that keep a change for repair */
 #define KEEP_ASK_MS 100 /* Deadline for an entry point to keep a change for repair, for which a caller waits */
-/* Size of one node's repair buffer: some 5,000 jobs; bounded since memory is priced */
+/* Size of one node's repair buffer: some 5,000 jobs; bounded, because memory costs money */
 #define REPAIR_BUFFER_BYTES_MAX (4 * 1024 * 1024)
 #define REPAIR_KEEP_MS 120000 /* Time for which entry points and agents keep acknowledged changes for repair */
 /* A leader that reached few members does not propose itself for this long, so that another leads */
@@ -183,8 +184,8 @@
 #define CONFIG_STRETCH_MAX 1000
 #define CONFIG_HISTORY 200     /* Configuration versions that can be read back, as far as CONFIG_HISTORY_BYTES allow */
 #define CONFIG_KNOWN 1000      /* Versions whose calls are recognised when they are repeated: ten a second for 100 s */
-#define CONFIG_HISTORY_STEP 50 /* Older versions are dropped in steps of this many */
-#define CONFIG_HISTORY_BYTES (1024 * 1024) /* Texts and patches kept beside one whole text */
+#define CONFIG_HISTORY_STEP 50 /* Configuration versions that are dropped at a time */
+#define CONFIG_HISTORY_BYTES (1024 * 1024) /* Size of the texts and patches kept beside one whole text */
 #define ID_MAX 96                          /* Name of a job, tenant or worker, in bytes */
 #define ATTEMPTS_DEFAULT 3        /* Failed attempts after which a task fails, unless its owner sets another number */
 #define ATTEMPTS_MAX 100          /* Largest number of attempts that an owner may set */
@@ -196,7 +197,7 @@
 #define ATTEMPTS_FORGOTTEN_MAX 10000 /* Attempts that disks may have lost; a larger number is a mistake */
 /* Rest of a failed task, doubled with each failure; short, as targets are 1 or 2 s and it restarts elsewhere */
 #define FAILED_REST_MS 50
-#define FAILED_REST_MAX_MS 8000    /* Bound on the rest of a failed task */
+#define FAILED_REST_MAX_MS 8000    /* Longest rest of a failed task */
 #define REFUSED_REST_MS 200        /* Rest of a refused task: by then a heartbeat or a start shows more of its worker */
 #define LASTING_STEADY_MS 5000     /* A lasting task that ran for this long has not failed at once */
 #define LASTING_REST_MAX_MS 2000   /* Longest rest of a lasting task that repeatedly fails at once */
@@ -205,9 +206,10 @@
 #define RESOURCES_MAX 100000000ULL /* Milli-CPU, MB or count; larger numbers are mistakes */
 
 /* --- latency targets and estimates ----------------------------------------------------------- */
-#define PACE_FIRST_MS 700  /* Run time after which an attempt's progress is first reported; a short task's is not */
-#define ESTIMATE_RATIOS 32 /* Newest ratios of which a median is taken: older ones say little */
-#define ESTIMATE_LEAST 5   /* Ended attempts before a step's estimate is corrected */
+#define PACE_FIRST_MS 700 /* Run time after which an attempt's progress is first reported; a short task's is not */
+/* Newest ratios of actual to estimated time that a median is taken of: older ones say little */
+#define ESTIMATE_RATIOS 32
+#define ESTIMATE_LEAST 5 /* Ended attempts before a step's estimate is corrected */
 /* Recent ratios of one worker; fewer than ESTIMATE_RATIOS, as a worker turns slow within seconds */
 #define ESTIMATE_FRESH_RATIOS 9
 #define ESTIMATE_FRESH_LEAST 3 /* Recent ratios below which a worker's own median is not used */
@@ -219,12 +221,13 @@
 #define ESTIMATE_SPEED_LEAST 600
 /* Thousandths; with estimates off by up to half, a slowdown beyond this is a slow spell */
 #define ESTIMATE_SPEED_MOST 1700
-#define STILL_PERCENT 15    /* An attempt without progress while this share of its work was due is stalled */
-#define STILL_LEAST_MS 1000 /* Minimum time without progress: resuming from saved progress begins with a pause */
-#define PACE_CREDIT 16      /* Progress reports before their absence counts, since some workers send none */
-#define STOP_CHECK_MS 200   /* Interval between searches for attempts that are better restarted elsewhere */
-#define SLOW_GAIN 2.5       /* An attempt is restarted elsewhere when that takes this many times less */
-#define SLOW_COST_MS 1000   /* Time that the restart must save besides: stopping, starting, and the work thrown away */
+#define STILL_PERCENT 15 /* An attempt without progress while this share of its work was due is stalled */
+/* Minimum time without progress of a stalled attempt: resuming from saved progress begins with a pause */
+#define STILL_LEAST_MS 1000
+#define PACE_CREDIT 16    /* Progress reports before their absence counts, since some workers send none */
+#define STOP_CHECK_MS 200 /* Interval between searches for attempts that are better restarted elsewhere */
+#define SLOW_GAIN 2.5     /* Factor by which a restart elsewhere must be faster for an attempt to be restarted */
+#define SLOW_COST_MS 1000 /* Minimum time saved by such a restart, which costs a stop, a start and discarded work */
 /* A leaving worker's attempts are stopped this long before it leaves, so that progress is saved */
 #define LEAVE_LAST_MS 1500
 #define LEAVE_START_MS 300   /* An order that a leaving worker has not started within this is withdrawn */
@@ -248,14 +251,14 @@
 /* Different jobs in a row that failed on the worker, since one bad job does not make a bad worker */
 #define SCORE_JOBS 3
 #define SCORE_REST_MS 10000      /* First rest of a worker, doubled with each further one */
-#define SCORE_REST_MAX_MS 300000 /* Bound on the rest of a worker */
+#define SCORE_REST_MAX_MS 300000 /* Longest rest of a worker */
 #define SCORE_FADE_MS 10000      /* Half-life of a rate without new attempts, so that every worker is tried again */
 #define SCORE_SHARE 4            /* At most 1 in this many of the fleet's workers rests at once */
 
-#define SLOW_WEIGHT 50 /* Percent; weight of a slow attempt; attempts side by side are one sign, so signs are few */
-#define SLOW_SIGNS 2   /* Slow attempts of different jobs before a worker counts as slow */
-#define SLOW_TIMES 3   /* An attempt that takes this many times its step's median is slow */
-#define SLOW_OTHERS 4  /* Other attempts of the step that a median needs */
+#define SLOW_WEIGHT 50      /* Percent; weight of a slow attempt; concurrent attempts are one sign, so signs are few */
+#define SLOW_SIGNS 2        /* Slow attempts of different jobs before a worker counts as slow */
+#define SLOW_TIMES 3        /* An attempt that takes this many times its step's median is slow */
+#define SLOW_OTHERS 4       /* Other attempts of the step that a median needs */
 #define SLOW_OTHERS_MOST 64 /* Other attempts that are examined for a median: a step may have thousands */
 #define SLOW_LEAST_MS 200   /* A median below this is not used: the round trip takes as long */
 
@@ -268,56 +271,57 @@
 /* Thousandths of a worker: gain of placing a step's tasks together. It is more than a worker's whole capacity, and
  * less than the penalty of a worker that is slow or fails its work. */
 #define CHOOSE_TOGETHER 1000
-/* Longest wait of work for capacity near its data: half of the time that work may be stalled */
+/* Longest wait of work for capacity near its data: half of the time for which work may be stalled */
 #define FAR_WAIT_MS 1500
 
 /* --- capacity reserved for large work -------------------------------------------------------- */
 #define RESERVE_SLACK_MS 3000     /* Work that must be running within this has capacity reserved as it becomes free */
-#define RESERVE_SHARE 3           /* At most 1 in this many parts of the fleet's capacity is reserved in this way */
+#define RESERVE_SHARE 3           /* At most 1 in this many parts of the fleet's capacity is reserved for such work */
 #define RESERVATION_WAIT_MS 10000 /* Work that fits a whole worker but no gap for this long has a worker reserved */
-/* Minimum wait for a reservation of work with a latency target, which waits an eighth of its span */
+/* Minimum wait for a reservation of work with a latency target, which otherwise waits an eighth of its span */
 #define RESERVATION_LEAST_MS 300
 #define RESERVATION_SHARE 4        /* At most 1 in this many of the fleet's workers is reserved at once */
 #define ZONE_ORDERS_MAX 16         /* Orders for a zone that are recognised when they are sent again */
 #define RESERVATION_MEMBERS_MAX 64 /* Workers reserved for one gang */
 
 /* --- policies and preemption ----------------------------------------------------------------- */
-#define LUA_STEPS_MAX 20000        /* Instructions of one call: some 0.2 ms */
+#define LUA_STEPS_MAX 20000        /* Instructions of one call of a policy: some 0.2 ms */
 #define LUA_STEPS_TICK 100         /* Instructions between two updates of their count */
-#define LUA_BYTES_MAX (512 * 1024) /* Memory of one policy */
-#define STOP_TAKES_MS 300          /* A stop arrives with the worker's next report, takes a moment, and is reported */
-#define ENDS_LEAST_MS 50           /* Minimum of the expected time to the end of a running attempt */
-#define PREEMPT_TAKES_MS 600       /* Time from a preemption until the capacity is used: a stop and a start */
-#define PREEMPT_SLACK_MS 900       /* Work that must be running within this may preempt: preemption takes most of it */
+#define LUA_BYTES_MAX (512 * 1024) /* Memory of one policy, in bytes */
+/* Duration of a stop: it arrives with the worker's next report, takes a moment, and is reported */
+#define STOP_TAKES_MS 300
+#define ENDS_LEAST_MS 50       /* Minimum of the expected time to the end of a running attempt */
+#define PREEMPT_TAKES_MS 600   /* Time from a preemption until the capacity is used: a stop and a start */
+#define PREEMPT_SLACK_MS 900   /* Work that must be running within this may preempt: preemption takes most of it */
 #define PREEMPT_COST 2         /* A preemption throws away at most this many times the work that it makes room for */
 #define PREEMPT_VICTIMS_MOST 4 /* Attempts preempted for one task */
 #define PREEMPT_GAP_MS 100     /* Interval between searches for attempts to preempt */
 #define PREEMPT_TASKS_MAX 32   /* Running tasks considered for one task that needs capacity */
 
 /* --- process --------------------------------------------------------------------------------- */
-#define TASK_STACK_BYTES (192 * 1024)      /* A coroutine's stack: JSON and printf fit, also under ASan */
+#define TASK_STACK_BYTES (192 * 1024)      /* Stack of a coroutine: JSON and printf fit, also under ASan */
 #define TASK_STACKS_IDLE_MOST 24           /* Stacks of ended coroutines kept for reuse; a burst allocates its own */
-#define FRAME_MAX_BYTES (32 * 1024 * 1024) /* One message: a whole snapshot (SNAPSHOT_WHOLE_BYTES) fits */
+#define FRAME_MAX_BYTES (32 * 1024 * 1024) /* Largest message: a whole snapshot (SNAPSHOT_WHOLE_BYTES) fits */
 #define CHANNEL_QUEUE_BYTES (96 * 1024 * 1024) /* Unsent bytes beyond which the connection ends */
 #define CHANNEL_KEEP_BYTES (32 * 1024)         /* A buffer that grew beyond this for one frame is freed */
 #define CHANNEL_QUEUE_FRAMES 4096              /* Unread frames beyond which the connection ends */
-#define HTTP_BODY_MAX (2 * 1024 * 1024)        /* A request's body, in bytes: a configuration fits (CONFIG_BODY_MAX) */
-#define HTTP_HEAD_MAX (32 * 1024) /* A request's head with its path, in bytes: far more than any caller sends */
+#define HTTP_BODY_MAX (2 * 1024 * 1024)        /* Body of a request, in bytes: a configuration fits (CONFIG_BODY_MAX) */
+#define HTTP_HEAD_MAX (32 * 1024) /* Head of a request with its path, in bytes: far more than any caller sends */
 #define HTTP_HEAD_MS 5000  /* A head must be complete this long after it has begun: callers are in the same network */
 #define HTTP_IDLE_MS 60000 /* A caller's connection without a request is closed after this */
 #define HTTP_CONNECTIONS_MAX 3000 /* Connections of callers to one process at a time */
 #define HTTP_TASKS_MAX 2048       /* Requests in flight in one process; callers of further ones are told to retry */
 #define TRACE_EVENTS 2048         /* Steps of changes that a node keeps: minutes at today's loads */
 #define RECORDER_LINES 256        /* Lines in the flight recorder */
-#define RECORDER_LINE_BYTES 200   /* One line of the flight recorder; a longer one is cut */
+#define RECORDER_LINE_BYTES 200   /* Size of a line of the flight recorder; a longer one is truncated */
 #define RECORDER_NOTES_AT_ONCE 20 /* Notes written in one burst, so that a change of leader is logged whole */
 /* After a burst, one note is written per interval, since a line costs processor time */
 #define RECORDER_NOTE_GAP_MS 500
 /* Sent with a 503: another entry point, or the same one a moment later, will serve the request */
 #define RETRY_AFTER_S 1
-#define RETRY_ELECTION_S 2 /* Sent when no leader serves: a new one is found within 2 to 3 s */
-#define RETRY_CROWD_S 5    /* Sent when too many tasks wait: some of them have run by then */
-#define DRAIN_MS 3000 /* Shutdown after SIGTERM: the process is not ready at once and ends after this at the latest */
+#define RETRY_ELECTION_S 2  /* Sent when no leader serves: a new one is found within 2 to 3 s */
+#define RETRY_CROWD_S 5     /* Sent when too many tasks wait: some of them have run by then */
+#define DRAIN_MS 3000       /* Time limit of a shutdown by SIGTERM, during which the process is not ready */
 #define DRAIN_MARGIN_MS 100 /* Part of DRAIN_MS left for the end of the process */
 #define DRAIN_CHECK_MS 10   /* Interval between checks whether the last request has been answered */
 
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -84,8 +84,7 @@
 
 /* --- signals ---------------------------------------------------------------- */
 
-/* A condition that tasks wait for; zeroed memory is a valid signal. Invariant: a task is on at most one signal's list.
- */
+/* A condition that tasks wait for; zeroed memory is valid. Invariant: a task is on at most one signal's list. */
 typedef struct Signal {
     Task *first;
     Task *last;
--- a/packages/loop/src/real_serve.c
+++ b/packages/loop/src/real_serve.c
@@ -7,9 +7,9 @@
 
 #include "real.h"
 
-#define SWEEP_MS 500                 /* Minimum interval between searches for incomplete heads, in turns of the loop */
+#define SWEEP_MS 500                 /* Minimum interval between searches for incomplete heads */
 #define EXTRA_CONNECTIONS_DIVISOR 8  /* 1 in this many of the limit on connections is accepted beyond the limit */
-#define READ_AHEAD_BYTES (64 * 1024) /* Bytes read from a caller that sends more before its response */
+#define READ_AHEAD_BYTES (64 * 1024) /* Limit on the bytes read ahead while a request is in progress */
 
 /* An address at which HTTP is served. */
 typedef struct Endpoint {
--- a/packages/loop/src/task.c
+++ b/packages/loop/src/task.c
@@ -1,4 +1,4 @@
-/* Tasks: coroutines on idle_stacks of their own, the list of ready tasks, and the signals that tasks wait for. */
+/* Tasks: coroutines on stacks of their own, the list of ready tasks, and the signals that tasks wait for. */
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -1,5 +1,5 @@
 /* Tests of the real loop over loopback: a response reaches its own caller only. A thread with plain sockets is the
- * other side. The two sides do not rely on delays: each waits wait_for_step the other has reached a step. */
+ * other side. The two sides do not rely on delays: each waits until the other has reached a step. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -15,7 +15,7 @@
     X(CARRIED, "carried")     /* an entry point forwarded the request and received its result */ \
     X(DELIVERED, "delivered") /* a controller applied the change to its state table */           \
     X(OPENED, "opened")       /* a controller began to lead a term */                            \
-    X(LEARNT, "learnt")       /* a process received the change */                                \
+    X(LEARNT, "learnt")       /* a process learned of the change */                              \
     X(FETCHED, "fetched")     /* an agent received the order */                                  \
     X(GIVEN, "given")         /* the agent passed the order to its worker */                     \
     X(RUNS, "runs")           /* the worker reported that the attempt is running */              \
--- a/packages/wire/src/pack.c
+++ b/packages/wire/src/pack.c
@@ -1,4 +1,4 @@
-/* Packer: a struct described by a shape becomes one MessagePack array with a value for each field, in the shortest
+/* Packing: a struct described by a shape becomes one MessagePack array with a value for each field, in the shortest
  * format that the specification has for the value. */
 #include <string.h>
 #include <talloc.h>
--- a/packages/wire/src/unpack.c
+++ b/packages/wire/src/unpack.c
@@ -1,8 +1,8 @@
-/* Unpacker: checks MessagePack data against a shape, field by field, and fills its struct. Data from peers is not
+/* Unpacking: checks MessagePack data against a shape, field by field, and fills its struct. Data from peers is not
  * trusted: the lengths are checked first (lengths.c), the types here.
  *
  * All texts of a value are copied into a few blocks, because an allocation for each text would cost more than the rest
- * of unpacker. */
+ * of unpacking. */
 #include <string.h>
 #include <talloc.h>
 
@@ -14,7 +14,7 @@
 
 #define TEXT_BLOCK_BYTES 512 /* Small enough for malloc's per-thread cache */
 
-/* The state of unpacker. Invariant: texts_left bytes are free at texts. */
+/* The state of unpacking. Invariant: texts_left bytes are free at texts. */
 typedef struct Unpacker {
     const uint8_t *at; /* the next value */
     const uint8_t *end;
--- a/packages/wire/test/wire.c
+++ b/packages/wire/test/wire.c
@@ -216,8 +216,7 @@
     assert_int_equal(from_next.number, 4);
 }
 
-/* Numbers are read in each width. A number that is packed as signed is accepted for an unsigned field if it is not
- * negative. */
+/* Numbers are read in each width. An unsigned field accepts a number packed as signed if it is not negative. */
 static void numbers_of_all_widths_are_read(void **state)
 {
     static const struct {
@@ -333,8 +332,7 @@
     assert_string_equal(failure.text, "Tree.on has the wrong type");
 }
 
-/* Unpacks 20,000 corrupted copies: each is either rejected or gives a struct that can be packed, and none ends the
- * process. */
+/* Each of 20,000 corrupted copies is rejected or gives a struct that can be packed; none ends the process. */
 static void spoiled_is_refused_or_packs_again(void **state)
 {
     Fixture *fixture = *state;
@@ -362,8 +360,7 @@
     assert_true(refused > 1000);
 }
 
-/* Guards against a crash when the memory for a list cannot be allocated: a frame needs only one byte for each element
- * of a list. */
+/* Guards against a crash when a list cannot be allocated: a frame needs only one byte for each of its elements. */
 static void list_beyond_memory_is_refused(void **state)
 {
     Fixture *fixture = *state;
