--- a/packages/base/include/base/bytes.h
+++ b/packages/base/include/base/bytes.h
@@ -9,7 +9,7 @@
 
 /* A byte buffer on talloc memory.
  * Invariant: count <= capacity, or the bytes are borrowed: capacity is 0 and nothing may be appended. data is null
- * until something is first appended. */
+ * until memory is first allocated. */
 typedef struct Bytes {
     uint8_t *data;
     size_t count;
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -38,8 +38,9 @@
 #define WORKER_POLL_MS 400 /* Longest time for which an agent holds its worker's poll open */
 /* Time for which a heartbeat is held open for orders; with the round trip, one per HEARTBEAT_MS */
 #define HEARTBEAT_WAIT_MS 450
-#define HEARTBEATS_MOST 4    /* An agent's heartbeats in flight: one waits for orders, the others carry updates */
-#define WORKER_QUIET_MS 1200 /* A worker gets no new work when neither it nor its open poll was heard for this long */
+#define HEARTBEATS_MOST 4 /* An agent's heartbeats in flight: one waits for orders, the others carry updates */
+/* A worker that has not polled for this long, in addition to the length of a poll, gets no new work */
+#define WORKER_QUIET_MS 1200
 /* Time for which a poll that reports ended attempts is held: the worker's next report waits for its answer */
 #define WORKER_BUSY_MS 50
 /* Delay of a worker's next poll, for which an order may wait; a poll costs about as much time */
--- a/packages/wire/include/wire/rpc.h
+++ b/packages/wire/include/wire/rpc.h
@@ -58,9 +58,9 @@
 /* Returns the identity of the member with this id, in this incarnation. */
 PeerIdentity peer_identity(const char *id, uint64_t incarnation);
 
-/* Handles a request: fills in the zeroed answer and returns the status that is sent with it, even if it is not OK. Runs
- * in a task of its own and may wait. ask, answer and everything they point to are on mem, which is freed once the
- * answer has been sent. */
+/* Handles a request, whose message is ask: fills in the zeroed answer and returns the status that is sent with it, even
+ * if it is not OK. Runs in a task of its own and may wait. ask, answer and everything they point to are on mem, which
+ * is freed once the answer has been sent. */
 typedef Status (*RpcFn)(void *arg, void *mem, const void *ask, void *answer);
 
 /* Creates an endpoint on mem. recorder: receives log lines on refused frames. */
--- a/packages/wire/src/answer.c
+++ b/packages/wire/src/answer.c
@@ -56,7 +56,7 @@
     if (envelope.kind != request->kind) {
         rpc->counts.other_kinds++;
         rpc_note_refused(rpc, STATUS_BAD_FRAME, "an answer of another kind", &envelope);
-        pending_end(connection, request, STATUS_CLOSED);
+        pending_complete(connection, request, STATUS_CLOSED);
         return false;
     }
     rpc_count_answer_time(rpc, request->kind, loop_now_ms(rpc->loop) - request->sent_ms);
@@ -67,6 +67,6 @@
     } else {
         rpc_note_refused(rpc, status, "an answer", &envelope);
     }
-    pending_end(connection, request, status);
+    pending_complete(connection, request, status);
     return true;
 }
--- a/packages/wire/src/connection.c
+++ b/packages/wire/src/connection.c
@@ -27,8 +27,8 @@
     connection->timed_out = 0;
     channel_shut(channel);
     while (connection->pending != NULL) /* a request that did not leave this process was certainly not executed */
-        pending_end(connection, connection->pending,
-                    channel_unsent(channel, connection->pending->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
+        pending_complete(connection, connection->pending,
+                         channel_unsent(channel, connection->pending->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
     channel_close(channel);
 }
 
--- a/packages/wire/src/pending.c
+++ b/packages/wire/src/pending.c
@@ -15,7 +15,7 @@
     return NULL;
 }
 
-void pending_end(Connection *connection, PendingRequest *request, Status status)
+void pending_complete(Connection *connection, PendingRequest *request, Status status)
 {
     pending_remove(connection, request->call);
     request->done = true;
--- a/packages/wire/src/pending.h
+++ b/packages/wire/src/pending.h
@@ -40,6 +40,6 @@
 /* Removes the request with this id from the list and returns it; null when there is none. */
 PendingRequest *pending_remove(Connection *connection, uint64_t call);
 /* Completes a request and wakes its task. */
-void pending_end(Connection *connection, PendingRequest *request, Status status);
+void pending_complete(Connection *connection, PendingRequest *request, Status status);
 
 #endif
