--- a/packages/sim/test/config_fixture.h
+++ b/packages/sim/test/config_fixture.h
@@ -15,7 +15,7 @@
 /* The number behind a key of a result; 0: it is not there. */
 static inline uint64_t number_in(const HttpCall *call, void *mem, const char *key)
 {
-    const char *text = talloc_strndup(mem, (const char *)call->result.data, call->result.count);
+    const char *text = talloc_strndup(mem, (const char *)call->response_body.data, call->response_body.count);
     const char *at = text != NULL ? strstr(text, key) : NULL;
     return at != NULL ? strtoull(at + strlen(key), NULL, 10) : 0;
 }
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -72,7 +72,8 @@
                      .wait_ms = 2000};
     const char *body = NULL;
     if (loop_call(loop, &call) == STATUS_OK && call.code == 200) {
-        json_object *got = document_parse(talloc_strndup(mem, (const char *)call.result.data, call.result.count));
+        json_object *got =
+            document_parse(talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count));
         json_object *patch = json_object_new_object(), *config;
         json_object_object_add(patch, "note", json_object_new_string(change->marker));
         json_object_object_get_ex(got, "config", &config);
@@ -127,7 +128,7 @@
     const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
     if (call.code != 200)
         return "";
-    const char *text = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
+    const char *text = talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count);
     const char *at = strstr(text, "\"note\":\"");
     return at != NULL ? talloc_strndup(mem, at + 8, strcspn(at + 8, "\"")) : "";
 }
@@ -288,7 +289,7 @@
     fleet_run(fleet, 12000);
     const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(after.code, 200);
-    assert_true(bytes_equal(before.result, after.result));
+    assert_true(bytes_equal(before.response_body, after.response_body));
     /* the last call, sent again, is known from what was told */
     const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base - 3, base);
     assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path,
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -155,8 +155,8 @@
         const char *body = talloc_asprintf(mem, "{\"cells\":{\"op%d\":{\"share\":%d}}}", operator->number, i + 1);
         bytes_add(mem, &call.body, body, strlen(body));
         const Status status = loop_call(loop, &call);
-        bytes_add(mem, &call.result, "", 1);
-        const char *text = (const char *)call.result.data;
+        bytes_add(mem, &call.response_body, "", 1);
+        const char *text = (const char *)call.response_body.data;
         const char *at = strstr(text, call.code == 409 ? "\"current\":" : "\"revision\":");
         if (status == STATUS_OK && at != NULL)
             base = strtoull(strchr(at, ':') + 1, NULL, 10);
@@ -199,7 +199,7 @@
     print_message("%zu acknowledged, %zu refused as stale\n", acknowledged, stale);
     assert_true(acknowledged > 30 && stale > 20);
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/config", NULL);
-    assert_true(strtoull((const char *)call.result.data + strlen("{\"revision\":"), NULL, 10) >= highest);
+    assert_true(strtoull((const char *)call.response_body.data + strlen("{\"revision\":"), NULL, 10) >= highest);
     /* each acknowledged one is in the history as it was sent */
     for (int i = 0; i < 5; i++)
         for (size_t k = 0; k < operators[i].count; k++) {
@@ -208,7 +208,7 @@
             snprintf(cell, sizeof(cell), "\"op%d\":", i);
             const HttpCall read = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
             assert_int_equal(read.code, 200);
-            assert_non_null(strstr((const char *)read.result.data, cell));
+            assert_non_null(strstr((const char *)read.response_body.data, cell));
         }
     talloc_free(fleet);
 }
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -36,7 +36,7 @@
 static InsideRequest *order(Fleet *fleet, int entry_point, const char *method)
 {
     return inside_request_send(fleet, entry_point,
-                               &(HttpTask){.method = method, .path = DRAIN, .query = "", .host = ""}, NULL);
+                               &(HttpExchange){.method = method, .path = DRAIN, .query = "", .host = ""}, NULL);
 }
 
 static int ask(Fleet *fleet, int entry_point, const char *method)
@@ -181,7 +181,7 @@
     Fleet *fleet = begin(45);
     InsideRequest *late = order(fleet, 0, "POST");
     fleet_run(fleet, LINK_MS / 2);
-    late->task->gone = true;
+    late->task->caller_disconnected = true;
     fleet_run(fleet, 3000);
     assert_true(late->done && !drained(fleet));
     case_end(fleet);
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -31,10 +31,10 @@
 
 static int ask(Fleet *fleet, int entry_point, const char *method, const char *path, const char *body, const char **text)
 {
-    const HttpPair host = {"host", HOST ":8080"};
+    const HttpHeader host = {"host", HOST ":8080"};
     const HttpCall call = fleet_ask_as(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, path, body, &host, 1);
     if (text != NULL)
-        *text = (const char *)call.result.data;
+        *text = (const char *)call.response_body.data;
     return call.code;
 }
 
@@ -138,7 +138,7 @@
                                "{\"cells\":{\"imagery\":{\"limit\":1}}}")
                          .code,
                      200);
-    const HttpPair host = {"host", HOST};
+    const HttpHeader host = {"host", HOST};
     const HttpCall full =
         fleet_ask_as(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x",
                      "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
--- a/packages/sim/test/fleet_fixture.h
+++ b/packages/sim/test/fleet_fixture.h
@@ -29,7 +29,7 @@
     assert_true(fleet_settle(fleet, 30000));
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", config);
     if (call.code != 200)
-        fail_msg("%d %s", call.code, (const char *)call.result.data);
+        fail_msg("%d %s", call.code, (const char *)call.response_body.data);
     fleet_run(fleet, 1000);
     return fleet;
 }
@@ -70,7 +70,7 @@
                         queue, more, steps);
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
-        fail_msg("%s: %d %s", id, call.code, (const char *)call.result.data);
+        fail_msg("%s: %d %s", id, call.code, (const char *)call.response_body.data);
     checker_accepted(fleet->checker, id);
 }
 
--- a/packages/sim/test/inside_request.h
+++ b/packages/sim/test/inside_request.h
@@ -10,7 +10,7 @@
 
 typedef struct InsideRequest {
     EntryPoint *entry_point;
-    HttpTask *task;
+    HttpExchange *task;
     bool done;
 } InsideRequest;
 
@@ -22,12 +22,13 @@
 }
 
 /* Does not wait. task says what is asked; its texts outlive the fleet. */
-static inline InsideRequest *inside_request_send(Fleet *fleet, int entry_point, const HttpTask *task, const char *body)
+static inline InsideRequest *inside_request_send(Fleet *fleet, int entry_point, const HttpExchange *task,
+                                                 const char *body)
 {
     const FleetNode *node = fleet_node(fleet, FLEET_ENTRY_POINT, entry_point);
     InsideRequest *inside_request = talloc_zero(fleet, InsideRequest);
     inside_request->entry_point = node->entry_point;
-    inside_request->task = talloc_zero(inside_request, HttpTask);
+    inside_request->task = talloc_zero(inside_request, HttpExchange);
     *inside_request->task = *task;
     inside_request->task->loop = sim_loop(fleet->world, node->machine);
     if (body != NULL)
--- a/packages/sim/test/job_fixture.h
+++ b/packages/sim/test/job_fixture.h
@@ -16,7 +16,7 @@
 {
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, method, path, body);
     if (text != NULL)
-        *text = (const char *)call.result.data;
+        *text = (const char *)call.response_body.data;
     return call.code;
 }
 
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -32,7 +32,7 @@
 
 typedef struct InsideRequest {
     FleetNode *node;
-    HttpTask *task;
+    HttpExchange *task;
     int64_t took_ms;
     bool done;
 } InsideRequest;
@@ -52,16 +52,16 @@
 }
 
 /* Runs until it is answered. */
-static HttpTask *inside_request_send(Fleet *fleet, FleetRole role, int number, const char *method, const char *path,
-                                     const char *body, int64_t wait_ms, int64_t *took_ms)
+static HttpExchange *inside_request_send(Fleet *fleet, FleetRole role, int number, const char *method, const char *path,
+                                         const char *body, int64_t wait_ms, int64_t *took_ms)
 {
-    InsideRequest inside_request = {.node = fleet_node(fleet, role, number), .task = talloc_zero(fleet, HttpTask)};
-    *inside_request.task = (HttpTask){.loop = sim_loop(fleet->world, inside_request.node->machine),
-                                      .method = method,
-                                      .path = path,
-                                      .query = "",
-                                      .host = "",
-                                      .timeout_ms = wait_ms};
+    InsideRequest inside_request = {.node = fleet_node(fleet, role, number), .task = talloc_zero(fleet, HttpExchange)};
+    *inside_request.task = (HttpExchange){.loop = sim_loop(fleet->world, inside_request.node->machine),
+                                          .method = method,
+                                          .path = path,
+                                          .query = "",
+                                          .host = "",
+                                          .timeout_ms = wait_ms};
     if (body != NULL)
         bytes_add(inside_request.task, &inside_request.task->body, body, strlen(body));
     loop_spawn(inside_request.task->loop, "hand", inside_request_main, &inside_request);
@@ -77,7 +77,7 @@
     Fleet *fleet = begin(31);
     int64_t took_ms;
     fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 30000);
-    HttpTask *task =
+    HttpExchange *task =
         inside_request_send(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", job_of(fleet, "short"), 300, &took_ms);
     assert_int_equal(task->code, 504);
     assert_true(took_ms <= 310);
@@ -100,7 +100,7 @@
     for (int i = 0; i < 20; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "none-%d", i);
-        const HttpTask *task =
+        const HttpExchange *task =
             inside_request_send(fleet, FLEET_ENTRY_POINT, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 503);
         assert_true(task->retry_after_s > 0);
@@ -122,7 +122,7 @@
     for (int i = 0; i < 5; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "slow-%d", i);
-        const HttpTask *task =
+        const HttpExchange *task =
             inside_request_send(fleet, FLEET_ENTRY_POINT, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
         assert_true(took_ms > 240);
@@ -141,7 +141,7 @@
     sim_cut(fleet->world, a, b, true);
     sim_cut(fleet->world, b, a, true);
     int64_t took_ms;
-    const HttpTask *task =
+    const HttpExchange *task =
         inside_request_send(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", job_of(fleet, "round-0"), 3000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
     for (int i = 1; i < 40; i++) {
@@ -168,11 +168,11 @@
     for (int i = 0; i < 20; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "own-%d", i);
-        const HttpTask *task = inside_request_send(fleet, FLEET_CONTROLLER, fleet_leader(fleet), "POST", "/v1/jobs",
-                                                   job_of(fleet, id), 3000, &took_ms);
+        const HttpExchange *task = inside_request_send(fleet, FLEET_CONTROLLER, fleet_leader(fleet), "POST", "/v1/jobs",
+                                                       job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
-        assert_true(took_ms < KEEP_ASK_MS + 100);
-        slow += took_ms >= KEEP_ASK_MS;
+        assert_true(took_ms < REPAIR_COPY_TIMEOUT_MS + 100);
+        slow += took_ms >= REPAIR_COPY_TIMEOUT_MS;
     }
     assert_true(slow <= 1);
     case_end(fleet);
--- a/packages/sim/test/member_bounds.c
+++ b/packages/sim/test/member_bounds.c
@@ -20,11 +20,11 @@
     Asker *asker = arg;
     Loop *loop = sim_loop(asker->crowd->world, asker->machine);
     Recorder *recorder = recorder_new(loop, "asker");
-    recorder_quiet(recorder);
+    recorder_mute(recorder);
     Rpc *rpc = rpc_new(loop, loop, recorder);
     rpc_set_cluster(rpc, CROWD_CLUSTER);
-    asker->status = rpc_ask(rpc, asker->crowd, asker->crowd->nodes[0].address, MESSAGE_HELLO, &Hello_shape, &asker->ask,
-                            ASK_TIMEOUT_MS, &Hello_shape, &asker->answer);
+    asker->status = rpc_call(rpc, asker->crowd, asker->crowd->nodes[0].address, MESSAGE_HELLO, &Hello_shape,
+                             &asker->ask, REQUEST_TIMEOUT_MS, &Hello_shape, &asker->answer);
     asker->done = true;
 }
 
@@ -66,7 +66,7 @@
 static void ask(Asker *asker)
 {
     sim_start(asker->crowd->world, asker->machine, asker_start, asker);
-    for (int i = 0; i < ASK_TIMEOUT_MS && !asker->done; i++)
+    for (int i = 0; i < REQUEST_TIMEOUT_MS && !asker->done; i++)
         crowd_run(asker->crowd, 1);
     assert_int_equal(asker->status, STATUS_OK);
 }
@@ -185,7 +185,7 @@
         sim_jump(crowd->world, crowd->nodes[number].machine, -3600 * 1000);
         crowd_node_start_now(&crowd->nodes[number]);
         const uint64_t low = members_self(crowd->nodes[number].members)->incarnation;
-        crowd_run(crowd, MEMBER_QUIET_MS * 2);
+        crowd_run(crowd, MEMBER_SILENT_MS * 2);
         assert_true(members_self(crowd->nodes[number].members)->incarnation > low);
         assert_true(crowd_joined(crowd, number));
         talloc_free(crowd);
--- a/packages/sim/test/member_exchange.c
+++ b/packages/sim/test/member_exchange.c
@@ -2,11 +2,11 @@
  * each of them by the size of the fleet, and how soon and how surely a controller knows every member. */
 #include "member_fixture.h"
 
-#define LINK_BYTES_MS 250     /* bytes a ms; an entry point's link of 2 Mbit/s */
-#define MOST_BYTES_S 25000    /* bytes a second; a tenth of that link */
-#define SETTLE_MS 10000       /* ms; all have found each other */
-#define MEASURED_MS 20000     /* ms; several hellos of each member to each seed */
-#define JOIN_MS 1500          /* ms; a controller that has restarted begins its repair REPAIR_HEAR_MS after its start */
+#define LINK_BYTES_MS 250  /* bytes a ms; an entry point's link of 2 Mbit/s */
+#define MOST_BYTES_S 25000 /* bytes a second; a tenth of that link */
+#define SETTLE_MS 10000    /* ms; all have found each other */
+#define MEASURED_MS 20000  /* ms; several hellos of each member to each seed */
+#define JOIN_MS 1500 /* ms; a controller that has restarted begins its repair REPAIR_START_DELAY_MS after its start */
 #define JOIN_LOSS_MS 12000    /* ms; the same while a tenth of all frames are lost */
 #define START_JOIN_MS 3000    /* ms; after the last of them has started */
 #define START_SEED_BYTES 2500 /* bytes for each member */
@@ -198,7 +198,7 @@
         crowd_run(crowd, JOIN_MS);
         for (int i = REMOVED; i < CROWD_CONTROLLERS; i++)
             crowd_node_start_now(&crowd->nodes[i]);
-        crowd_run(crowd, REPAIR_HEAR_MS);
+        crowd_run(crowd, REPAIR_START_DELAY_MS);
         for (int i = CROWD_CONTROLLERS; i < SIZES[1]; i++)
             for (int k = REMOVED; k < CROWD_CONTROLLERS && crowd->nodes[i].role == ROLE_ENTRY_POINT; k++)
                 if (!crowd_knows(crowd, k, i))
--- a/packages/sim/test/member_fixture.h
+++ b/packages/sim/test/member_fixture.h
@@ -40,7 +40,7 @@
     CrowdNode *node = arg;
     Crowd *crowd = node->crowd;
     Recorder *recorder = recorder_new(loop, node->name);
-    recorder_quiet(recorder);
+    recorder_mute(recorder);
     Rpc *rpc = rpc_new(loop, loop, recorder);
     if (node->role == ROLE_CONTROLLER)
         rpc_set_cluster(rpc, CROWD_CLUSTER);
--- a/packages/sim/test/narrow_links.c
+++ b/packages/sim/test/narrow_links.c
@@ -31,7 +31,7 @@
 {
     char line[100];
     snprintf(line, sizeof(line), "spancart_%s ", name);
-    const char *text = memmem(page->result.data, page->result.count, line, strlen(line));
+    const char *text = memmem(page->response_body.data, page->response_body.count, line, strlen(line));
     return text != NULL ? strtoll(text + strlen(line), NULL, 10) : 0;
 }
 
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -67,7 +67,7 @@
         assert_int_equal(call.code, 200);
     }
     const HttpCall status = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/status", NULL);
-    assert_non_null(strstr((const char *)status.result.data, "\"refusedFrames\""));
+    assert_non_null(strstr((const char *)status.response_body.data, "\"refusedFrames\""));
     fleet_run(fleet, 8000);
     assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -292,7 +292,7 @@
         const size_t starts = checker_starts_on(fleet->checker, "worker1");
         assert_true(starts > 0);
         fleet_isolate(fleet, FLEET_AGENT, 0, true);
-        fleet_run(fleet, HEARTBEAT_WAIT_MS + OVERDUE_LEAST_MS + 2 * PLACE_TICK_MS);
+        fleet_run(fleet, HEARTBEAT_WAIT_MS + HEARTBEAT_OVERDUE_MIN_MS + 2 * PLANNER_PASS_INTERVAL_MS);
         case_submit(fleet, "while", "urgent", "", STEP);
         fleet_run(fleet, 200);
         assert_int_equal(on_worker(fleet, "while", "worker1"), 0);
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -25,7 +25,7 @@
         id, cell, tenant, queue, count, cpu, run_ms);
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
-        fail_msg("%s: %d %s", id, call.code, (const char *)call.result.data);
+        fail_msg("%s: %d %s", id, call.code, (const char *)call.response_body.data);
     checker_accepted(fleet->checker, id);
 }
 
@@ -109,14 +109,14 @@
     call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c&limit=1",
                      "function rank(t) return t.id == 'later' and 1 or 0 end");
     assert_int_equal(call.code, 200);
-    assert_non_null(strstr((const char *)call.result.data, "\"order\":[{\"job\":\"later\""));
+    assert_non_null(strstr((const char *)call.response_body.data, "\"order\":[{\"job\":\"later\""));
     assert_int_equal(
         fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code, 422);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++) {
         call = fleet_ask(fleet, fleet, (FleetRole)role, 0, "GET", "/metrics", NULL);
         assert_int_equal(call.code, 200);
-        assert_non_null(strstr((const char *)call.result.data, "\nspancart_bad_frames 0\n"));
+        assert_non_null(strstr((const char *)call.response_body.data, "\nspancart_bad_frames 0\n"));
     }
     case_end(fleet);
 }
@@ -134,13 +134,13 @@
     assert_int_equal(in_phase(fleet, "x", TASK_DONE), 5);
     assert_int_equal(in_phase(fleet, "y", TASK_DONE), 5);
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/status", NULL);
-    assert_null(strstr((const char *)call.result.data, "\"policyFailures\":0"));
-    assert_non_null(strstr((const char *)call.result.data, "more than"));
+    assert_null(strstr((const char *)call.response_body.data, "\"policyFailures\":0"));
+    assert_non_null(strstr((const char *)call.response_body.data, "more than"));
     const HttpCall bad = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
                                    "{\"policies\":{\"q\":\"function rank(t)\\n while true do end\\nend\"}}");
     assert_int_equal(bad.code, 422);
-    assert_non_null(strstr((const char *)bad.result.data, "policies.q"));
-    assert_non_null(strstr((const char *)bad.result.data, ":2: more than"));
+    assert_non_null(strstr((const char *)bad.response_body.data, "policies.q"));
+    assert_non_null(strstr((const char *)bad.response_body.data, ":2: more than"));
     case_end(fleet);
 }
 
@@ -216,7 +216,7 @@
         checker_zone(fleet->checker, "west", true);
         fleet_run(fleet, 12000);
         const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/zones/west/drain", NULL);
-        assert_non_null(strstr((const char *)call.result.data, move ? "\"tasksLeft\":0" : "\"tasksLeft\":3"));
+        assert_non_null(strstr((const char *)call.response_body.data, move ? "\"tasksLeft\":0" : "\"tasksLeft\":3"));
         assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
         case_end(fleet);
     }
@@ -229,7 +229,7 @@
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
     HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
-    assert_string_equal((const char *)call.result.data, "[]\n");
+    assert_string_equal((const char *)call.response_body.data, "[]\n");
     inside_request_send(fleet, "work", "c", "t", "bulk", 11, 4, 30000);
     fleet_run(fleet, 1000);
     fleet_kill(fleet, FLEET_WORKER, 1);
@@ -238,31 +238,32 @@
     fleet_kill(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 6000);
     call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
-    const char *lost = strstr((const char *)call.result.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker2\"");
+    const char *lost =
+        strstr((const char *)call.response_body.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker2\"");
     assert_non_null(lost);
     /* it was the worker that was killed: its agent lives */
     assert_non_null(strstr(lost, "\"todo\":\"its agent lives and does not hear it: look at the worker's process\""));
-    assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"seat-out\",\"subject\":\"core"));
-    assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"losses-few\",\"subject\":\"0 of 1\""));
-    lost = strstr((const char *)call.result.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker3\"");
+    assert_non_null(strstr((const char *)call.response_body.data, "{\"alert\":\"seat-out\",\"subject\":\"core"));
+    assert_non_null(strstr((const char *)call.response_body.data, "{\"alert\":\"losses-few\",\"subject\":\"0 of 1\""));
+    lost = strstr((const char *)call.response_body.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker3\"");
     assert_non_null(lost);
     assert_non_null(strstr(lost, "\"todo\":\"its agent's lease has lapsed: look at the machine and its agent\""));
     call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/metrics", NULL);
-    assert_non_null(strstr((const char *)call.result.data, "\nspancart_alert_worker_lost 2\n"));
+    assert_non_null(strstr((const char *)call.response_body.data, "\nspancart_alert_worker_lost 2\n"));
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++) {
         call = fleet_ask(fleet, fleet, (FleetRole)role, role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0, "GET",
                          "/v1/ring", NULL);
         assert_int_equal(call.code, 200);
         assert_true(role != FLEET_CONTROLLER ||
-                    strstr((const char *)call.result.data, " alert voter-out commits wait no longer for the voter: ") !=
-                        NULL);
+                    strstr((const char *)call.response_body.data,
+                           " alert voter-out commits wait no longer for the voter: ") != NULL);
     }
     fleet_start_node(fleet, FLEET_WORKER, 1);
     fleet_start_node(fleet, FLEET_AGENT, 2);
     fleet_start_node(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 8000);
     call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
-    assert_string_equal((const char *)call.result.data, "[]\n");
+    assert_string_equal((const char *)call.response_body.data, "[]\n");
     case_end(fleet);
 }
 
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -96,8 +96,9 @@
         const char *id;
         uint64_t life;
         Status status;
-    } NEXT[] = {
-        {"gate2", 2000, STATUS_OTHER_PEER}, {"gate1", 2000, STATUS_OTHER_LIFE}, {"gate1", 900, STATUS_OTHER_LIFE}};
+    } NEXT[] = {{"gate2", 2000, STATUS_OTHER_PEER},
+                {"gate1", 2000, STATUS_OTHER_INCARNATION},
+                {"gate1", 900, STATUS_OTHER_INCARNATION}};
     for (size_t i = 0; i < sizeof(NEXT) / sizeof(NEXT[0]); i++) {
         const PeerIdentity before = peer_identity("gate1", 1000);
         sim_kill(world, pair.machine);
@@ -182,7 +183,7 @@
         void *mem = talloc_new(NULL);
         Asker asker = {0};
         Server server = {0};
-        RpcSending sending = {0};
+        RpcSendState sending = {0};
         const Pair pair = pair_start(mem, &asker, &server);
         SimWorld *world = pair.world;
         sim_cut(world, pair.client, pair.machine, true);
@@ -210,8 +211,8 @@
     } ROWS[] = {
         {{.version = WIRE_VERSION, .cluster = CLUSTER, .kind = MESSAGE_KNOW, .call = 1}, STATUS_OK},
         {{.version = WIRE_VERSION + 1, .cluster = CLUSTER, .kind = MESSAGE_KNOW, .call = 2}, STATUS_OTHER_VERSION},
-        {{.version = WIRE_VERSION, .cluster = CLUSTER + 1, .kind = MESSAGE_KNOW, .call = 3}, STATUS_STRANGER},
-        {{.version = WIRE_VERSION, .cluster = CLUSTER, .kind = MESSAGE_KEEP, .call = 4}, STATUS_UNKNOWN_QUESTION},
+        {{.version = WIRE_VERSION, .cluster = CLUSTER + 1, .kind = MESSAGE_KNOW, .call = 3}, STATUS_FOREIGN_CLUSTER},
+        {{.version = WIRE_VERSION, .cluster = CLUSTER, .kind = MESSAGE_KEEP, .call = 4}, STATUS_UNKNOWN_REQUEST},
     };
     void *mem = talloc_new(NULL);
     Server server = {.self = peer_identity("gate1", 1000)};
--- a/packages/sim/test/quota.c
+++ b/packages/sim/test/quota.c
@@ -26,12 +26,12 @@
 {
     const HttpCall read = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(read.code, 200);
-    const char *version = strstr((const char *)read.result.data, "\"revision\":");
+    const char *version = strstr((const char *)read.response_body.data, "\"revision\":");
     assert_non_null(version);
     const char *path = talloc_asprintf(fleet, "/v1/config?base=%llu", strtoull(strchr(version, ':') + 1, NULL, 10));
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", path, config);
     if (call.code != 200)
-        fail_msg("%d %s", call.code, (const char *)call.result.data);
+        fail_msg("%d %s", call.code, (const char *)call.response_body.data);
 }
 
 /* A fleet of six workers and a tenant t that may use QUOTA_CPU cores. */
@@ -43,7 +43,7 @@
     const HttpCall call =
         fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", bounded(fleet, QUOTA_CPU));
     if (call.code != 200)
-        fail_msg("%d %s", call.code, (const char *)call.result.data);
+        fail_msg("%d %s", call.code, (const char *)call.response_body.data);
     checker_quota(fleet->checker, "t", (Resources){QUOTA_CPU * 1000, 0, 0}, TENANT_IN);
     fleet_run(fleet, 1000);
     return fleet;
@@ -230,7 +230,7 @@
     const char *path = talloc_asprintf(fleet, "/v1/jobs/%s", id);
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
     assert_int_equal(call.code, 200);
-    const char *at = strstr((const char *)call.result.data, "\"waitsFor\":\"");
+    const char *at = strstr((const char *)call.response_body.data, "\"waitsFor\":\"");
     assert_non_null(at);
     at += strlen("\"waitsFor\":\"");
     return talloc_strndup(fleet, at, strcspn(at, "\""));
--- a/packages/sim/test/repair_fixture.h
+++ b/packages/sim/test/repair_fixture.h
@@ -43,7 +43,7 @@
                             job);
         const HttpCall call = fleet_ask(fleet, fleet, role, number, "POST", "/v1/jobs", body);
         if (call.code != 201)
-            fail_msg("%d %s", call.code, (const char *)call.result.data);
+            fail_msg("%d %s", call.code, (const char *)call.response_body.data);
     }
 }
 
@@ -53,7 +53,7 @@
     for (int job = 0; job < JOBS; job++) {
         const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, "GET", path_of(fleet, job), NULL);
         if (call.code != 200)
-            fail_msg("job %d: %d %s", job, call.code, (const char *)call.result.data);
+            fail_msg("job %d: %d %s", job, call.code, (const char *)call.response_body.data);
     }
 }
 
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -64,7 +64,7 @@
 {
     const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/v1/config/history", NULL);
     assert_int_equal(call.code, 200);
-    const char *history = (const char *)call.result.data;
+    const char *history = (const char *)call.response_body.data;
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     const Table *table = controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller);
@@ -77,7 +77,7 @@
 static InsideRequest *request(Fleet *fleet, const Row *row)
 {
     const bool whole = strcmp(row->method, "PUT") == 0 && strcmp(row->path, "/v1/config") == 0;
-    const HttpTask task = {.method = row->method, .path = row->path, .query = row->query, .host = HOST};
+    const HttpExchange task = {.method = row->method, .path = row->path, .query = row->query, .host = HOST};
     return inside_request_send(fleet, 0, &task, whole ? mix_config(MIX_TRENTVALE) : row->body);
 }
 
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -70,7 +70,7 @@
 {
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/status", NULL);
     assert_int_equal(call.code, 200);
-    const char *body = talloc_strndup(fleet, (const char *)call.result.data, call.result.count);
+    const char *body = talloc_strndup(fleet, (const char *)call.response_body.data, call.response_body.count);
     if (strstr(body, text) == NULL)
         fail_msg("%s is not in %s", text, body);
 }
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -148,7 +148,7 @@
     fleet_run(fleet, 2000);
     HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
     if (call.code != 409)
-        fail_msg("%d %s", call.code, (const char *)call.result.data);
+        fail_msg("%d %s", call.code, (const char *)call.response_body.data);
     call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker2/report", GOOD);
     assert_int_equal(call.code, 404);
     fleet_run(fleet, 2000);
@@ -292,7 +292,7 @@
             fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
         print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)took_ms,
-                      call.code >= 400 ? 120 : 0, (const char *)call.result.data);
+                      call.code >= 400 ? 120 : 0, (const char *)call.response_body.data);
         if (call.code == 503) /* every way was tried before a new leader was heard of */
             assert_true(call.retry_after_s > 0 && ASKED[i].code != 504);
         else
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -120,7 +120,7 @@
     void *mem = talloc_new(NULL);
     const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(call.code, 200);
-    const char *at = strstr((const char *)call.result.data, "\"revision\":");
+    const char *at = strstr((const char *)call.response_body.data, "\"revision\":");
     const uint64_t version = strtoull(at + strlen("\"revision\":"), NULL, 10);
     talloc_free(mem);
     return version;
--- a/packages/sim/test/rpc.c
+++ b/packages/sim/test/rpc.c
@@ -54,7 +54,7 @@
     Echo answer = {0};
     const int at = seen->count++;
     seen->status[at] =
-        rpc_ask(seen->rpc[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &Echo_shape, &ask, wait_ms, &Echo_shape, &answer);
+        rpc_call(seen->rpc[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &Echo_shape, &ask, wait_ms, &Echo_shape, &answer);
     seen->number[at] = answer.number;
     talloc_free(mem);
 }
@@ -110,7 +110,7 @@
     assert_int_equal(seen.status[1], STATUS_EXPIRED);
     assert_int_equal(seen.status[2], STATUS_OK);
     assert_int_equal(seen.status[3], STATUS_OK);
-    assert_int_equal(seen.status[5], STATUS_STRANGER);
+    assert_int_equal(seen.status[5], STATUS_FOREIGN_CLUSTER);
     talloc_free(mem);
 }
 
@@ -190,7 +190,7 @@
     const RpcTraffic *asked = rpc_traffic(seen.rpc[0], MESSAGE_KNOW, RPC_REQUESTS);
     while (asked->frames_sent == 0 && sim_now_ms(world) < from_ms + 500)
         sim_run_until(world, sim_now_ms(world) + 1);
-    const int64_t waiting_bytes = rpc_link(seen.rpc[0]).waiting_bytes;
+    const int64_t waiting_bytes = rpc_link_stats(seen.rpc[0]).waiting_bytes;
     assert_true(waiting_bytes > 0);
     sim_run_until(world, from_ms + 400);
     assert_int_equal(seen.status[0], STATUS_OK);
@@ -205,7 +205,7 @@
     assert_true(answered->bytes_sent > 0);
     assert_int_equal(got->bytes_received, answered->bytes_sent);
     assert_int_equal(asked->bytes_received + came->bytes_sent + answered->bytes_received + got->bytes_sent, 0);
-    const RpcLink link = rpc_link(seen.rpc[0]);
+    const RpcLinkStats link = rpc_link_stats(seen.rpc[0]);
     assert_int_equal(link.waiting_bytes, 0);
     assert_int_equal(link.waiting_most_bytes, waiting_bytes);
     assert_true(link.answer_ms >= waiting_bytes);
@@ -249,7 +249,7 @@
     const Echo ask = {41};
     Echo answer = {0};
     seen->patient =
-        rpc_ask(seen->rpc[0], mem, "10.0.0.2:7000", MESSAGE_FORWARD, &Echo_shape, &ask, 5000, &Echo_shape, &answer);
+        rpc_call(seen->rpc[0], mem, "10.0.0.2:7000", MESSAGE_FORWARD, &Echo_shape, &ask, 5000, &Echo_shape, &answer);
     seen->patient_done = true;
     talloc_free(mem);
 }
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -44,14 +44,14 @@
         bytes_add(mem, &call.body, body, strlen(body));
     if (loop_call(loop, &call) != STATUS_OK)
         call.code = 0;
-    bytes_add(mem, &call.result, "", 1);
+    bytes_add(mem, &call.response_body, "", 1);
     return call;
 }
 
 /* The last number behind a key; 0: it is not there. */
 static uint64_t number_in(const HttpCall *call, const char *key)
 {
-    const char *at = strstr((const char *)call->result.data, key);
+    const char *at = strstr((const char *)call->response_body.data, key);
     return at != NULL ? strtoull(at + strlen(key), NULL, 10) : 0;
 }
 
--- a/packages/sim/test/state_full.c
+++ b/packages/sim/test/state_full.c
@@ -37,7 +37,7 @@
     const HttpCall call = submit(fleet, id);
     assert_int_equal(call.code, 503);
     assert_true(call.retry_after_s > 0);
-    assert_non_null(strstr((const char *)call.result.data, "\"state-full\""));
+    assert_non_null(strstr((const char *)call.response_body.data, "\"state-full\""));
 }
 
 /* Submits until it is taken. */
--- a/packages/sim/test/tenant_storm.c
+++ b/packages/sim/test/tenant_storm.c
@@ -22,16 +22,16 @@
                            const char *body, int key)
 {
     Fleet *fleet = storm->fleet;
-    HttpPair *heads = talloc_zero_array(mem, HttpPair, 2);
-    heads[0] = (HttpPair){"host", HOST};
-    heads[1] = (HttpPair){"authorization", talloc_asprintf(mem, "Bearer storm-%d", key)};
+    HttpHeader *heads = talloc_zero_array(mem, HttpHeader, 2);
+    heads[0] = (HttpHeader){"host", HOST};
+    heads[1] = (HttpHeader){"authorization", talloc_asprintf(mem, "Bearer storm-%d", key)};
     HttpCall call = {.mem = mem,
                      .address = fleet_node(fleet, FLEET_ENTRY_POINT, entry_point % ENTRY_POINTS)->settings.http,
                      .method = method,
                      .path = path,
                      .wait_ms = 3000,
-                     .heads = heads,
-                     .head_count = key >= 0 ? 2 : 1};
+                     .request_headers = heads,
+                     .request_header_count = key >= 0 ? 2 : 1};
     bytes_add(mem, &call.body, body, strlen(body));
     if (loop_call(sim_loop(fleet->world, fleet->caller), &call) != STATUS_OK)
         call.code = 0;
--- a/packages/sim/test/tenants.c
+++ b/packages/sim/test/tenants.c
@@ -156,7 +156,7 @@
         const HttpCall call =
             fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, (int)i % ENTRY_POINTS, "PATCH", "/v1/config?base=1", body);
         assert_int_equal(call.code, 422);
-        const char *text = (const char *)call.result.data;
+        const char *text = (const char *)call.response_body.data;
         assert_non_null(strstr(text, "cells.c.tenants."));
         assert_null(strstr(text, "key-1a")); /* no key is told */
         ASSERT_CODE(200 + (i == 0), post(fleet, 0, "/v1/entry/q/one", "key-1a"));
@@ -198,14 +198,14 @@
 {
     Posting *posting = arg;
     Fleet *fleet = posting->fleet;
-    const HttpPair heads[] = {{"host", HOST}, {"authorization", "Bearer key-1a"}};
+    const HttpHeader heads[] = {{"host", HOST}, {"authorization", "Bearer key-1a"}};
     HttpCall call = {.mem = posting,
                      .address = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->settings.http,
                      .method = "POST",
                      .path = "/v1/entry/q/taken",
                      .wait_ms = 20000,
-                     .heads = heads,
-                     .head_count = 2};
+                     .request_headers = heads,
+                     .request_header_count = 2};
     bytes_add(posting, &call.body, BODY(10), strlen(BODY(10)));
     loop_call(sim_loop(fleet->world, fleet->caller), &call);
     posting->code = call.code;
--- a/packages/sim/test/tenants_fixture.h
+++ b/packages/sim/test/tenants_fixture.h
@@ -33,9 +33,9 @@
                       const char *body)
 {
     void *mem = talloc_new(NULL);
-    HttpPair heads[2] = {{"host", HOST}};
+    HttpHeader heads[2] = {{"host", HOST}};
     if (key != NULL)
-        heads[1] = (HttpPair){"authorization", talloc_asprintf(mem, "Bearer %s", key)};
+        heads[1] = (HttpHeader){"authorization", talloc_asprintf(mem, "Bearer %s", key)};
     const int code = fleet_ask_as(fleet, mem, role, number, method, path, body, heads, key != NULL ? 2 : 1).code;
     talloc_free(mem);
     return code;
--- a/packages/sim/test/traces.c
+++ b/packages/sim/test/traces.c
@@ -10,12 +10,12 @@
 {
     (void)state;
     Fleet *fleet = case_begin(5, (FleetShape){3, 3, AGENTS, MIX_TRENTVALE, 0});
-    assert_true(AGENTS > VIEW_MOST);
+    assert_true(AGENTS > PARTIAL_VIEW_MAX);
     for (int i = 0; i < AGENTS; i++)
         fleet_power_off(fleet, FLEET_AGENT, i);
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/trace?key=config:1", NULL);
     assert_int_equal(call.code, 200);
-    const char *silent = strstr((const char *)call.result.data, "\"silent\"");
+    const char *silent = strstr((const char *)call.response_body.data, "\"silent\"");
     assert_non_null(silent);
     for (int i = 1; i <= AGENTS; i++)
         assert_non_null(strstr(silent, talloc_asprintf(fleet, "\"agent%d\"", i)));
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -114,7 +114,7 @@
         map_set(replay->frozen, line->who, replay);
         checker_fault(checker);
     } else if (strcmp(line->what, "woke") == 0) {
-        map_drop(replay->frozen, line->who);
+        map_remove(replay->frozen, line->who);
         checker_fault(checker);
         checker_worker_restarted(checker, line->who);
     } else if (strcmp(line->what, "accepted") == 0) {
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -195,7 +195,7 @@
     following->entry++;
     const Status status = call_once(following, mem, "GET", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
     if (status == STATUS_OK && call.code == 200) {
-        status_read(job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
+        status_read(job, talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count));
         if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0)
             ended(caller, job);
     } else if (status == STATUS_OK && call.code == 404) {
@@ -323,7 +323,8 @@
 /* The version in the result of a read. */
 static int64_t version_of(void *mem, const HttpCall *call)
 {
-    json_object *body = json_tokener_parse(talloc_strndup(mem, (const char *)call->result.data, call->result.count));
+    json_object *body =
+        json_tokener_parse(talloc_strndup(mem, (const char *)call->response_body.data, call->response_body.count));
     json_object *version = NULL;
     json_object_object_get_ex(body, "revision", &version);
     const int64_t base = json_object_get_int64(version);
--- a/packages/standin/src/run.c
+++ b/packages/standin/src/run.c
@@ -110,7 +110,7 @@
     signal_raise(worker->loop, &run->stopped);
     /* never two reports at once: the one that waits is given up for a new one */
     if (worker->asking != NULL)
-        loop_call_cut(worker->loop, worker->asking);
+        loop_call_cancel(worker->loop, worker->asking);
 }
 
 bool runs_lapse(StandWorker *worker)
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -136,7 +136,7 @@
     const int64_t remaining_ms = worker->leave_at_ms - loop_now_ms(worker->loop);
     if (worker->leaving && remaining_ms > 0)
         json_object_object_add(body, "leaveMs", json_object_new_int64(remaining_ms));
-    json_object_object_add(body, "waitMs", json_object_new_int64(WORKER_POLL_MS));
+    json_object_object_add(body, "waitMs", json_object_new_int64(WORKER_POLL_WAIT_MS));
     json_object *running = json_object_new_array();
     json_object *ended = json_object_new_array();
     for (Run *run = worker->runs; run != NULL; run = run->next)
@@ -165,7 +165,7 @@
                      .address = worker->settings.agent,
                      .method = "POST",
                      .path = path,
-                     .wait_ms = WORKER_POLL_MS + ASK_TIMEOUT_MS};
+                     .wait_ms = WORKER_POLL_WAIT_MS + REQUEST_TIMEOUT_MS};
     bytes_add(mem, &call.body, text, strlen(text));
     talloc_free(*last);
     *last = worker->settings.repeats ? talloc_strdup(worker, text) : NULL;
@@ -175,12 +175,12 @@
     const Status status = loop_call(worker->loop, &call);
     worker->asking = NULL;
     if (status == STATUS_OK && call.code == 200) {
-        char *copy = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
+        char *copy = talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count);
         json_object *answer = json_tokener_parse(copy);
         if (answer != NULL)
             answer_take(worker, answer, sent_ms);
         json_object_put(answer);
-    } else if (!call.cut) {
+    } else if (!call.is_cancelled) {
         loop_sleep(worker->loop, 100);
     }
 }
--- a/packages/state/src/attempt.c
+++ b/packages/state/src/attempt.c
@@ -15,31 +15,31 @@
 /* Returns the retry delay after this number of failures, in ms. It doubles with each failure. */
 static int64_t retry_delay_ms(uint64_t misses, int64_t most_ms)
 {
-    int64_t rest_ms = FAILED_REST_MS;
+    int64_t rest_ms = RETRY_BACKOFF_MIN_MS;
     for (uint64_t i = 1; i < misses && rest_ms < most_ms; i++)
         rest_ms *= 2;
     return rest_ms < most_ms ? rest_ms : most_ms;
 }
 
 /* Sets the retry delay of a lasting task, which gets another attempt however the last one ended. The delay grows as
- * long as the attempts end early, and starts anew after an attempt that ran for LASTING_STEADY_MS. */
+ * long as the attempts end early, and starts anew after an attempt that ran for LASTING_STABLE_MS. */
 static void set_lasting_retry_delay(JobTask *task, const AttemptEnd *end)
 {
     if (end->word != ATTEMPT_FAILED && end->word != ATTEMPT_DONE && end->word != ATTEMPT_REFUSED &&
         end->word != ATTEMPT_ISOLATED)
         return;
-    const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changed_ms >= LASTING_STEADY_MS;
+    const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changed_ms >= LASTING_STABLE_MS;
     task->misses = steady ? 1 : task->misses + 1;
-    task->rest_until_ms = end->at_ms + retry_delay_ms(task->misses, LASTING_REST_MAX_MS);
+    task->rest_until_ms = end->at_ms + retry_delay_ms(task->misses, LASTING_BACKOFF_MAX_MS);
 }
 
 /* Sets the retry delay of a task that is not lasting. */
 static void set_retry_delay(JobTask *task, const AttemptEnd *end)
 {
     if (end->word == ATTEMPT_FAILED)
-        task->rest_until_ms = end->at_ms + retry_delay_ms(task->misses, FAILED_REST_MAX_MS);
+        task->rest_until_ms = end->at_ms + retry_delay_ms(task->misses, RETRY_BACKOFF_MAX_MS);
     else if (end->word == ATTEMPT_REFUSED || end->word == ATTEMPT_ISOLATED)
-        task->rest_until_ms = end->at_ms + REFUSED_REST_MS;
+        task->rest_until_ms = end->at_ms + REFUSED_BACKOFF_MS;
 }
 
 /* Counts the loss of one task for its whole gang, which restarts together. */
--- a/packages/state/src/deliver_attempt.c
+++ b/packages/state/src/deliver_attempt.c
@@ -12,7 +12,7 @@
 static void deliver_other_attempt(Table *table, Job *job, JobTask *task, const AttemptUpdate *update, int64_t at_ms)
 {
     if (update->attempt > task->attempt) {
-        if (task->phase != TASK_WAITING || update->attempt - task->attempt > ATTEMPTS_FORGOTTEN_MAX)
+        if (task->phase != TASK_WAITING || update->attempt - task->attempt > ATTEMPTS_LOST_MAX)
             return;
         task->attempt = update->attempt; /* the next attempt gets a higher number */
         if (update->word == ATTEMPT_RUNNING) {
--- a/packages/state/src/deliver_job.c
+++ b/packages/state/src/deliver_job.c
@@ -77,7 +77,7 @@
 {
     JobList *ended = &table->ended;
     for (size_t i = 0; i < count; i++) {
-        map_drop(table->by_id, ended->jobs[i]->spec.id);
+        map_remove(table->by_id, ended->jobs[i]->spec.id);
         talloc_free(ended->jobs[i]);
     }
     memmove(ended->jobs, ended->jobs + count, (ended->count - count) * sizeof(*ended->jobs));
--- a/packages/state/src/state_snapshot.c
+++ b/packages/state/src/state_snapshot.c
@@ -40,7 +40,7 @@
     table->used = map_new(table->mem);
     table->queues = map_new(table->mem);
     table->zone_orders = map_new(table->mem);
-    table->versions = versions_new(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    table->versions = versions_new(table->mem, CONFIG_HISTORY_VERSIONS, CONFIG_VERSIONS_KNOWN);
 }
 
 /* --- saving --------------------------------------------------------------------- */
--- a/packages/state/test/attempts.c
+++ b/packages/state/test/attempts.c
@@ -219,17 +219,17 @@
             continue;
         run_attempt(&fixture, ++attempt, (AttemptStatus)word);
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
-        assert_true(job->tasks[0].rest_until_ms - fixture.at_ms <= LASTING_REST_MAX_MS);
+        assert_true(job->tasks[0].rest_until_ms - fixture.at_ms <= LASTING_BACKOFF_MAX_MS);
     }
     /* The retry delay grows with each early failure up to a maximum, and a long attempt resets it. */
     for (int i = 0; i < 20; i++)
         run_attempt(&fixture, ++attempt, ATTEMPT_FAILED);
-    assert_int_equal(job->tasks[0].rest_until_ms - fixture.at_ms, LASTING_REST_MAX_MS);
+    assert_int_equal(job->tasks[0].rest_until_ms - fixture.at_ms, LASTING_BACKOFF_MAX_MS);
     place(&fixture, "j", FIRST, 1, ++attempt, "w", "");
     say(&fixture, "j", 0, attempt, "w", ATTEMPT_RUNNING, "");
-    fixture.at_ms += LASTING_STEADY_MS;
+    fixture.at_ms += LASTING_STABLE_MS;
     say(&fixture, "j", 0, attempt, "w", ATTEMPT_FAILED, "");
-    assert_int_equal(job->tasks[0].rest_until_ms - fixture.at_ms, FAILED_REST_MS);
+    assert_int_equal(job->tasks[0].rest_until_ms - fixture.at_ms, RETRY_BACKOFF_MIN_MS);
     cancel(&fixture, "j");
     assert_int_equal(job->phase, JOB_CANCELLED);
     talloc_free(fixture.table);
--- a/packages/state/test/versions.c
+++ b/packages/state/test/versions.c
@@ -43,7 +43,7 @@
 static void text_is_made_of_patches(void **state)
 {
     (void)state;
-    Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *versions = versions_new(NULL, CONFIG_HISTORY_VERSIONS, CONFIG_VERSIONS_KNOWN);
     assert_int_equal(versions_newest(versions), 0);
     assert_null(versions_tree(versions, NULL, 0));
     /* The first version can't be a patch. */
@@ -77,7 +77,7 @@
 static void same_call_has_its_result_again(void **state)
 {
     (void)state;
-    Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *versions = versions_new(NULL, CONFIG_HISTORY_VERSIONS, CONFIG_VERSIONS_KNOWN);
     deliver(versions, set_of(0, 3, "{}", false, "first"));
     ChangeResult result = deliver(versions, set_of(3, 9, "{\"a\":1}", true, "one"));
     assert_int_equal(result.status, STATUS_OK);
@@ -107,7 +107,7 @@
 static void restored_counts_when_newer(void **state)
 {
     (void)state;
-    Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *versions = versions_new(NULL, CONFIG_HISTORY_VERSIONS, CONFIG_VERSIONS_KNOWN);
     deliver(versions, set_of(0, 3, "{\"a\":1}", false, "first"));
     ConfigSet set = set_of(5, 8, "{\"b\":1}", true, "gap");
     set.restored = true;
@@ -163,7 +163,7 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Versions *versions = versions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *versions = versions_new(mem, CONFIG_HISTORY_VERSIONS, CONFIG_VERSIONS_KNOWN);
     deliver(versions, set_of(0, 1, "{\"k\":{}}", false, "d1"));
     for (uint64_t i = 2; i <= 1500; i++) {
         const char *text = talloc_asprintf(mem, "{\"k\":{\"a%d\":%d}}", (int)(i % 7), (int)i);
@@ -181,7 +181,7 @@
     for (uint64_t i = 501; i <= 1500; i++)
         assert_int_equal(versions_find_digest(versions, talloc_asprintf(mem, "d%d", (int)i)), i);
     assert_int_equal(versions_find_digest(versions, "d400"), 0);
-    assert_true(known_bytes(versions) < (size_t)CONFIG_KNOWN * 120);
+    assert_true(known_bytes(versions) < (size_t)CONFIG_VERSIONS_KNOWN * 120);
     talloc_free(mem);
 }
 
@@ -210,7 +210,7 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Versions *versions = versions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *versions = versions_new(mem, CONFIG_HISTORY_VERSIONS, CONFIG_VERSIONS_KNOWN);
     char *note = talloc_zero_size(mem, 300001);
     memset(note, 'n', 300000);
     uint64_t base = 0;
@@ -229,7 +229,7 @@
         assert_int_equal(versions_find_digest(versions, talloc_asprintf(mem, "d%d", (int)i)), i * 3);
     assert_null(versions_text(versions, mem, 3));
     /* Saving and loading the history preserves it. */
-    Versions *loaded = versions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *loaded = versions_new(mem, CONFIG_HISTORY_VERSIONS, CONFIG_VERSIONS_KNOWN);
     versions_load(loaded, versions->rows, versions->count);
     check_invariants(loaded);
     assert_int_equal(loaded->first_text, versions->first_text);
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -31,10 +31,10 @@
     ("packages/replication/include/replication/messages.h", "TERM_RECORD_FIELDS", "X(U64, added_later, 0)"),
     ("packages/state/include/state/change.h", "PLACEMENT_FIELDS", "X(U64, added_later, 0)"),
 ]
-NEXT_KIND = ("packages/agent/src/heartbeat.c", r"\n    const Status status = rpc_ask_peer\(",
+NEXT_KIND = ("packages/agent/src/heartbeat.c", r"\n    const Status status = rpc_call_peer\(",
              "\n    /* a message that the release before does not know */\n"
-             "    rpc_ask(agent->rpc, heartbeat, heartbeat->address, (MessageKind)250, &HeartbeatAsk_shape, &ask, 50, &HeartbeatAnswer_shape, &answer);\n"
-             "    const Status status = rpc_ask_peer(")
+             "    rpc_call(agent->rpc, heartbeat, heartbeat->address, (MessageKind)250, &HeartbeatAsk_shape, &ask, 50, &HeartbeatAnswer_shape, &answer);\n"
+             "    const Status status = rpc_call_peer(")
 
 
 def edited(root, path, pattern, instead):
--- a/src/client_command.c
+++ b/src/client_command.c
@@ -71,7 +71,7 @@
         fprintf(stderr, "spancart %s: %s did not answer: %s\n", command->name, address, status_word(operation->status));
         return EXIT_UNREACHABLE;
     }
-    const Bytes *result = &operation->call.result; /* data is null if it is empty */
+    const Bytes *result = &operation->call.response_body; /* data is null if it is empty */
     command->text = result->count > 0 ? talloc_strndup(command->mem, (const char *)result->data, result->count) : "";
     if (operation->call.code >= 400) {
         fprintf(stderr, "spancart %s: %d %s", command->name, operation->call.code, command->text);
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -135,7 +135,7 @@
         daemon->node.recorder = recorder_new(mem, daemon->settings.name);
         recorder_set_level(daemon->node.recorder, daemon->settings.log);
         loop_spawn(daemon->node.loop, "start", start_main, daemon);
-        real_loop_on_user(daemon->node.loop, dump_main, daemon);
+        real_loop_on_sigusr1(daemon->node.loop, dump_main, daemon);
         real_loop_run(daemon->node.loop, shutdown_main, daemon);
         code = daemon->code;
         /* the process ends here, so the kernel frees its memory */
--- a/src/job.c
+++ b/src/job.c
@@ -18,7 +18,7 @@
         return client_command_send(command, client_command_is(command, "show") ? "GET" : "DELETE",
                                    talloc_asprintf(command->mem, "/v1/jobs/%s", command->words[1]), body);
     char *path = talloc_asprintf(command->mem, "/v1/jobs?after=%lld&limit=%lld", flags->after,
-                                 flags->limit > 0 ? flags->limit : (long long)LIST_PAGE);
+                                 flags->limit > 0 ? flags->limit : (long long)LIST_PAGE_DEFAULT);
     if (flags->cell != NULL)
         path = talloc_asprintf_append(path, "&cell=%s", flags->cell);
     if (flags->phase != NULL)
--- a/src/node.c
+++ b/src/node.c
@@ -172,8 +172,8 @@
             .loop = real_loop_new(mem), .recorder = recorder_new(mem, run->place.settings.name), .place = &run->place};
         recorder_set_level(run->node.recorder, level);
         loop_spawn(run->node.loop, "start", start_main, run);
-        real_loop_on_user(run->node.loop, dump_main, run);
-        real_loop_on_hup(run->node.loop, reload_main, run);
+        real_loop_on_sigusr1(run->node.loop, dump_main, run);
+        real_loop_on_sighup(run->node.loop, reload_main, run);
         real_loop_run(run->node.loop, shutdown_main, run);
         /* the process ends here, so the kernel frees its memory */
         return run->code;
--- a/src/standins.c
+++ b/src/standins.c
@@ -94,7 +94,7 @@
     const int64_t until_ms = loop_now_ms(stand_in->loop) + DRAIN_MS;
     while (stand_worker_running(stand_in->worker) > 0 && loop_now_ms(stand_in->loop) < until_ms)
         loop_sleep(stand_in->loop, 50);
-    loop_sleep(stand_in->loop, WORKER_POLL_MS);
+    loop_sleep(stand_in->loop, WORKER_POLL_WAIT_MS);
     loop_stop(stand_in->loop);
 }
 
