--- a/packages/sim/src/check_claim.c
+++ b/packages/sim/src/check_claim.c
@@ -1,5 +1,5 @@
-/* Claims of lost workers: until when a worker may run its attempts, computed from when it last sent a report that was
- * answered, and the lease that it was answered with. */
+/* Claims of lost workers: the time until which a worker may run its attempts. It is computed from the time at which the
+ * worker sent its last answered report, and from the lease in that answer. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -8,6 +8,7 @@
 
 typedef void (*ClaimFn)(SeenTask *task, const SeenWorker *worker);
 
+/* Calls fn for each task of the unsettled jobs. */
 static void each_task(Checker *checker, const SeenWorker *worker, ClaimFn fn)
 {
     void *mem = talloc_new(NULL);
@@ -23,16 +24,16 @@
     talloc_free(mem);
 }
 
-/* The claims stand as they were when the process ended. */
-static void claims_stand(SeenTask *task, const SeenWorker *worker)
+/* Fixes the end of the worker's claims on the task, because its process has ended. */
+static void claims_fix_end(SeenTask *task, const SeenWorker *worker)
 {
     for (SeenClaim *claim = task->claims; claim != NULL; claim = claim->next)
         if (claim->worker == worker->worker.name && claim->until_ms == 0)
             claim->until_ms = worker->claim_until_ms > 0 ? worker->claim_until_ms : 1;
 }
 
-/* A new boot of the worker has reported: nothing of the old one runs. */
-static void claims_drop(SeenTask *task, const SeenWorker *worker)
+/* Removes the claims of the worker's former process: a new process has reported, so nothing of the former one runs. */
+static void claims_remove_ended(SeenTask *task, const SeenWorker *worker)
 {
     for (SeenClaim **at = &task->claims; *at != NULL;) {
         SeenClaim *claim = *at;
@@ -47,21 +48,21 @@
 
 void checker_held(Checker *checker, const char *worker, int64_t until_ms)
 {
-    SeenWorker *on = seen_worker(checker, worker);
+    SeenWorker *host = seen_worker(checker, worker);
     if (until_ms - checker_now(checker) > CLAIM_MOST_MS)
-        checker_broke(checker, INVARIANT_EARLY_RESTART, "%s may claim its work for %" PRId64 " ms more", worker,
-                      until_ms - checker_now(checker));
-    if (until_ms > on->claim_until_ms)
-        on->claim_until_ms = until_ms;
+        checker_violated(checker, INVARIANT_EARLY_RESTART, "%s may run its attempts for another %" PRId64 " ms", worker,
+                         until_ms - checker_now(checker));
+    if (until_ms > host->claim_until_ms)
+        host->claim_until_ms = until_ms;
 }
 
 void checker_booted(Checker *checker, const char *worker)
 {
-    each_task(checker, seen_worker(checker, worker), claims_drop);
+    each_task(checker, seen_worker(checker, worker), claims_remove_ended);
 }
 
-void claim_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
-                 uint64_t attempt, bool copies)
+void claim_check_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
+                       uint64_t attempt, bool copies)
 {
     const int64_t now_ms = checker_now(checker);
     for (SeenClaim **at = &task->claims; *at != NULL;) {
@@ -69,10 +70,10 @@
         const int64_t until_ms =
             claim->until_ms != 0 ? claim->until_ms : seen_worker(checker, claim->worker)->claim_until_ms;
         if (now_ms < until_ms && !copies)
-            checker_broke(checker, INVARIANT_EARLY_RESTART,
-                          "%s task %" PRIu64 " round %" PRIu64 " on %s, %" PRId64
-                          " ms before %s's claim of round %" PRIu64 " lapses",
-                          job->id, number, attempt, worker, until_ms - now_ms, claim->worker, claim->attempt);
+            checker_violated(checker, INVARIANT_EARLY_RESTART,
+                             "%s task %" PRIu64 " attempt %" PRIu64 " on %s, %" PRId64
+                             " ms before the claim of %s on attempt %" PRIu64 " lapses",
+                             job->id, number, attempt, worker, until_ms - now_ms, claim->worker, claim->attempt);
         *at = claim->next;
         talloc_free(claim);
     }
@@ -81,13 +82,13 @@
     task->claims = mine;
 }
 
-void claim_gone(Checker *checker, SeenWorker *worker)
+void claims_worker_ended(Checker *checker, SeenWorker *worker)
 {
-    each_task(checker, worker, claims_stand);
+    each_task(checker, worker, claims_fix_end);
     worker->claim_until_ms = 0;
 }
 
-void claim_end(SeenTask *task, const char *worker, uint64_t attempt)
+void claim_remove(SeenTask *task, const char *worker, uint64_t attempt)
 {
     for (SeenClaim **at = &task->claims; *at != NULL; at = &(*at)->next)
         if ((*at)->attempt == attempt && (*at)->worker == worker) {
--- a/packages/sim/src/check_config.c
+++ b/packages/sim/src/check_config.c
@@ -1,5 +1,5 @@
-/* Configurations, by number and by their effect: which tenants are taken, which
- * quotas bind. */
+/* Checks of configurations, by their versions and by their effects: which tenants may submit jobs, and which quotas
+ * apply. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -9,22 +9,24 @@
 void checker_config_set(Checker *checker, uint64_t version)
 {
     if (version <= checker->version)
-        checker_broke(checker, INVARIANT_CONFIG_LOST, "revision %" PRIu64 " was given again after %" PRIu64, version,
-                      checker->version);
+        checker_violated(checker, INVARIANT_CONFIG_LOST,
+                         "configuration version %" PRIu64 " was acknowledged after %" PRIu64, version,
+                         checker->version);
     checker->version = version;
 }
 
 void checker_config_read(Checker *checker, uint64_t version)
 {
     if (version < checker->version)
-        checker_broke(checker, INVARIANT_CONFIG_LOST,
-                      "revision %" PRIu64 " is in force after %" PRIu64 " was acknowledged", version, checker->version);
+        checker_violated(checker, INVARIANT_CONFIG_LOST,
+                         "configuration version %" PRIu64 " is in force after %" PRIu64 " was acknowledged", version,
+                         checker->version);
 }
 
 void checker_config_both(Checker *checker, uint64_t base)
 {
-    checker_broke(checker, INVARIANT_CONFIG_LOST, "two changes built on revision %" PRIu64 " were both acknowledged",
-                  base);
+    checker_violated(checker, INVARIANT_CONFIG_LOST,
+                     "two changes based on configuration version %" PRIu64 " were both acknowledged", base);
 }
 
 SeenTenant *seen_tenant(Checker *checker, const char *name)
@@ -42,17 +44,17 @@
     SeenTenant *tenant = seen_tenant(checker, name);
     switch (word) {
     case TENANT_ASKED:
-        tenant->unsure = true;
+        tenant->change_pending = true;
         break;
     case TENANT_IN:
     case TENANT_OUT:
-        tenant->in = word == TENANT_IN;
-        tenant->ever_in |= tenant->in;
-        tenant->unsure = false;
-        tenant->since_ms = checker_now(checker);
+        tenant->member = word == TENANT_IN;
+        tenant->ever_member |= tenant->member;
+        tenant->change_pending = false;
+        tenant->member_since_ms = checker_now(checker);
         break;
     default:
-        tenant->unsure = false;
+        tenant->change_pending = false;
         break;
     }
 }
@@ -60,44 +62,46 @@
 void checker_probe(Checker *checker, const char *name, int64_t sent_ms, bool taken)
 {
     const SeenTenant *tenant = seen_tenant(checker, name);
-    if (tenant->unsure || (tenant->since_ms != 0 && sent_ms < tenant->since_ms + CONFIG_LATE_MS) || taken == tenant->in)
+    if (tenant->change_pending ||
+        (tenant->member_since_ms != 0 && sent_ms < tenant->member_since_ms + CONFIG_LATE_MS) || taken == tenant->member)
         return;
-    if (taken && !tenant->ever_in)
-        checker_broke(checker, INVARIANT_REFUSED_CONFIG, "work of tenant %s is taken, which only a refused one had",
-                      name);
+    if (taken && !tenant->ever_member)
+        checker_violated(checker, INVARIANT_REFUSED_CONFIG,
+                         "a job of tenant %s, which only a rejected configuration contains, was accepted", name);
     else
-        checker_broke(checker, INVARIANT_CONFIG_LOST,
-                      "work of tenant %s is %s, %" PRId64 " ms after the other was acknowledged", name,
-                      taken ? "taken" : "refused", checker_now(checker) - tenant->since_ms);
+        checker_violated(checker, INVARIANT_CONFIG_LOST,
+                         "a job of tenant %s is %s %" PRId64 " ms after the opposite was acknowledged", name,
+                         taken ? "taken" : "refused", checker_now(checker) - tenant->member_since_ms);
 }
 
-static uint64_t looser_of(uint64_t a, uint64_t b)
+/* The looser of two limits of a quota. */
+static uint64_t looser_limit(uint64_t a, uint64_t b)
 {
-    return a == 0 || b == 0 ? 0 : a > b ? a : b; /* 0: unbounded */
+    return a == 0 || b == 0 ? 0 : a > b ? a : b; /* 0 stands for no limit */
 }
 
 void checker_quota(Checker *checker, const char *name, Resources quota, TenantWord word)
 {
     SeenTenant *tenant = seen_tenant(checker, name);
     if (word == TENANT_REFUSED) {
-        tenant->quota_unsure = false;
+        tenant->quota_pending = false;
         return;
     }
     if (word == TENANT_ASKED || tenant->quota_ms != 0)
-        tenant->looser =
-            (Resources){looser_of(tenant->looser.cpu_milli, quota.cpu_milli),
-                        looser_of(tenant->looser.mem_mb, quota.mem_mb), looser_of(tenant->looser.gpu, quota.gpu)};
+        tenant->loosest_quota = (Resources){looser_limit(tenant->loosest_quota.cpu_milli, quota.cpu_milli),
+                                            looser_limit(tenant->loosest_quota.mem_mb, quota.mem_mb),
+                                            looser_limit(tenant->loosest_quota.gpu, quota.gpu)};
     else
-        tenant->looser = quota;
-    tenant->quota_unsure = word == TENANT_ASKED;
+        tenant->loosest_quota = quota;
+    tenant->quota_pending = word == TENANT_ASKED;
     if (word != TENANT_IN)
         return;
     tenant->quota = quota;
     tenant->quota_ms = checker_now(checker);
 }
 
-/* What of the tenant runs on all workers, each attempt for itself: copies, and attempts that the leader has given up
- * but whose worker runs on. What is on a machine that stands still does not run. */
+/* Resources that the tenant's attempts use on all workers of the cell. Each attempt counts, also a copy, and an attempt
+ * that the leader has given up but whose worker still runs it. Attempts on frozen machines do not count. */
 static Resources used_by(Checker *checker, const char *cell, const char *name)
 {
     Resources used = {0};
@@ -121,18 +125,19 @@
     return used;
 }
 
-void quota_start(Checker *checker, const Job *job, Resources resources)
+void quota_check_start(Checker *checker, const Job *job, Resources resources)
 {
     SeenTenant *tenant = map_get(checker->tenants, job->spec.tenant);
     if (tenant == NULL || tenant->quota_ms == 0)
         return;
-    if (!tenant->quota_unsure && checker_now(checker) > tenant->quota_ms + CONFIG_LATE_MS)
-        tenant->looser = tenant->quota;
-    const Resources bound = tenant->looser;
+    if (!tenant->quota_pending && checker_now(checker) > tenant->quota_ms + CONFIG_LATE_MS)
+        tenant->loosest_quota = tenant->quota;
+    const Resources bound = tenant->loosest_quota;
     if (bound.cpu_milli == 0 && bound.mem_mb == 0)
         return;
     const Resources used = resources_more(used_by(checker, job->spec.cell, job->spec.tenant), resources);
     if ((bound.cpu_milli != 0 && used.cpu_milli > bound.cpu_milli) || (bound.mem_mb != 0 && used.mem_mb > bound.mem_mb))
-        checker_broke(checker, INVARIANT_OVER_QUOTA, "%s runs %" PRIu64 " milli-CPU and %" PRIu64 " MB with %s",
-                      job->spec.tenant, used.cpu_milli, used.mem_mb, job->spec.id);
+        checker_violated(checker, INVARIANT_OVER_QUOTA,
+                         "tenant %s uses %" PRIu64 " milli-CPU and %" PRIu64 " MB with job %s", job->spec.tenant,
+                         used.cpu_milli, used.mem_mb, job->spec.id);
 }
--- a/packages/sim/src/check_job.c
+++ b/packages/sim/src/check_job.c
@@ -1,4 +1,4 @@
-/* What callers are told of their jobs. */
+/* Checks of what callers are told about their jobs. */
 #include "checker.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
     SeenJob *job = seen_job(checker, id);
     job->accepted = true;
     if (job->refused)
-        checker_broke(checker, INVARIANT_REFUSED_RAN, "%s was accepted after it was refused", id);
+        checker_violated(checker, INVARIANT_REFUSED_RAN, "job %s was accepted after it was refused", id);
 }
 
 void checker_refused(Checker *checker, const char *id)
@@ -26,7 +26,7 @@
     void *mem = talloc_new(NULL);
     const char **tasks;
     if (map_keys(job->tasks, mem, &tasks) > 0 || job->accepted)
-        checker_broke(checker, INVARIANT_REFUSED_RAN, "%s was refused after it was accepted or ran", id);
+        checker_violated(checker, INVARIANT_REFUSED_RAN, "job %s was refused after it was accepted or had run", id);
     talloc_free(mem);
 }
 
@@ -41,17 +41,19 @@
     job->ended = true;
     const Job *known = checker->settings.job(checker->settings.arg, id);
     if (known != NULL && known->spec.lasting && strcmp(phase, "cancelled") != 0)
-        checker_broke(checker, INVARIANT_FORGOTTEN, "%s lasts, but is shown as %s", id, phase);
+        checker_violated(checker, INVARIANT_FORGOTTEN, "job %s runs until it is cancelled, but is shown as %s", id,
+                         phase);
     if (strcmp(phase, "done") != 0)
         return;
     for (size_t t = 0; known != NULL && t < known->tasks_count; t++)
         if (!seen_done(known, job, t))
-            checker_broke(checker, INVARIANT_FORGOTTEN, "%s is shown as done, but task %zu never finished", id, t);
+            checker_violated(checker, INVARIANT_FORGOTTEN,
+                             "job %s is shown as done, but its task %zu was not completed", id, t);
 }
 
 void checker_unknown(Checker *checker, const char *id)
 {
-    checker_broke(checker, INVARIANT_FORGOTTEN, "%s is unknown", id);
+    checker_violated(checker, INVARIANT_FORGOTTEN, "job %s is unknown", id);
 }
 
 size_t checker_open(const Checker *checker)
--- a/packages/sim/src/check_look.c
+++ b/packages/sim/src/check_look.c
@@ -1,4 +1,4 @@
-/* What takes time to go wrong, and what must have come true in the end. */
+/* Checks of properties that break only after a time limit, and of what must hold at the end of a run. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Nothing of it runs. */
+/* Whether no attempt of the job runs. */
 static bool seen_idle(const SeenJob *job)
 {
     void *mem = talloc_new(NULL);
@@ -19,7 +19,8 @@
     return idle;
 }
 
-static void stops_inspect(Checker *checker, const SeenJob *job)
+/* Checks that no attempt of the job still runs long after its cancellation or an order to stop it. */
+static void inspect_stops(Checker *checker, const SeenJob *job)
 {
     const int64_t now_ms = checker_now(checker);
     void *mem = talloc_new(NULL);
@@ -30,24 +31,26 @@
         for (const SeenRun *run = task->runs; run != NULL; run = run->next) {
             if (checker->settings.frozen(checker->settings.arg, run->worker))
                 continue;
-            if (job->cancelled_ms != 0 && checker_debt_ms(checker, job->cancelled_ms) > STOP_LATE_MS)
-                checker_broke(checker, INVARIANT_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
-                              job->id, tasks[t], run->worker, now_ms - job->cancelled_ms);
-            if (run->notified_ms != 0 && now_ms - run->notified_ms > NOTIFIED_LATE_MS)
-                checker_broke(checker, INVARIANT_STOPPED_RAN,
-                              "%s task %s on %s %" PRId64 " ms after the worker was told", job->id, tasks[t],
-                              run->worker, now_ms - run->notified_ms);
+            if (job->cancelled_ms != 0 && checker_overdue_ms(checker, job->cancelled_ms) > CANCELLED_RUN_LATE_MS)
+                checker_violated(checker, INVARIANT_STOPPED_RAN,
+                                 "%s task %s runs on %s %" PRId64 " ms after the job was cancelled", job->id, tasks[t],
+                                 run->worker, now_ms - job->cancelled_ms);
+            if (run->notified_ms != 0 && now_ms - run->notified_ms > STOP_ORDER_LATE_MS)
+                checker_violated(checker, INVARIANT_STOPPED_RAN,
+                                 "%s task %s runs on %s %" PRId64 " ms after the worker was told to stop it", job->id,
+                                 tasks[t], run->worker, now_ms - run->notified_ms);
         }
     }
     talloc_free(mem);
 }
 
-static void gangs_inspect(Checker *checker, SeenJob *job)
+/* Checks that no gang of the job runs for long with only some of its members. */
+static void inspect_gangs(Checker *checker, SeenJob *job)
 {
     const Job *known = job->accepted && !job->ended ? checker->settings.job(checker->settings.arg, job->id) : NULL;
     if (known == NULL)
         return;
-    /* a gang's tasks stand one after another, for each turn and step */
+    /* the tasks of a gang are adjacent, in each turn and step */
     for (size_t first = 0; first < known->tasks_count;) {
         const StepSpec *step = &known->spec.steps[known->tasks[first].step];
         const size_t end = first + (size_t)step->count;
@@ -60,9 +63,9 @@
             if (task->started_ms > newest_ms)
                 newest_ms = task->started_ms;
         }
-        if (running > 0 && ever < step->count && checker_debt_ms(checker, newest_ms) > GANG_LATE_MS)
-            checker_broke(checker, INVARIANT_GANG_SPLIT, "%s step %s: %zu of %" PRIu64 " run", job->id, step->name,
-                          running, step->count);
+        if (running > 0 && ever < step->count && checker_overdue_ms(checker, newest_ms) > GANG_LATE_MS)
+            checker_violated(checker, INVARIANT_GANG_SPLIT, "%s step %s: %zu of %" PRIu64 " gang members run", job->id,
+                             step->name, running, step->count);
         first = end;
     }
 }
@@ -74,8 +77,8 @@
     const size_t count = map_keys(checker->unsettled, mem, &ids);
     for (size_t i = 0; i < count; i++) {
         SeenJob *job = map_get(checker->jobs, ids[i]);
-        stops_inspect(checker, job);
-        gangs_inspect(checker, job);
+        inspect_stops(checker, job);
+        inspect_gangs(checker, job);
         job->settled = job->ended && seen_idle(job);
         if (job->settled)
             map_drop(checker->unsettled, ids[i]);
@@ -91,7 +94,7 @@
     for (size_t i = 0; i < count; i++) {
         const SeenJob *job = map_get(checker->jobs, ids[i]);
         if (job->accepted && !job->ended)
-            checker_broke(checker, INVARIANT_FORGOTTEN, "%s was accepted and has not ended", ids[i]);
+            checker_violated(checker, INVARIANT_FORGOTTEN, "job %s was accepted and has not ended", ids[i]);
     }
     talloc_free(mem);
 }
--- a/packages/sim/src/check_run.c
+++ b/packages/sim/src/check_run.c
@@ -1,4 +1,4 @@
-/* What workers do besides starting: attempts that end, processes that end or wake, workers and zones that drain. */
+/* Events at workers other than starts: the end of an attempt, the end or thaw of a process, a drain. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -9,7 +9,7 @@
     SeenWorker *seen = seen_worker(checker, worker->name);
     const char *name = seen->worker.name;
     shape_copy(&Worker_shape, worker, seen, &seen->worker);
-    seen->worker.name = name; /* runs and claims point at it */
+    seen->worker.name = name; /* runs and claims hold this pointer and compare it */
 }
 
 size_t checker_starts_on(Checker *checker, const char *worker)
@@ -26,8 +26,8 @@
                    AttemptWord word)
 {
     SeenTask *seen = seen_task(seen_job(checker, id), task);
-    seen_run_take(seen_worker(checker, worker), seen, attempt);
-    claim_end(seen, seen_worker(checker, worker)->worker.name, attempt);
+    seen_run_remove(seen_worker(checker, worker), seen, attempt);
+    claim_remove(seen, seen_worker(checker, worker)->worker.name, attempt);
     if (word == ATTEMPT_DONE)
         seen->done = true;
 }
@@ -43,12 +43,13 @@
 
 typedef void (*RunFn)(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run);
 
+/* Calls fn for each run on the worker; fn may remove the run. */
 static void each_run(Checker *checker, const char *worker, RunFn fn)
 {
     void *mem = talloc_new(NULL);
     const char **ids;
     const size_t count = map_keys(checker->unsettled, mem, &ids);
-    const SeenWorker *on = seen_worker(checker, worker);
+    const SeenWorker *host = seen_worker(checker, worker);
     for (size_t i = 0; i < count; i++) {
         SeenJob *job = map_get(checker->jobs, ids[i]);
         const char **tasks;
@@ -57,7 +58,7 @@
             SeenTask *task = map_get(job->tasks, tasks[t]);
             for (SeenRun *run = task->runs, *next; run != NULL; run = next) {
                 next = run->next;
-                if (run->worker == on->worker.name)
+                if (run->worker == host->worker.name)
                     fn(checker, job, task, run);
             }
         }
@@ -65,29 +66,30 @@
     talloc_free(mem);
 }
 
-static void run_gone(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
+static void run_end(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
 {
     (void)job;
-    seen_run_take(seen_worker(checker, run->worker), task, run->attempt);
+    seen_run_remove(seen_worker(checker, run->worker), task, run->attempt);
 }
 
 void checker_worker_gone(Checker *checker, const char *worker)
 {
-    each_run(checker, worker, run_gone);
-    claim_gone(checker, seen_worker(checker, worker));
+    each_run(checker, worker, run_end);
+    claims_worker_ended(checker, seen_worker(checker, worker));
 }
 
-static void run_restarted(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
+static void run_check_thawed(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
 {
     (void)task;
-    if (run->beside_frozen)
-        checker_broke(checker, INVARIANT_TWICE, "%s runs on in round %" PRIu64 " on %s, which had stood still", job->id,
-                      run->attempt, run->worker);
+    if (run->restarted_while_frozen)
+        checker_violated(checker, INVARIANT_TWICE,
+                         "%s still runs attempt %" PRIu64 " on %s after that machine was frozen", job->id, run->attempt,
+                         run->worker);
 }
 
 void checker_worker_restarted(Checker *checker, const char *worker)
 {
-    each_run(checker, worker, run_restarted);
+    each_run(checker, worker, run_check_thawed);
 }
 
 void checker_leaving(Checker *checker, const char *worker, bool leaving)
@@ -107,8 +109,8 @@
 
 void checker_notified(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt)
 {
-    const SeenWorker *on = seen_worker(checker, worker);
+    const SeenWorker *host = seen_worker(checker, worker);
     for (SeenRun *run = seen_task(seen_job(checker, id), task)->runs; run != NULL; run = run->next)
-        if (run->worker == on->worker.name && run->attempt == attempt && run->notified_ms == 0)
+        if (run->worker == host->worker.name && run->attempt == attempt && run->notified_ms == 0)
             run->notified_ms = checker_now(checker);
 }
--- a/packages/sim/src/check_seen.c
+++ b/packages/sim/src/check_seen.c
@@ -1,4 +1,4 @@
-/* What a checker has seen of jobs, tasks and workers: its records, made when they are first asked for. */
+/* A checker's records of jobs, tasks and workers, which are created at their first use. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -41,22 +41,22 @@
     return worker;
 }
 
-bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t attempt)
+bool seen_run_remove(SeenWorker *host, SeenTask *seen, uint64_t attempt)
 {
     for (SeenRun **at = &seen->runs; *at != NULL; at = &(*at)->next) {
         SeenRun *run = *at;
-        if (run->attempt != attempt || run->worker != on->worker.name)
+        if (run->attempt != attempt || run->worker != host->worker.name)
             continue;
         *at = run->next;
-        on->used = resources_less(on->used, run->resources);
+        host->used = resources_less(host->used, run->resources);
         talloc_free(run);
         return true;
     }
     return false;
 }
 
-/* Looks at the task of that index, or at each member of its gang. */
-static bool seen_any(const Job *known, SeenJob *job, size_t at, bool (*matches)(const SeenTask *task))
+/* Whether the predicate holds for the task at that index or, in a gang, for any of its members. */
+static bool seen_any_member(const Job *known, SeenJob *job, size_t at, bool (*matches)(const SeenTask *task))
 {
     const JobTask *task = &known->tasks[at];
     const StepSpec *step = &known->spec.steps[task->step];
@@ -79,10 +79,10 @@
 
 bool seen_done_known(const Job *known, SeenJob *job, size_t at)
 {
-    return seen_any(known, job, at, is_done_known);
+    return seen_any_member(known, job, at, is_done_known);
 }
 
 bool seen_done(const Job *known, SeenJob *job, size_t at)
 {
-    return seen_any(known, job, at, is_done);
+    return seen_any_member(known, job, at, is_done);
 }
--- a/packages/sim/src/check_serve.c
+++ b/packages/sim/src/check_serve.c
@@ -1,4 +1,4 @@
-/* Service, at each entry point by itself. */
+/* Checks of service after faults, for each entry point separately. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -15,43 +15,44 @@
     return WORDS[serve];
 }
 
-static SeenEntry *entry_of(Checker *checker, const char *name)
+static SeenEntryPoint *seen_entry_point(Checker *checker, const char *name)
 {
-    SeenEntry *entry = map_get(checker->entries, name);
-    if (entry == NULL) {
-        entry = talloc_zero(checker, SeenEntry);
-        map_set(checker->entries, name, entry);
+    SeenEntryPoint *entry_point = map_get(checker->entry_points, name);
+    if (entry_point == NULL) {
+        entry_point = talloc_zero(checker, SeenEntryPoint);
+        map_set(checker->entry_points, name, entry_point);
     }
-    return entry;
+    return entry_point;
 }
 
 void checker_served(Checker *checker, const char *name, Serve serve)
 {
-    SeenEntry *entry = entry_of(checker, name);
-    if (entry->served_ms[serve] == 0)
-        entry->served_ms[serve] = checker_now(checker);
+    SeenEntryPoint *entry_point = seen_entry_point(checker, name);
+    if (entry_point->served_ms[serve] == 0)
+        entry_point->served_ms[serve] = checker_now(checker);
 }
 
-static void within(Checker *checker, const char *where, Serve serve, int64_t served_ms)
+/* Checks that a service was first provided in time after the last fault. served_ms 0: it was not provided yet. */
+static void check_service_time(Checker *checker, const char *where, Serve serve, int64_t served_ms)
 {
     const int64_t took_ms = (served_ms != 0 ? served_ms : checker_now(checker)) - checker->fault_ms;
     if (took_ms > checker->worst_ms[serve])
         checker->worst_ms[serve] = took_ms;
     if (served_ms == 0 || took_ms > SERVE_LATE_MS)
-        checker_broke(checker, INVARIANT_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last failure", where,
-                      serve_word(serve), served_ms == 0 ? "not yet," : "first", took_ms);
+        checker_violated(checker, INVARIANT_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last fault", where,
+                         serve_word(serve), served_ms == 0 ? "not yet," : "first", took_ms);
 }
 
 void checker_must_serve(Checker *checker, const char *name)
 {
-    const SeenEntry *entry = entry_of(checker, name);
-    within(checker, name, SERVE_ACCEPT, entry->served_ms[SERVE_ACCEPT]);
-    within(checker, name, SERVE_STATUS, entry->served_ms[SERVE_STATUS]);
+    const SeenEntryPoint *entry_point = seen_entry_point(checker, name);
+    check_service_time(checker, name, SERVE_ACCEPT, entry_point->served_ms[SERVE_ACCEPT]);
+    check_service_time(checker, name, SERVE_STATUS, entry_point->served_ms[SERVE_STATUS]);
 }
 
 void checker_must_start(Checker *checker)
 {
-    within(checker, "the fleet", SERVE_START, checker->started_ms);
+    check_service_time(checker, "the fleet", SERVE_START, checker->first_start_ms);
 }
 
 int64_t checker_worst_ms(const Checker *checker, Serve serve)
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -1,4 +1,4 @@
-/* The checker itself: what broke, who leads, when faults happened. */
+/* The checker itself: it counts violations and checks leaders, and it records when faults happened. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -27,8 +27,8 @@
     checker->zones = map_new(checker);
     checker->terms = map_new(checker);
     checker->tenants = map_new(checker);
-    checker->entries = map_new(checker);
-    checker->first = talloc_strdup(checker, "");
+    checker->entry_points = map_new(checker);
+    checker->first_violation = talloc_strdup(checker, "");
     return checker;
 }
 
@@ -37,32 +37,32 @@
     return checker->settings.now_ms(checker->settings.arg);
 }
 
-void checker_broke(Checker *checker, Invariant invariant, const char *format, ...)
+void checker_violated(Checker *checker, Invariant invariant, const char *format, ...)
 {
-    checker->broken[invariant]++;
-    if (checker->broken_all++ > 0)
+    checker->violations[invariant]++;
+    if (checker->violations_total++ > 0)
         return;
     va_list args;
     va_start(args, format);
     char *detail = talloc_vasprintf(checker, format, args);
     va_end(args);
-    checker->first =
+    checker->first_violation =
         talloc_asprintf(checker, "at %" PRId64 " ms: %s: %s", checker_now(checker), invariant_words(invariant), detail);
 }
 
 size_t checker_broken(const Checker *checker, Invariant invariant)
 {
-    return checker->broken[invariant];
+    return checker->violations[invariant];
 }
 
 size_t checker_broken_all(const Checker *checker)
 {
-    return checker->broken_all;
+    return checker->violations_total;
 }
 
 const char *checker_first(const Checker *checker)
 {
-    return checker->first;
+    return checker->first_violation;
 }
 
 size_t checker_starts(const Checker *checker)
@@ -75,17 +75,17 @@
     return checker->resumes;
 }
 
-/* A term below the highest that planned may plan only if it is new and the process with the highest has ended: then
- * disks have lost their state, but no two plan at once. */
+/* A leader may plan under a term below the highest one only if that term is new and the process that planned under the
+ * highest term has ended: the disks have then lost their state, but no two leaders plan at once. */
 void checker_plans(Checker *checker, const char *leader, uint64_t term)
 {
     char key[24];
     snprintf(key, sizeof(key), "%" PRIu64, term);
     const char *holder = map_get(checker->terms, key);
-    const bool lower = term < checker->plan_term && (holder != NULL || !checker->plan_gone);
+    const bool lower = term < checker->plan_term && (holder != NULL || !checker->plan_leader_ended);
     if (lower || (holder != NULL && strcmp(holder, leader) != 0)) {
-        checker_broke(checker, INVARIANT_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, term,
-                      checker->plan_leader, checker->plan_term);
+        checker_violated(checker, INVARIANT_TWO_LEADERS, "%s plans in term %" PRIu64 " after %s in term %" PRIu64,
+                         leader, term, checker->plan_leader, checker->plan_term);
         return;
     }
     if (holder == NULL)
@@ -93,28 +93,28 @@
     if (checker->plan_leader == NULL || strcmp(checker->plan_leader, leader) != 0)
         checker->plan_leader = talloc_strdup(checker, leader);
     checker->plan_term = term;
-    checker->plan_gone = false;
+    checker->plan_leader_ended = false;
 }
 
 void checker_leader_gone(Checker *checker, const char *leader)
 {
     if (checker->plan_leader != NULL && strcmp(checker->plan_leader, leader) == 0)
-        checker->plan_gone = true;
+        checker->plan_leader_ended = true;
 }
 
 void checker_fault(Checker *checker)
 {
     checker->fault_ms = checker_now(checker);
-    checker->started_ms = 0;
+    checker->first_start_ms = 0;
     void *mem = talloc_new(NULL);
     const char **names;
-    const size_t count = map_keys(checker->entries, mem, &names);
+    const size_t count = map_keys(checker->entry_points, mem, &names);
     for (size_t i = 0; i < count; i++)
-        *(SeenEntry *)map_get(checker->entries, names[i]) = (SeenEntry){{0}};
+        *(SeenEntryPoint *)map_get(checker->entry_points, names[i]) = (SeenEntryPoint){{0}};
     talloc_free(mem);
 }
 
-int64_t checker_debt_ms(const Checker *checker, int64_t asked_ms)
+int64_t checker_overdue_ms(const Checker *checker, int64_t asked_ms)
 {
     const int64_t serves_ms = checker->fault_ms == 0 ? 0 : checker->fault_ms + SERVE_LATE_MS;
     return checker_now(checker) - (asked_ms > serves_ms ? asked_ms : serves_ms);
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -1,17 +1,19 @@
-/* Simulated disks: slow, full, failing, lying, torn. What a process has written is seen
- * by the next one at once; a loss of power takes what no sync has covered: of a file,
- * each write made since by itself; of a folder, each rename and removal by itself. */
+/* Simulated disks, which may be slow, full or failing, acknowledge syncs falsely, or leave torn writes. A new process
+ * sees everything that the former one wrote. A loss of power may lose what no sync has covered: of a file, each write
+ * since the last sync independently of the others; of a directory, each rename and removal likewise. */
 #include <string.h>
 #include <talloc.h>
 
 #include "world.h"
 
+/* A file that a process has opened. */
 typedef struct SimFile {
-    File file; /* first */
+    File file; /* must be first */
     SimMachine *machine;
     char *path;
 } SimFile;
 
+/* The name at that path, added if the directory lacks it. */
 static SimName *name_of(SimMachine *machine, const char *path)
 {
     SimName *name = map_get(machine->disk, path);
@@ -22,33 +24,37 @@
     return name;
 }
 
+/* The content of the file at that path, created if there is none. */
 static SimContent *content_of(SimMachine *machine, const char *path)
 {
     SimName *name = name_of(machine, path);
-    if (name->content == NULL) /* a new file lasts once it has been synced itself: empty, it loses nothing */
-        name->lasting = name->content = talloc_zero(machine->disk, SimContent);
+    /* A new file's name is durable at once: a file that has not been synced is empty after a loss of power. */
+    if (name->content == NULL)
+        name->durable = name->content = talloc_zero(machine->disk, SimContent);
     return name->content;
 }
 
-static void written(SimContent *content, Bytes bytes)
+/* Appends a write to the content, not synced yet. */
+static void content_append(SimContent *content, Bytes bytes)
 {
     if (bytes.count == 0)
         return;
     bytes_add(content, &content->bytes, bytes.data, bytes.count);
-    if (content->write_count == DISK_WRITES_MOST) /* the last ones count as one */
+    if (content->write_count == DISK_WRITES_MOST) /* the last two writes are merged into one */
         content->write_count--;
     content->write_ends[content->write_count++] = content->bytes.count;
 }
 
-/* What of a file has been synced: bytes at its end, or all of it. */
-static void notify(const SimMachine *machine, const char *path, Bytes bytes, bool whole)
+/* Calls the watcher after a sync of a file. bytes: what was added at its end or, if whole, all of its content. */
+static void notify_watcher(const SimMachine *machine, const char *path, Bytes bytes, bool whole)
 {
     const SimWorld *world = machine->world;
     if (world->disk_watch != NULL && bytes.count + whole > 0)
         world->disk_watch(world->disk_watch_arg, machine->number, path, bytes, whole);
 }
 
-static void synced(SimMachine *machine, SimContent *content)
+/* Marks the content as synced, unless the disk acknowledges syncs falsely. */
+static void content_sync(SimMachine *machine, SimContent *content)
 {
     if (machine->disk_lies)
         return;
@@ -56,7 +62,8 @@
     content->write_count = 0;
 }
 
-static size_t used_of(const SimMachine *machine)
+/* Bytes of all files of the machine. */
+static size_t disk_used(const SimMachine *machine)
 {
     const char **paths;
     void *mem = talloc_new(NULL);
@@ -70,14 +77,15 @@
     return used;
 }
 
-/* Whether the disk takes the bytes. */
-static bool takes(const SimMachine *machine, size_t count)
+/* Whether the disk works and has capacity for count more bytes. */
+static bool disk_accepts(const SimMachine *machine, size_t count)
 {
-    return !machine->disk_fails && (machine->disk_capacity == 0 || used_of(machine) + count <= machine->disk_capacity);
+    return !machine->disk_fails &&
+           (machine->disk_capacity == 0 || disk_used(machine) + count <= machine->disk_capacity);
 }
 
-/* How much of a write that was broken off is there: all, nothing, or a beginning. */
-static size_t part_of(SimMachine *machine, size_t count)
+/* How many bytes of an interrupted write of count bytes are stored: all, none, or a random prefix. */
+static size_t stored_count(SimMachine *machine, size_t count)
 {
     const uint64_t fate = sim_random(machine->world) % 3;
     if (fate == 2)
@@ -85,9 +93,10 @@
     return fate == 1 ? count : 0;
 }
 
-static Bytes begun(SimMachine *machine, Bytes bytes)
+/* The prefix of an interrupted write that is stored. */
+static Bytes stored_prefix(SimMachine *machine, Bytes bytes)
 {
-    return (Bytes){bytes.data, part_of(machine, bytes.count), 0};
+    return (Bytes){bytes.data, stored_count(machine, bytes.count), 0};
 }
 
 Status sim_file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
@@ -99,13 +108,14 @@
     sim_file->machine = &sim->world->machines[sim->machine];
     sim_file->path = talloc_strdup(sim_file, path);
     content_of(sim_file->machine, path);
-    /* the folder is synced at each opening */
+    /* opening a file syncs its directory */
     SimName *name = name_of(sim_file->machine, path);
-    name->lasting = name->content;
+    name->durable = name->content;
     *file = &sim_file->file;
     return STATUS_OK;
 }
 
+/* The duration of one sync, drawn at random. */
 static int64_t sync_ms(const SimFile *sim_file)
 {
     return sim_file->machine->sync_ms + (int64_t)(sim_random(sim_file->machine->world) % 3);
@@ -120,8 +130,8 @@
         loop_sleep(file->loop, sync_ms(sim_file));
     if (sim_file->machine->disk_fails)
         return STATUS_DISK_FAILED;
-    synced(sim_file->machine, from);
-    notify(sim_file->machine, sim_file->path, from->bytes, true);
+    content_sync(sim_file->machine, from);
+    notify_watcher(sim_file->machine, sim_file->path, from->bytes, true);
     *content = bytes_copy(mem, from->bytes);
     return STATUS_OK;
 }
@@ -134,45 +144,45 @@
     content->inflight = bytes;
     loop_sleep(file->loop, sync_ms(sim_file));
     content->inflight = (Bytes){0};
-    if (!takes(machine, bytes.count)) {
-        written(content, begun(machine, bytes)); /* what a refused write has done nobody knows */
+    if (!disk_accepts(machine, bytes.count)) {
+        content_append(content, stored_prefix(machine, bytes)); /* a failed write may have stored any prefix */
         return STATUS_DISK_FAILED;
     }
-    written(content, bytes);
-    synced(machine, content);
-    notify(machine, sim_file->path, bytes, false);
+    content_append(content, bytes);
+    content_sync(machine, content);
+    notify_watcher(machine, sim_file->path, bytes, false);
     return STATUS_OK;
 }
 
-/* New file, its sync, rename, sync of the folder; a process or its power may end between
- * any two of them. */
+/* Writes a new file, syncs it, renames it, and syncs the directory. The process may end, or the power be lost, between
+ * any two of these steps. */
 Status sim_file_replace(File *file, Bytes bytes)
 {
     SimFile *sim_file = (SimFile *)file;
     SimMachine *machine = sim_file->machine;
-    const int64_t whole_ms = sync_ms(sim_file);
-    SimName *fresh = name_of(machine, talloc_asprintf(sim_file, "%s.new", sim_file->path));
+    const int64_t duration_ms = sync_ms(sim_file);
+    SimName *new_name = name_of(machine, talloc_asprintf(sim_file, "%s.new", sim_file->path));
     SimContent *content = talloc_zero(machine->disk, SimContent);
-    fresh->content = fresh->lasting = content;
+    new_name->content = new_name->durable = content;
     content->inflight = bytes;
-    loop_sleep(file->loop, whole_ms / 2);
+    loop_sleep(file->loop, duration_ms / 2);
     content->inflight = (Bytes){0};
-    if (!takes(machine, bytes.count)) {
-        written(content, begun(machine, bytes));
+    if (!disk_accepts(machine, bytes.count)) {
+        content_append(content, stored_prefix(machine, bytes));
         return STATUS_DISK_FAILED;
     }
-    written(content, bytes);
-    content->synced_count = content->bytes.count; /* honest also on a disk that lies about appends */
+    content_append(content, bytes);
+    content->synced_count = content->bytes.count; /* synced also on a disk that acknowledges syncs of appends falsely */
     content->write_count = 0;
     SimName *name = name_of(machine, sim_file->path);
     name->content = content;
-    fresh->content = NULL;
-    loop_sleep(file->loop, whole_ms - whole_ms / 2);
+    new_name->content = NULL;
+    loop_sleep(file->loop, duration_ms - duration_ms / 2);
     if (machine->disk_fails)
-        return STATUS_DISK_FAILED; /* the folder was not synced: the rename may be lost */
-    name->lasting = name->content;
-    fresh->lasting = fresh->content;
-    notify(machine, sim_file->path, content->bytes, true);
+        return STATUS_DISK_FAILED; /* the directory was not synced, so the rename may be lost */
+    name->durable = name->content;
+    new_name->durable = new_name->content;
+    notify_watcher(machine, sim_file->path, content->bytes, true);
     return STATUS_OK;
 }
 
@@ -183,11 +193,12 @@
     return talloc_asprintf(mem, "%s.hint", sim_file->path);
 }
 
-/* It takes no time, and outlasts all but a wiped disk: the journal's tests leave old, torn and foreign ones. */
+/* Writing a hint takes no time, and the hint is lost only when the disk is wiped. Old, torn and foreign hints are set
+ * up by the tests of the journal. */
 Status sim_hint_write(File *file, Bytes bytes)
 {
     SimFile *sim_file = (SimFile *)file;
-    if (!takes(sim_file->machine, bytes.count))
+    if (!disk_accepts(sim_file->machine, bytes.count))
         return STATUS_DISK_FAILED;
     void *mem = talloc_new(NULL);
     SimContent *content = content_of(sim_file->machine, hint_path(mem, sim_file));
@@ -210,15 +221,15 @@
 
 /* --- the end of a process -------------------------------------------------------- */
 
-/* Each write that no sync has covered is there, missing or torn; what is missing before
- * what is there reads as zeroes. Some losses of power remove all of them. */
-static void power_lost(SimMachine *machine, SimContent *content)
+/* Each unsynced write of the file is stored, lost or torn, at random; a gap before stored bytes reads as zeroes. With
+ * probability 1/3, and always on a disk that acknowledges syncs falsely, the file loses all unsynced writes. */
+static void content_lose_power(SimMachine *machine, SimContent *content)
 {
     size_t kept = content->synced_count, from = kept;
     const bool all = machine->disk_lies || sim_random(machine->world) % 3 == 0;
     for (size_t i = 0; i < content->write_count && !all; i++) {
         const size_t end = content->write_ends[i];
-        const size_t there = part_of(machine, end - from);
+        const size_t there = stored_count(machine, end - from);
         memset(content->bytes.data + from + there, 0, end - from - there);
         if (there > 0)
             kept = from + there;
@@ -228,16 +239,17 @@
     content->write_count = 0;
 }
 
-static void content_ends(SimMachine *machine, SimContent *content, bool power)
+/* Applies the end of the process to a file: a random prefix of the write in progress is stored. */
+static void content_end(SimMachine *machine, SimContent *content, bool power)
 {
     if (content == NULL)
         return;
     const Bytes inflight = content->inflight;
     content->inflight = (Bytes){0};
     if (inflight.count > 0)
-        written(content, begun(machine, inflight));
+        content_append(content, stored_prefix(machine, inflight));
     if (power && content->write_count > 0)
-        power_lost(machine, content);
+        content_lose_power(machine, content);
 }
 
 void sim_disk_after_end(SimMachine *machine, bool power)
@@ -247,17 +259,17 @@
     const size_t count = map_keys(machine->disk, mem, &paths);
     for (size_t i = 0; i < count; i++) {
         SimName *name = map_get(machine->disk, paths[i]);
-        content_ends(machine, name->content, power);
-        if (power && name->content != name->lasting) {
+        content_end(machine, name->content, power);
+        if (power && name->content != name->durable) {
             if (sim_random(machine->world) % 2 == 0) /* the rename or removal is lost */
-                name->content = name->lasting;
-            name->lasting = name->content;
+                name->content = name->durable;
+            name->durable = name->content;
         }
     }
     talloc_free(mem);
 }
 
-/* --- troubles -------------------------------------------------------------------------- */
+/* --- faults ---------------------------------------------------------------------------- */
 
 void sim_disk_slow(SimWorld *world, int machine, int64_t sync_takes_ms)
 {
@@ -276,7 +288,7 @@
 
 size_t sim_disk_used(const SimWorld *world, int machine)
 {
-    return used_of(&world->machines[machine]);
+    return disk_used(&world->machines[machine]);
 }
 
 void sim_disk_lie(SimWorld *world, int machine, bool lies)
@@ -299,7 +311,7 @@
 Bytes *sim_disk_content(SimWorld *world, int machine, const char *path)
 {
     SimContent *content = content_of(&world->machines[machine], path);
-    /* whatever a test leaves there is what stands */
+    /* what the caller writes to the content counts as synced */
     content->synced_count = content->bytes.count;
     content->write_count = 0;
     return &content->bytes;
--- a/packages/sim/src/events.c
+++ b/packages/sim/src/events.c
@@ -1,5 +1,5 @@
-/* The world's clock, random numbers and queue of events: a binary heap, the earliest first; of two at the same time the
- * one that was added first. */
+/* The world's clock, random numbers and event queue. The queue is a binary heap ordered by time; events of the same
+ * time run in the order in which they were added. */
 #include <talloc.h>
 
 #include "base/array.h"
@@ -23,7 +23,7 @@
 /* splitmix64 */
 uint64_t sim_random(SimWorld *world)
 {
-    uint64_t mixed_bits = (world->state += 0x9e3779b97f4a7c15u);
+    uint64_t mixed_bits = (world->random_state += 0x9e3779b97f4a7c15u);
     mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
     mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
     return mixed_bits ^ (mixed_bits >> 31);
@@ -52,6 +52,7 @@
     world->events[at] = event;
 }
 
+/* Removes the earliest event from the heap. */
 static SimEvent take(SimWorld *world)
 {
     const SimEvent top = world->events[0];
@@ -73,6 +74,7 @@
     return top;
 }
 
+/* Runs the next event if its time is not after until_ms. Returns false if there is none. */
 static bool step_to(SimWorld *world, int64_t until_ms)
 {
     if (world->count == 0 || world->events[0].when_ms > until_ms)
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -1,4 +1,4 @@
-/* A fleet: its nodes, how they start, and the run of its time. */
+/* A fleet: its nodes, their start, and the progress of virtual time. */
 #include "fleet.h"
 
 #include <stdio.h>
@@ -20,6 +20,7 @@
     return sim_wall_ms(((const Fleet *)arg)->world);
 }
 
+/* The node of the worker with that name; null: none. */
 static FleetNode *worker_node(const Fleet *fleet, const char *name)
 {
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
@@ -54,8 +55,9 @@
     return fleet_job(arg, id);
 }
 
-/* --- building ------------------------------------------------------------------------ */
+/* --- construction ------------------------------------------------------------------------ */
 
+/* Adds a node of the role, on a machine of its own, with its settings. */
 static FleetNode *node_add(Fleet *fleet, FleetRole role)
 {
     const int number = fleet->node_count[role]++;
@@ -84,6 +86,7 @@
     return fleet_new_at(mem, seed, shape, &(FleetSite){.zones = 3, .losses = 1});
 }
 
+/* The listen address of a seed, by its number. */
 static const char *seed_of(const Fleet *fleet, int number)
 {
     const int entry_points = fleet->site.entry_point_set_seeds;
@@ -127,7 +130,7 @@
         for (int i = 0; i < fleet->node_count[role]; i++)
             for (int s = 0; s < SEEDS; s++)
                 fleet->nodes[role][i].settings.seeds[s] = seed_of(fleet, s);
-    /* by the time a spare is started the seeds may be other nodes */
+    /* The seeds of a spare are entry points, since the first seeds may have been replaced when it is started. */
     for (int i = shape.controllers; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         for (int s = 0; s < SEEDS; s++)
             fleet->nodes[FLEET_CONTROLLER][i].settings.seeds[s] =
@@ -140,6 +143,7 @@
     return &fleet->nodes[role][number];
 }
 
+/* The first task of a node's process. */
 static void boot_main(void *arg)
 {
     FleetNode *node = arg;
@@ -147,7 +151,7 @@
     Failure failure = {0};
     Status status = STATUS_OK;
     const ControllerWatch watch = fleet_controller_watch(node);
-    recorder_set_place(node->recorder, NULL, NULL); /* the flight recorder outlives the process */
+    recorder_set_place(node->recorder, NULL, NULL); /* the fleet owns the flight recorder, which outlives the process */
     switch (node->role) {
     case FLEET_CONTROLLER:
         status = controller_start(loop, loop, node->recorder, &node->settings, &watch, &node->controller, &failure);
@@ -189,6 +193,7 @@
         sim_start(fleet->world, node->machine, node_start, node);
 }
 
+/* Starts no task: callers and operators are started later. */
 static void empty_start(void *arg, Loop *loop)
 {
     (void)arg;
@@ -236,6 +241,7 @@
     }
 }
 
+/* Whether a controller leads and knows all workers. */
 static bool settled(Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
--- a/packages/sim/src/fleet.h
+++ b/packages/sim/src/fleet.h
@@ -3,7 +3,7 @@
 
 #include "sim/fleet.h"
 
-/* The callbacks by which a node or caller tells the fleet's checker what happens. */
+/* Callbacks that pass the events of a node or a caller to the fleet's checker. */
 ControllerWatch fleet_controller_watch(FleetNode *node);
 StandWorkerWatch fleet_worker_watch(FleetNode *node);
 CallerWatch fleet_caller_watch(Fleet *fleet);
--- a/packages/sim/src/fleet_ask.c
+++ b/packages/sim/src/fleet_ask.c
@@ -1,21 +1,22 @@
-/* Callers and operators of a fleet: jobs of a mix, and single requests. */
+/* Callers and operators of a fleet: submission of jobs of a mix, and single requests. */
 #include <string.h>
 #include <talloc.h>
 
 #include "fleet.h"
 
-typedef struct Asked {
+/* A request in progress. */
+typedef struct FleetRequest {
     Fleet *fleet;
     HttpCall *call;
     bool done;
     Status status;
-} Asked;
+} FleetRequest;
 
-static void ask_main(void *arg)
+static void request_main(void *arg)
 {
-    Asked *asked = arg;
-    asked->status = loop_call(sim_loop(asked->fleet->world, asked->fleet->caller), asked->call);
-    asked->done = true;
+    FleetRequest *request = arg;
+    request->status = loop_call(sim_loop(request->fleet->world, request->fleet->caller), request->call);
+    request->done = true;
 }
 
 HttpCall fleet_ask(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
@@ -36,16 +37,16 @@
                      .head_count = head_count};
     if (body != NULL)
         bytes_add(mem, &call.body, body, strlen(body));
-    Asked *asked = talloc_zero(fleet, Asked);
-    asked->fleet = fleet;
-    asked->call = &call;
-    loop_spawn(sim_loop(fleet->world, fleet->caller), "ask", ask_main, asked);
-    while (!asked->done)
+    FleetRequest *request = talloc_zero(fleet, FleetRequest);
+    request->fleet = fleet;
+    request->call = &call;
+    loop_spawn(sim_loop(fleet->world, fleet->caller), "ask", request_main, request);
+    while (!request->done)
         fleet_run(fleet, 5);
-    if (asked->status != STATUS_OK)
+    if (request->status != STATUS_OK)
         call.code = 0;
-    talloc_free(asked);
-    bytes_add(mem, &call.result, "", 1); /* so that it reads as text */
+    talloc_free(request);
+    bytes_add(mem, &call.result, "", 1); /* terminates the result, so that it can be read as a string */
     return call;
 }
 
--- a/packages/sim/src/fleet_fault.c
+++ b/packages/sim/src/fleet_fault.c
@@ -1,22 +1,23 @@
-/* Faults of a fleet: nodes that shut down, end, freeze or are cut off. */
+/* Faults of a fleet: nodes that shut down, are killed, lose power, freeze or are cut off. */
 #include <string.h>
 
 #include "fleet.h"
 
-static void rolled(void *arg)
+static void restart_node(void *arg)
 {
     FleetNode *node = arg;
     fleet_kill(node->fleet, node->role, node->number);
     fleet_start_node(node->fleet, node->role, node->number);
 }
 
-static void left(void *arg)
+static void kill_node(void *arg)
 {
     FleetNode *node = arg;
     fleet_kill(node->fleet, node->role, node->number);
 }
 
-static void drain(FleetNode *node)
+/* Runs the node's graceful shutdown, up to the end of its process. */
+static void drain_node(FleetNode *node)
 {
     if (node->controller != NULL)
         controller_drain(node->controller);
@@ -26,19 +27,19 @@
         agent_drain(node->agent);
 }
 
-static void drain_main(void *arg)
+static void roll_main(void *arg)
 {
     FleetNode *node = arg;
-    drain(node);
-    /* a process ends from outside of its own tasks */
-    sim_at(node->fleet->world, sim_now_ms(node->fleet->world), rolled, node);
+    drain_node(node);
+    /* An event ends the process, since one of its own tasks cannot. */
+    sim_at(node->fleet->world, sim_now_ms(node->fleet->world), restart_node, node);
 }
 
 static void leave_main(void *arg)
 {
     FleetNode *node = arg;
-    drain(node);
-    sim_at(node->fleet->world, sim_now_ms(node->fleet->world), left, node);
+    drain_node(node);
+    sim_at(node->fleet->world, sim_now_ms(node->fleet->world), kill_node, node);
 }
 
 void fleet_leave(Fleet *fleet, FleetRole role, int number)
@@ -52,15 +53,16 @@
 {
     FleetNode *node = fleet_node(fleet, role, number);
     if (node->up)
-        loop_spawn(sim_loop(fleet->world, node->machine), "term", drain_main, node);
+        loop_spawn(sim_loop(fleet->world, node->machine), "term", roll_main, node);
 }
 
-static void node_gone(FleetNode *node)
+/* Records that the node's process ends, and reports it to the checker. */
+static void node_ended(FleetNode *node)
 {
     node->controller = NULL;
     node->worker = NULL;
     node->up = false;
-    /* it has been started before: it founds nothing */
+    /* a process that was started before must not found a cluster */
     if (node->fleet->site.votes)
         node->settings.bounds.founds = 0;
     if (node->role == FLEET_WORKER)
@@ -72,21 +74,22 @@
 void fleet_kill(Fleet *fleet, FleetRole role, int number)
 {
     FleetNode *node = fleet_node(fleet, role, number);
-    node_gone(node);
+    node_ended(node);
     sim_kill(fleet->world, node->machine);
 }
 
 void fleet_power_off(Fleet *fleet, FleetRole role, int number)
 {
     FleetNode *node = fleet_node(fleet, role, number);
-    node_gone(node);
+    node_ended(node);
     sim_power_off(fleet->world, node->machine);
 }
 
-static void restarted(void *arg)
+/* Event: reports to the checker that a frozen process runs again. */
+static void report_thaw(void *arg)
 {
     FleetNode *node = arg;
-    /* a later freeze may have begun before this one ended */
+    /* a second freeze, begun before this one ended, may still last */
     if (sim_alive(node->fleet->world, node->machine) && !sim_frozen(node->fleet->world, node->machine))
         checker_worker_restarted(node->fleet->checker, node->settings.name);
 }
@@ -99,7 +102,7 @@
         return;
     sim_freeze(fleet->world, node->machine, until_ms);
     if (role == FLEET_WORKER)
-        sim_at(fleet->world, until_ms + 1, restarted, node);
+        sim_at(fleet->world, until_ms + 1, report_thaw, node);
 }
 
 void fleet_thaw(Fleet *fleet)
@@ -121,7 +124,7 @@
     const int machine = fleet_node(fleet, role, number)->machine;
     for (int r = 0; r < FLEET_ROLES; r++)
         for (int i = 0; i < fleet->node_count[r]; i++)
-            /* in reality a worker and its agent are on one machine */
+            /* In production a worker and its agent share a machine, so the link between them is not cut. */
             if (!((r == FLEET_WORKER && role == FLEET_AGENT && i == number) ||
                   (r == FLEET_AGENT && role == FLEET_WORKER && i == number)))
                 cut_both(fleet, machine, fleet->nodes[r][i].machine, cut);
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -1,4 +1,4 @@
-/* Passes what nodes and callers of a fleet report on to its checker. */
+/* Callbacks that pass the events of a fleet's nodes and callers to its checker. */
 #include "fleet.h"
 
 static void on_plans(void *arg, const char *name, uint64_t term)
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -1,20 +1,20 @@
-/* Simulated HTTP: a connection for each call, whose request and response are delayed, and held back while the link
- * is cut. */
+/* Simulated HTTP. Each call has a connection of its own; its request and response are delayed, and held back while the
+ * link is cut. */
 #include <string.h>
 #include <talloc.h>
 
 #include "world.h"
 
-/* A call in flight. Invariant: call is null once the caller does not wait any more; it is freed when that is so
- * and the server's part is over. */
+/* A call in progress. Invariant: call is null once the caller no longer waits. SimHttp is freed when call is null and
+ * server_done is set. */
 typedef struct SimHttp {
     SimWorld *world;
     int from, to;
-    uint64_t to_life;
+    uint64_t to_incarnation; /* the server's process, see SimMachine.incarnation */
     HttpCall *call;
     SimLoop *caller;
     SimPort port;
-    bool server_over;
+    bool server_done; /* no event of the server or of the response is due any more */
     bool answered;
     Status status;
     Signal done;
@@ -22,20 +22,21 @@
     Bytes body;
     HttpPair *heads;
     size_t head_count;
-    /* the response in flight */
+    /* the response */
     int code, retry_after_s;
     Bytes result;
     HttpPair *response_heads;
     size_t response_head_count;
 } SimHttp;
 
-typedef struct SimServed {
-    HttpTask task; /* first */
+/* A request that the server's process handles. */
+typedef struct SimHttpRequest {
+    HttpTask task; /* must be first */
     SimLoop *loop;
-    SimHttp *http; /* null once the result is given */
-} SimServed;
+    SimHttp *http; /* null once the result has been taken over */
+} SimHttpRequest;
 
-/* Copies, with room for further ones. */
+/* Copies the pairs, with capacity for further ones. */
 static HttpPair *pairs_copy(void *mem, const HttpPair *pairs, size_t count, size_t further)
 {
     HttpPair *copy = talloc_array(mem, HttpPair, (unsigned)(count + further));
@@ -44,24 +45,26 @@
     return copy;
 }
 
+/* Frees the call once neither the caller nor the server needs it any more. */
 static void http_maybe_free(SimHttp *http)
 {
-    if (http->call == NULL && http->server_over)
+    if (http->call == NULL && http->server_done)
         talloc_free(http);
 }
 
-static void result_arrives(void *arg)
+/* Event: the response arrives at the caller, or waits while the link is cut or the caller frozen. */
+static void response_arrives(void *arg)
 {
     SimHttp *http = arg;
     SimWorld *world = http->world;
     if (http->call != NULL) {
         if (world->cut[http->to][http->from]) {
-            sim_at(world, world->now_ms + HELD_RETRY_MS, result_arrives, http);
+            sim_at(world, world->now_ms + HELD_RETRY_MS, response_arrives, http);
             return;
         }
         const int64_t frozen_ms = world->machines[http->from].frozen_until_ms;
         if (frozen_ms > world->now_ms) {
-            sim_at(world, frozen_ms, result_arrives, http);
+            sim_at(world, frozen_ms, response_arrives, http);
             return;
         }
         HttpCall *call = http->call;
@@ -73,49 +76,50 @@
         http->answered = true;
         signal_raise(&http->caller->loop, &http->done);
     }
-    http->server_over = true;
+    http->server_done = true;
     http_maybe_free(http);
 }
 
-/* The server's process has ended before its response. */
-static int served_free(SimServed *served)
+/* Destructor. If the server's process ends before its response, the caller sees a closed connection or nothing. */
+static int request_free(SimHttpRequest *request)
 {
-    SimHttp *http = served->http;
-    served->loop->http_tasks--;
+    SimHttp *http = request->http;
+    request->loop->http_tasks--;
     if (http == NULL)
         return 0;
     http->status = STATUS_CLOSED;
     if (http->world->machines[http->to].silent) {
-        http->server_over = true; /* the caller waits until it gives up */
+        http->server_done = true; /* the caller waits until its time limit */
         http_maybe_free(http);
     } else {
-        sim_at(http->world, http->world->now_ms + sim_link_ms(http->world), result_arrives, http);
+        sim_at(http->world, http->world->now_ms + sim_link_ms(http->world), response_arrives, http);
     }
     return 0;
 }
 
-static void served_main(void *arg)
+static void request_main(void *arg)
 {
-    SimServed *served = arg;
-    SimHttp *http = served->http;
-    http->port.on_http(http->port.arg, &served->task);
-    served->http = NULL;
-    http->code = served->task.code;
-    http->retry_after_s = served->task.retry_after_s;
-    http->result = bytes_copy(http, served->task.result);
-    http->response_heads = pairs_copy(http, served->task.response_heads, served->task.response_head_count, 0);
-    http->response_head_count = served->task.response_head_count;
-    sim_at(http->world, sim_arrival_ms(http->world, http->to, http->from, http->result.count), result_arrives, http);
-    talloc_free(served);
+    SimHttpRequest *request = arg;
+    SimHttp *http = request->http;
+    http->port.on_http(http->port.arg, &request->task);
+    request->http = NULL;
+    http->code = request->task.code;
+    http->retry_after_s = request->task.retry_after_s;
+    http->result = bytes_copy(http, request->task.result);
+    http->response_heads = pairs_copy(http, request->task.response_heads, request->task.response_head_count, 0);
+    http->response_head_count = request->task.response_head_count;
+    sim_at(http->world, sim_arrival_ms(http->world, http->to, http->from, http->result.count), response_arrives, http);
+    talloc_free(request);
 }
 
+/* Event: the request arrives at the server, or waits while the link is cut or the server frozen. */
 static void request_arrives(void *arg)
 {
     SimHttp *http = arg;
     SimWorld *world = http->world;
     SimMachine *machine = &world->machines[http->to];
     if (http->call == NULL) {
-        http->server_over = true;
+        http->server_done = true;
         http_maybe_free(http);
         return;
     }
@@ -123,12 +127,12 @@
         sim_at(world, world->now_ms + HELD_RETRY_MS, request_arrives, http);
         return;
     }
-    if (machine->loop == NULL || machine->life != http->to_life) {
+    if (machine->loop == NULL || machine->incarnation != http->to_incarnation) {
         http->status = STATUS_CLOSED;
         if (machine->silent)
-            http->server_over = true;
+            http->server_done = true;
         else
-            result_arrives(http);
+            response_arrives(http);
         return;
     }
     if (machine->frozen_until_ms > world->now_ms) {
@@ -138,28 +142,28 @@
     const HttpLimits *limits = &machine->loop->limits;
     if (http->body.count > (limits->body_bytes > 0 ? limits->body_bytes : HTTP_BODY_MAX)) {
         http->code = status_http(STATUS_TOO_LARGE);
-        result_arrives(http);
+        response_arrives(http);
         return;
     }
-    SimServed *served = talloc_zero(machine->loop, SimServed);
-    served->loop = machine->loop;
+    SimHttpRequest *request = talloc_zero(machine->loop, SimHttpRequest);
+    request->loop = machine->loop;
     machine->loop->http_tasks++;
-    served->http = http;
-    talloc_set_destructor(served, served_free);
-    HttpTask *task = &served->task;
+    request->http = http;
+    talloc_set_destructor(request, request_free);
+    HttpTask *task = &request->task;
     task->loop = &machine->loop->loop;
-    task->method = talloc_strdup(served, http->method);
-    const char *question = strchr(http->path, '?');
-    task->path = question ? talloc_strndup(served, http->path, (size_t)(question - http->path))
-                          : talloc_strdup(served, http->path);
-    task->query = question ? talloc_strdup(served, question + 1) : "";
+    task->method = talloc_strdup(request, http->method);
+    const char *query_mark = strchr(http->path, '?');
+    task->path = query_mark ? talloc_strndup(request, http->path, (size_t)(query_mark - http->path))
+                            : talloc_strdup(request, http->path);
+    task->query = query_mark ? talloc_strdup(request, query_mark + 1) : "";
     task->head_count = http->head_count;
-    task->heads = pairs_copy(served, http->heads, http->head_count, 0);
-    task->host = http_host(served, http_head(task, "host"));
-    task->body = bytes_copy(served, http->body);
+    task->heads = pairs_copy(request, http->heads, http->head_count, 0);
+    task->host = http_host(request, http_head(task, "host"));
+    task->body = bytes_copy(request, http->body);
     task->code = 500;
     task->kind = "application/json";
-    loop_spawn(&machine->loop->loop, "http", served_main, served);
+    loop_spawn(&machine->loop->loop, "http", request_main, request);
 }
 
 Status sim_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure)
@@ -174,7 +178,7 @@
     ((SimLoop *)loop)->limits = *limits;
 }
 
-/* Simulated calls have a connection each. */
+/* Has nothing to do: simulated calls do not share connections. */
 void sim_leave(Loop *loop)
 {
     (void)loop;
@@ -185,7 +189,7 @@
     return ((const SimLoop *)loop)->http_tasks;
 }
 
-/* Marks the caller as gone when its process ends during a call. */
+/* An object of the calling process. Its destructor marks the caller as gone when the process ends during a call. */
 typedef struct SimCallMark {
     SimHttp *http;
 } SimCallMark;
@@ -227,7 +231,7 @@
     http->world = world;
     http->from = sim->machine;
     http->to = target;
-    http->to_life = machine->life;
+    http->to_incarnation = machine->incarnation;
     http->call = call;
     http->caller = sim;
     http->port = *found;
@@ -236,10 +240,10 @@
     http->body = bytes_copy(http, call->body);
     http->heads = pairs_copy(http, call->heads, call->head_count, 1);
     http->head_count = call->head_count;
-    bool named = false;
+    bool has_host = false;
     for (size_t i = 0; i < call->head_count; i++)
-        named |= strcmp(call->heads[i].name, "host") == 0;
-    if (!named)
+        has_host |= strcmp(call->heads[i].name, "host") == 0;
+    if (!has_host)
         http->heads[http->head_count++] = (HttpPair){"host", talloc_strdup(http->heads, call->address)};
     SimCallMark *mark = talloc_zero(sim, SimCallMark);
     mark->http = http;
--- a/packages/sim/src/machine.c
+++ b/packages/sim/src/machine.c
@@ -1,4 +1,4 @@
-/* Machines and what may befall them: addresses, clocks, freezes, and the network between them. */
+/* Machines: their addresses, ports, clocks and freezes, and the state of the links between them. */
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
@@ -50,9 +50,9 @@
     else
         snprintf(name, sizeof(name), "%.15s", colon + 1);
     snprintf(bound, ADDRESS_MAX, "%s:%s", sim->world->machines[sim->machine].ip, name);
-    SimPort *kept = talloc_zero(sim, SimPort);
-    *kept = port;
-    map_set(sim->ports, name, kept);
+    SimPort *registered = talloc_zero(sim, SimPort);
+    *registered = port;
+    map_set(sim->ports, name, registered);
     return 0;
 }
 
@@ -68,7 +68,7 @@
 
 void sim_freeze(SimWorld *world, int machine, int64_t until_ms)
 {
-    /* of freezes that overlap the longest counts */
+    /* overlapping freezes end with the last of them */
     if (until_ms > world->machines[machine].frozen_until_ms)
         world->machines[machine].frozen_until_ms = until_ms;
 }
@@ -91,8 +91,8 @@
 void sim_clock_rate(SimWorld *world, int number, int64_t percent)
 {
     SimMachine *machine = &world->machines[number];
-    const int64_t ahead_ms = (world->now_ms - machine->rate_from_ms) * (machine->rate_percent - 100) / 100;
-    machine->boot_offset_ms += ahead_ms;
+    const int64_t gain_ms = (world->now_ms - machine->rate_from_ms) * (machine->rate_percent - 100) / 100;
+    machine->boot_offset_ms += gain_ms;
     machine->rate_from_ms = world->now_ms;
     machine->rate_percent = percent;
 }
@@ -128,5 +128,5 @@
 
 void sim_far(SimWorld *world, int machine, int64_t more_ms)
 {
-    world->machines[machine].far_ms = more_ms;
+    world->machines[machine].extra_delay_ms = more_ms;
 }
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -1,137 +1,146 @@
-/* Simulated connections: frames in order, delayed, held back while the link is cut; the end of a connection is
- * seen only while the link is open. */
+/* Simulated connections. Frames arrive in order and delayed, and are held back while the link is cut. A peer sees the
+ * end of a connection only while the link is not cut. */
 #include <string.h>
 #include <talloc.h>
 
 #include "world.h"
 
+/* A frame in transit. */
 typedef struct SimFrame {
     struct SimFrame *next;
-    int64_t due_ms;
-    bool fin;
+    int64_t due_ms; /* world time of arrival */
+    bool fin;       /* the end of this direction, without bytes */
     Bytes bytes;
 } SimFrame;
 
 typedef struct SimChannel SimChannel;
 
-/* Both ends of a connection. Invariant: freed when both ends are gone and no
- * pump or repeated frame is due. */
-typedef struct SimPair {
+/* A connection with both of its ends, 0 (the opener) and 1. Invariant: it is freed when both ends are closed and
+ * no event of transfer_due_frames or duplicate_arrive is due. */
+typedef struct SimConnection {
     SimWorld *world;
     int machine[2];
-    SimChannel *end[2];
-    SimFrame *first[2], *last[2]; /* on the way from that side to the other */
-    bool pumping[2];
-    bool fin[2];
-    size_t repeats; /* frames that come once more */
-} SimPair;
+    SimChannel *end[2];           /* null: closed */
+    SimFrame *first[2], *last[2]; /* frames in transit from that side to the other */
+    bool transferring[2];         /* an event is due that moves that side's frames */
+    bool fin[2];                  /* that side sends no more frames */
+    size_t duplicates;            /* duplicated frames in transit */
+} SimConnection;
 
+/* One end of a connection. */
 struct SimChannel {
-    Channel channel; /* first */
-    SimPair *pair;
+    Channel channel; /* must be first */
+    SimConnection *connection;
     int side;
 };
 
-static void pair_maybe_free(SimPair *pair)
+static void connection_maybe_free(SimConnection *connection)
 {
-    if (pair->end[0] == NULL && pair->end[1] == NULL && !pair->pumping[0] && !pair->pumping[1] && pair->repeats == 0)
-        talloc_free(pair);
+    if (connection->end[0] == NULL && connection->end[1] == NULL && !connection->transferring[0] &&
+        !connection->transferring[1] && connection->duplicates == 0)
+        talloc_free(connection);
 }
 
-typedef struct SimPump {
-    SimPair *pair;
+/* The argument of transfer_due_frames: one direction of a connection. */
+typedef struct SimDirection {
+    SimConnection *connection;
     int side;
-} SimPump;
+} SimDirection;
 
-/* A reset: frames in flight are lost, and both ends see that. */
-static void pair_reset(SimPair *pair)
+/* Resets the connection: frames in transit are lost, and both ends see the connection end. */
+static void connection_reset(SimConnection *connection)
 {
     for (int side = 0; side < 2; side++) {
-        while (pair->first[side] != NULL) {
-            SimFrame *frame = pair->first[side];
-            pair->first[side] = frame->next;
+        while (connection->first[side] != NULL) {
+            SimFrame *frame = connection->first[side];
+            connection->first[side] = frame->next;
             talloc_free(frame);
         }
-        pair->last[side] = NULL;
-        pair->fin[side] = true;
-        if (pair->end[side] != NULL)
-            channel_end(&pair->end[side]->channel);
+        connection->last[side] = NULL;
+        connection->fin[side] = true;
+        if (connection->end[side] != NULL)
+            channel_end(&connection->end[side]->channel);
     }
 }
 
-static void pump(void *arg)
+/* Event: hands over the frames of one direction that are due, and schedules the event for the next frame. */
+static void transfer_due_frames(void *arg)
 {
-    SimPump *one = arg;
-    SimPair *pair = one->pair;
-    SimWorld *world = pair->world;
-    const int side = one->side, other = 1 - side;
-    const bool cut = world->cut[pair->machine[side]][pair->machine[other]];
-    if (cut && world->refused[pair->machine[side]][pair->machine[other]]) {
-        pair_reset(pair);
-    } else if (pair->first[side] != NULL && pair->end[other] != NULL) {
+    SimDirection *direction = arg;
+    SimConnection *connection = direction->connection;
+    SimWorld *world = connection->world;
+    const int side = direction->side, other = 1 - side;
+    const bool cut = world->cut[connection->machine[side]][connection->machine[other]];
+    if (cut && world->refused[connection->machine[side]][connection->machine[other]]) {
+        connection_reset(connection);
+    } else if (connection->first[side] != NULL && connection->end[other] != NULL) {
         if (cut) {
-            sim_at(world, world->now_ms + HELD_RETRY_MS, pump, one);
+            sim_at(world, world->now_ms + HELD_RETRY_MS, transfer_due_frames, direction);
             return;
         }
-        /* a machine that stands still takes frames all the same: its kernel keeps
-         * them, and its process finds them when it wakes, whatever was cut since */
+        /* A frozen machine still receives frames: its kernel buffers them, and the process reads them after the
+         * thaw, even if the link was cut in the meantime. */
     }
-    while (pair->first[side] != NULL && (pair->first[side]->due_ms <= world->now_ms || pair->end[other] == NULL)) {
-        SimFrame *frame = pair->first[side];
-        pair->first[side] = frame->next;
-        if (pair->first[side] == NULL)
-            pair->last[side] = NULL;
-        if (pair->end[side] != NULL)
-            pair->end[side]->channel.written += frame->bytes.count;
-        if (pair->end[other] != NULL) {
+    while (connection->first[side] != NULL &&
+           (connection->first[side]->due_ms <= world->now_ms || connection->end[other] == NULL)) {
+        SimFrame *frame = connection->first[side];
+        connection->first[side] = frame->next;
+        if (connection->first[side] == NULL)
+            connection->last[side] = NULL;
+        if (connection->end[side] != NULL)
+            connection->end[side]->channel.written += frame->bytes.count;
+        if (connection->end[other] != NULL) {
             if (frame->fin)
-                channel_end(&pair->end[other]->channel);
+                channel_end(&connection->end[other]->channel);
             else
-                channel_arrive(&pair->end[other]->channel, frame->bytes);
+                channel_arrive(&connection->end[other]->channel, frame->bytes);
         }
         talloc_free(frame);
     }
-    if (pair->first[side] != NULL) {
-        sim_at(world, pair->first[side]->due_ms, pump, one);
+    if (connection->first[side] != NULL) {
+        sim_at(world, connection->first[side]->due_ms, transfer_due_frames, direction);
         return;
     }
-    pair->pumping[side] = false;
-    talloc_free(one);
-    pair_maybe_free(pair);
+    connection->transferring[side] = false;
+    talloc_free(direction);
+    connection_maybe_free(connection);
 }
 
-typedef struct SimRepeat {
-    SimPair *pair;
+/* A duplicated frame in transit. */
+typedef struct SimDuplicate {
+    SimConnection *connection;
     int side;
     Bytes bytes;
-} SimRepeat;
+} SimDuplicate;
 
-static void repeat_arrive(void *arg)
+/* Event: a duplicated frame arrives, unless the link is cut or the receiving end closed. */
+static void duplicate_arrive(void *arg)
 {
-    SimRepeat *repeat = arg;
-    SimPair *pair = repeat->pair;
-    const int other = 1 - repeat->side;
-    if (pair->end[other] != NULL && !pair->world->cut[pair->machine[repeat->side]][pair->machine[other]])
-        channel_arrive(&pair->end[other]->channel, repeat->bytes);
-    pair->repeats--;
-    talloc_free(repeat);
-    pair_maybe_free(pair);
+    SimDuplicate *duplicate = arg;
+    SimConnection *connection = duplicate->connection;
+    const int other = 1 - duplicate->side;
+    if (connection->end[other] != NULL &&
+        !connection->world->cut[connection->machine[duplicate->side]][connection->machine[other]])
+        channel_arrive(&connection->end[other]->channel, duplicate->bytes);
+    connection->duplicates--;
+    talloc_free(duplicate);
+    connection_maybe_free(connection);
 }
 
-/* Whether the frame is lost; it may come once more otherwise. */
-static bool frame_drawn(SimPair *pair, int side, Bytes bytes)
+/* Draws whether the frame is lost, and returns that. Otherwise draws whether a duplicate of it arrives later. */
+static bool frame_lost(SimConnection *connection, int side, Bytes bytes)
 {
-    SimWorld *world = pair->world;
+    SimWorld *world = connection->world;
     if (world->frame_dropped == 0 && world->frame_repeated == 0)
         return false;
     if (sim_random(world) % 1000 < world->frame_dropped)
         return true;
     if (sim_random(world) % 1000 < world->frame_repeated) {
-        SimRepeat *repeat = talloc_zero(world, SimRepeat);
-        *repeat = (SimRepeat){pair, side, bytes_copy(repeat, bytes)};
-        pair->repeats++;
+        SimDuplicate *duplicate = talloc_zero(world, SimDuplicate);
+        *duplicate = (SimDuplicate){connection, side, bytes_copy(duplicate, bytes)};
+        connection->duplicates++;
         const int64_t late_ms = (int64_t)(sim_random(world) % (uint64_t)(world->frame_late_ms + 1));
-        sim_at(world, world->now_ms + sim_link_ms(world) + late_ms, repeat_arrive, repeat);
+        sim_at(world, world->now_ms + sim_link_ms(world) + late_ms, duplicate_arrive, duplicate);
     }
     return false;
 }
@@ -146,56 +155,60 @@
     return world->machines[machine].received_bytes;
 }
 
-static void preemption(SimPair *pair, int side, bool fin, Bytes bytes)
+/* Sends a frame, or the end of this direction (fin). */
+static void frame_send(SimConnection *connection, int side, bool fin, Bytes bytes)
 {
-    if (pair->fin[side])
+    if (connection->fin[side])
         return;
-    pair->fin[side] = fin;
-    SimWorld *world = pair->world;
-    SimFrame *frame = talloc_zero(pair, SimFrame);
+    connection->fin[side] = fin;
+    SimWorld *world = connection->world;
+    SimFrame *frame = talloc_zero(connection, SimFrame);
     frame->fin = fin;
     frame->bytes = bytes_copy(frame, bytes);
-    world->machines[pair->machine[side]].sent_bytes += bytes.count;
-    world->machines[pair->machine[1 - side]].received_bytes += bytes.count;
-    frame->due_ms = sim_arrival_ms(world, pair->machine[side], pair->machine[1 - side], bytes.count) +
-                    world->machines[pair->machine[0]].far_ms + world->machines[pair->machine[1]].far_ms;
-    if (pair->last[side] != NULL) {
-        if (frame->due_ms < pair->last[side]->due_ms)
-            frame->due_ms = pair->last[side]->due_ms;
-        pair->last[side]->next = frame;
+    world->machines[connection->machine[side]].sent_bytes += bytes.count;
+    world->machines[connection->machine[1 - side]].received_bytes += bytes.count;
+    frame->due_ms = sim_arrival_ms(world, connection->machine[side], connection->machine[1 - side], bytes.count) +
+                    world->machines[connection->machine[0]].extra_delay_ms +
+                    world->machines[connection->machine[1]].extra_delay_ms;
+    if (connection->last[side] != NULL) {
+        if (frame->due_ms < connection->last[side]->due_ms)
+            frame->due_ms = connection->last[side]->due_ms;
+        connection->last[side]->next = frame;
     } else {
-        pair->first[side] = frame;
+        connection->first[side] = frame;
     }
-    pair->last[side] = frame;
-    if (!pair->pumping[side]) {
-        pair->pumping[side] = true;
-        SimPump *one = talloc_zero(pair, SimPump);
-        *one = (SimPump){pair, side};
-        sim_at(world, frame->due_ms, pump, one);
+    connection->last[side] = frame;
+    if (!connection->transferring[side]) {
+        connection->transferring[side] = true;
+        SimDirection *direction = talloc_zero(connection, SimDirection);
+        *direction = (SimDirection){connection, side};
+        sim_at(world, frame->due_ms, transfer_due_frames, direction);
     }
 }
 
+/* Destructor. Closes this end; the peer sees that unless the process ended by a loss of power. */
 static int sim_channel_free(SimChannel *sim_channel)
 {
-    SimPair *pair = sim_channel->pair;
-    pair->end[sim_channel->side] = NULL;
-    if (!pair->world->machines[pair->machine[sim_channel->side]].silent)
-        preemption(pair, sim_channel->side, true, (Bytes){0});
-    pair_maybe_free(pair);
+    SimConnection *connection = sim_channel->connection;
+    connection->end[sim_channel->side] = NULL;
+    if (!connection->world->machines[connection->machine[sim_channel->side]].silent)
+        frame_send(connection, sim_channel->side, true, (Bytes){0});
+    connection_maybe_free(connection);
     return 0;
 }
 
-static SimChannel *sim_channel_new(SimPair *pair, int side, Loop *loop, void *mem)
+static SimChannel *sim_channel_new(SimConnection *connection, int side, Loop *loop, void *mem)
 {
     SimChannel *sim_channel = talloc_zero(mem, SimChannel);
     sim_channel->channel.loop = loop;
-    sim_channel->pair = pair;
+    sim_channel->connection = connection;
     sim_channel->side = side;
-    pair->end[side] = sim_channel;
+    connection->end[side] = sim_channel;
     talloc_set_destructor(sim_channel, sim_channel_free);
     return sim_channel;
 }
 
+/* A new connection at the listener's process. */
 typedef struct SimAccepted {
     SimPort port;
     Channel *channel;
@@ -244,16 +257,16 @@
         const SimPort *found = map_get(machine->loop->ports, port);
         if (found == NULL || found->on_channel == NULL)
             return STATUS_UNREACHABLE;
-        SimPair *pair = talloc_zero(world, SimPair);
-        pair->world = world;
-        pair->machine[0] = sim->machine;
-        pair->machine[1] = target;
-        SimChannel *mine = sim_channel_new(pair, 0, loop, mem);
-        SimChannel *theirs = sim_channel_new(pair, 1, &machine->loop->loop, machine->loop);
+        SimConnection *connection = talloc_zero(world, SimConnection);
+        connection->world = world;
+        connection->machine[0] = sim->machine;
+        connection->machine[1] = target;
+        SimChannel *opener_end = sim_channel_new(connection, 0, loop, mem);
+        SimChannel *listener_end = sim_channel_new(connection, 1, &machine->loop->loop, machine->loop);
         SimAccepted *accepted = talloc_zero(machine->loop, SimAccepted);
-        *accepted = (SimAccepted){*found, &theirs->channel};
+        *accepted = (SimAccepted){*found, &listener_end->channel};
         loop_spawn(&machine->loop->loop, "connection", accepted_main, accepted);
-        *channel = &mine->channel;
+        *channel = &opener_end->channel;
         return STATUS_OK;
     } while (loop_now_ms(loop) < until_ms);
     return STATUS_UNREACHABLE;
@@ -265,17 +278,17 @@
     if (frame.count > FRAME_MAX_BYTES)
         return STATUS_TOO_LARGE;
     channel->queued += frame.count;
-    if (!sim_channel->pair->fin[sim_channel->side])
+    if (!sim_channel->connection->fin[sim_channel->side])
         channel->handed = channel->queued;
-    if (frame_drawn(sim_channel->pair, sim_channel->side, frame))
-        channel->written += frame.count; /* lost on its way: it waits no more */
+    if (frame_lost(sim_channel->connection, sim_channel->side, frame))
+        channel->written += frame.count; /* a lost frame is not waiting to be written */
     else
-        preemption(sim_channel->pair, sim_channel->side, false, frame);
+        frame_send(sim_channel->connection, sim_channel->side, false, frame);
     return STATUS_OK;
 }
 
 void sim_shut(Channel *channel)
 {
     SimChannel *sim_channel = (SimChannel *)channel;
-    preemption(sim_channel->pair, sim_channel->side, true, (Bytes){0});
+    frame_send(sim_channel->connection, sim_channel->side, true, (Bytes){0});
 }
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -1,4 +1,4 @@
-/* Sweeps: a run of failures that are drawn from a seed, and what must hold in it. */
+/* Sweeps: a run with faults drawn from a seed, and the checks of service during it. */
 #include "sim/sweep.h"
 
 #include <inttypes.h>
@@ -8,20 +8,20 @@
 
 #include "sweep_act.h"
 
-#define DENSE_MS 40000     /* ms; how long failures go on, one after another */
-#define BURSTS 6           /* count; of several failures each, and quiet after */
-#define BURST_MOST 4       /* count; failures in one */
-#define QUIET_MS 13000     /* ms; "within about 12 seconds", and a second to look */
-#define DISKS_LIE_ONE_IN 4 /* seeds */
-#define NOTIFY_MOST 5      /* count; open jobs of a caller told of a broken run */
-#define WORKABLE_LEAST 4   /* count; workers with which the fleet must start something */
+#define DENSE_MS 40000       /* Duration of a run whose faults follow one another without a pause. */
+#define BURSTS 6             /* Bursts of faults in a run, each followed by a quiet period. */
+#define BURST_MOST 4         /* Faults in a burst, at most. */
+#define QUIET_MS 13000       /* Quiet period: service must be back "within about 12 seconds", plus 1 s for the check. */
+#define DISKS_LIE_ONE_IN 4   /* In one of this many seeds, disks acknowledge syncs falsely. */
+#define PRINTED_JOBS_MAX 5   /* Open jobs printed for each caller of a run with a violation, at most. */
+#define USABLE_WORKERS_MIN 4 /* Usable workers from which on the fleet must start attempts. */
 
 static const struct {
     const char *name;
     uint64_t weight;
     SweepAct act;
 } ACTS[] = {
-#define X(name, outside, weight) {outside, weight, act_##name},
+#define X(name, outer_name, weight) {outer_name, weight, act_##name},
     SWEEP_ACT_LIST(X)
 #undef X
 };
@@ -39,7 +39,8 @@
     return (SweepSite)site;
 }
 
-static void heal(Sweep *sweep)
+/* Ends all faults, starts all nodes and takes back the drain of a zone. */
+static void end_faults(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
     sweep_join_all(sweep);
@@ -48,7 +49,7 @@
         sim_disk_slow(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, 3);
         sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, false);
         if (!sim_disk_good(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, INT64_MAX)) {
-            /* a controller whose disk has failed leads no more until it is started anew */
+            /* after a disk failure a controller does not lead again until its process is restarted */
             sim_disk_fail(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, false);
             fleet_kill(fleet, FLEET_CONTROLLER, i);
         }
@@ -57,29 +58,29 @@
         FleetNode *worker = fleet_node(fleet, FLEET_WORKER, i);
         worker->worker_settings.fails_all = worker->worker_settings.repeats = false;
         worker->worker_settings.slow_times = 1;
-        fleet_kill(fleet, FLEET_WORKER, i); /* those that left come back as new processes */
+        fleet_kill(fleet, FLEET_WORKER, i); /* workers that announced to leave return as new processes */
     }
     sweep_start_all(sweep);
-    for (int i = 0; i < 40 && sweep->drained != NULL; i++) {
+    for (int i = 0; i < 40 && sweep->drained_zone != NULL; i++) {
         void *mem = talloc_new(NULL);
-        checker_zone(fleet->checker, sweep->drained, false);
+        checker_zone(fleet->checker, sweep->drained_zone, false);
         if (fleet_ask(fleet, mem, FLEET_ENTRY_POINT, i % 3, "DELETE",
-                      talloc_asprintf(mem, "/v1/zones/%s/drain", sweep->drained), NULL)
+                      talloc_asprintf(mem, "/v1/zones/%s/drain", sweep->drained_zone), NULL)
                 .code == 200)
-            sweep->drained = NULL;
+            sweep->drained_zone = NULL;
         else
             fleet_run(fleet, 500);
         talloc_free(mem);
     }
-    sweep_say(sweep, "healed (start %" PRId64 ")", sweep->start_ms);
+    sweep_report_fault(sweep, "all faults ended (run began at %" PRId64 " ms)", sweep->start_ms);
 }
 
-/* One failure, drawn from the seed and the step alone, so that leaving another
- * out changes nothing in it. */
-static void step(Sweep *sweep, const SweepSettings *settings, size_t number)
+/* Injects one fault. It is drawn from the seed and the step's number alone, so that skipping another step does not
+ * change it. */
+static void run_step(Sweep *sweep, const SweepSettings *settings, size_t number)
 {
     uint64_t weights = 0;
-    sweep->state = settings->seed * 1000003 + number * 7919 + 5;
+    sweep->random_state = settings->seed * 1000003 + number * 7919 + 5;
     for (size_t i = 0; i < sizeof(ACTS) / sizeof(ACTS[0]); i++)
         weights += ACTS[i].weight;
     uint64_t left = sweep_draw(sweep, weights);
@@ -90,8 +91,8 @@
         ACTS[at].act(sweep);
 }
 
-/* 12 s after the last failure: who must have served by now. */
-static void must_serve(Sweep *sweep, SweepResult *result)
+/* Checks, more than 12 s after the last fault, that each entry point that can serve has served. */
+static void check_service(Sweep *sweep, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
     bool any = false;
@@ -101,45 +102,49 @@
             result->asserted++;
             any = true;
         }
-    if (any && sweep->drained == NULL && fleet_workable(fleet) >= WORKABLE_LEAST)
+    if (any && sweep->drained_zone == NULL && fleet_workable(fleet) >= USABLE_WORKERS_MIN)
         checker_must_start(fleet->checker);
 }
 
-static bool broken(const Sweep *sweep)
+/* Whether any safety property was violated. */
+static bool has_violation(const Sweep *sweep)
 {
     return checker_broken_all(sweep->fleet->checker) > 0;
 }
 
-static void dense(Sweep *sweep, const SweepSettings *settings, SweepResult *result)
+/* Injects faults one after another for DENSE_MS. */
+static void run_dense(Sweep *sweep, const SweepSettings *settings, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
-    while (sim_now_ms(fleet->world) - sweep->start_ms < DENSE_MS && !broken(sweep) && result->steps < SWEEP_STEPS_MAX) {
-        step(sweep, settings, result->steps++);
+    while (sim_now_ms(fleet->world) - sweep->start_ms < DENSE_MS && !has_violation(sweep) &&
+           result->steps < SWEEP_STEPS_MAX) {
+        run_step(sweep, settings, result->steps++);
         fleet_run(fleet, (int64_t)sweep_draw(sweep, 2000));
     }
 }
 
-static void bursts(Sweep *sweep, const SweepSettings *settings, SweepResult *result)
+/* Injects bursts of faults, and checks service after the quiet period that follows each. */
+static void run_bursts(Sweep *sweep, const SweepSettings *settings, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
-    for (int burst = 0; burst < BURSTS && !broken(sweep); burst++) {
-        sweep->state = settings->seed * 31337 + (uint64_t)burst;
+    for (int burst = 0; burst < BURSTS && !has_violation(sweep); burst++) {
+        sweep->random_state = settings->seed * 31337 + (uint64_t)burst;
         const uint64_t failures = 1 + sweep_draw(sweep, BURST_MOST);
-        for (uint64_t i = 0; i < failures && !broken(sweep); i++) {
-            step(sweep, settings, result->steps++);
+        for (uint64_t i = 0; i < failures && !has_violation(sweep); i++) {
+            run_step(sweep, settings, result->steps++);
             fleet_run(fleet, (int64_t)sweep_draw(sweep, 1200));
         }
-        /* a freeze that is still on ends before the quiet begins */
+        /* the quiet period begins when the last freeze has ended */
         fleet_thaw(fleet);
         checker_fault(fleet->checker);
         fleet_run(fleet, QUIET_MS);
-        if (!broken(sweep))
-            must_serve(sweep, result);
+        if (!has_violation(sweep))
+            check_service(sweep, result);
     }
 }
 
-/* Prints what every entry point and controller that is up reports of itself at the end of a broken run. */
-static void notify_self(Fleet *fleet, FleetRole role)
+/* Prints the readiness and metrics of each node of the role whose process runs. */
+static void print_node_reports(Fleet *fleet, FleetRole role)
 {
     static const char *const PATHS[] = {"/readyz", "/metrics"};
     for (int i = 0; i < fleet->node_count[role]; i++)
@@ -152,30 +157,32 @@
         }
 }
 
-static void notify(const Sweep *sweep)
+/* Prints flight recorders, node reports and open jobs at the end of a failed run. */
+static void print_failed_run(const Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
     fleet_dump(fleet);
-    notify_self(fleet, FLEET_CONTROLLER);
-    notify_self(fleet, FLEET_ENTRY_POINT);
+    print_node_reports(fleet, FLEET_CONTROLLER);
+    print_node_reports(fleet, FLEET_ENTRY_POINT);
     for (int c = 0; c < fleet->caller_count; c++) {
         CallerJob *const *jobs;
         const size_t count = caller_jobs(fleet->callers[c], &jobs);
-        size_t reported = 0;
-        for (size_t i = 0; i < count && reported < NOTIFY_MOST; i++) {
+        size_t printed = 0;
+        for (size_t i = 0; i < count && printed < PRINTED_JOBS_MAX; i++) {
             const Job *job = jobs[i]->ended_ms == 0 && !jobs[i]->refused ? fleet_job(fleet, jobs[i]->id) : NULL;
             if (jobs[i]->ended_ms != 0 || jobs[i]->refused)
                 continue;
-            reported++;
-            printf("open: %s accepted %" PRId64 " %s\n", jobs[i]->id, jobs[i]->accepted_ms, job ? "" : "not known");
+            printed++;
+            printf("open: %s accepted at %" PRId64 " ms%s\n", jobs[i]->id, jobs[i]->accepted_ms,
+                   job ? "" : ", known to no controller");
             for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
-                printf("  task %zu %s round %" PRIu64 " on %s: %s\n", t, task_phase_word(job->tasks[t].phase),
+                printf("  task %zu %s attempt %" PRIu64 " on %s: %s\n", t, task_phase_word(job->tasks[t].phase),
                        job->tasks[t].attempt, job->tasks[t].worker, job->tasks[t].text);
         }
     }
 }
 
-/* The fleet of a run, by SweepSite. */
+/* Number of controllers and setup of the fleet, by SweepSite. */
 static const int CONTROLLERS[] = {3, 3, 6, 8};
 static const FleetSite SITES[] = {
     {.zones = 3, .losses = 1},
@@ -197,56 +204,56 @@
                               2 * site->losses};
     Sweep *sweep = talloc_zero(mem, Sweep);
     sweep->fleet = fleet_new_at(mem, settings->seed, shape, site);
-    sweep->loud = settings->loud;
-    sweep->jumped = -1;
-    sweep->liars = settings->seed % DISKS_LIE_ONE_IN == 0 && !site->disks_keep;
+    sweep->verbose = settings->loud;
+    sweep->wrong_clock_machine = -1;
+    sweep->disks_lie = settings->seed % DISKS_LIE_ONE_IN == 0 && !site->disks_keep;
     return sweep;
 }
 
-/* Whether failures come in bursts with quiet between, rather than one after another. */
-static bool is_sparse(const SweepSettings *settings)
+/* Whether faults come in bursts with quiet periods between them, rather than one after another. */
+static bool has_bursts(const SweepSettings *settings)
 {
     return settings->seed % 2 == 0;
 }
 
-/* The fleet has its configuration: jobs and probes begin, and disks that lie do so from now on. */
+/* Starts jobs and probes once the fleet has its configuration, and lets disks acknowledge syncs falsely if drawn. */
 static void work_begin(Sweep *sweep, const SweepSettings *settings)
 {
     Fleet *fleet = sweep->fleet;
-    const bool sparse = is_sparse(settings);
+    const bool with_bursts = has_bursts(settings);
     checker_config_set(fleet->checker, 1);
     if (settings->mix == MIX_VARIED)
         checker_quota(fleet->checker, "bounded", (Resources){3000, 0, 0}, TENANT_IN);
     sweep->start_ms = sim_now_ms(fleet->world);
-    for (int i = 0; i < fleet->shape.controllers && sweep->liars; i++)
+    for (int i = 0; i < fleet->shape.controllers && sweep->disks_lie; i++)
         sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, true);
-    fleet_call(fleet, "s", sparse ? 4000 : settings->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
-    probes_start(fleet, sparse ? 400 : 900);
+    fleet_call(fleet, "s", with_bursts ? 4000 : settings->mix == MIX_ATLAS ? 9000 : 10000, with_bursts ? 90000 : 50000);
+    probes_start(fleet, with_bursts ? 400 : 900);
     fleet_run(fleet, 1000);
 }
 
-/* All is healed: every entry point must serve within the quiet. */
-static void serve_again(Sweep *sweep, SweepResult *result)
+/* Ends all faults and checks that every entry point serves within the quiet period. */
+static void check_service_restored(Sweep *sweep, SweepResult *result)
 {
-    heal(sweep);
+    end_faults(sweep);
     fleet_thaw(sweep->fleet);
     fleet_run(sweep->fleet, QUIET_MS);
-    must_serve(sweep, result);
+    check_service(sweep, result);
 }
 
-/* No more jobs come: every accepted one must end. */
-static void finish(Sweep *sweep, SweepResult *result)
+/* Stops callers and probes, and checks that every accepted job ends. */
+static void check_jobs_end(Sweep *sweep, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
     probes_stop(fleet);
     for (int i = 0; i < fleet->caller_count; i++)
         caller_stop(fleet->callers[i]);
-    const bool finished = broken(sweep) || fleet_finish(fleet, 180000);
-    if (finished && !broken(sweep))
+    const bool finished = has_violation(sweep) || fleet_finish(fleet, 180000);
+    if (finished && !has_violation(sweep))
         return;
     result->good = false;
     snprintf(result->why, sizeof(result->why), "%s",
-             broken(sweep) ? checker_first(fleet->checker) : "jobs have not ended");
+             has_violation(sweep) ? checker_first(fleet->checker) : "not every accepted job has ended");
 }
 
 void sweep_run(const SweepSettings *settings, SweepResult *result)
@@ -261,16 +268,16 @@
         result->good = false;
     } else {
         work_begin(sweep, settings);
-        (is_sparse(settings) ? bursts : dense)(sweep, settings, result);
-        if (!broken(sweep))
-            serve_again(sweep, result);
-        finish(sweep, result);
+        (has_bursts(settings) ? run_bursts : run_dense)(sweep, settings, result);
+        if (!has_violation(sweep))
+            check_service_restored(sweep, result);
+        check_jobs_end(sweep, result);
     }
     result->starts = checker_starts(fleet->checker);
     result->faults = sweep->faults;
     for (int i = 0; i < SERVE_COUNT; i++)
         result->worst_ms[i] = checker_worst_ms(fleet->checker, (Serve)i);
     if (!result->good && settings->loud)
-        notify(sweep);
+        print_failed_run(sweep);
     talloc_free(mem);
 }
--- a/packages/sim/src/sweep_act.c
+++ b/packages/sim/src/sweep_act.c
@@ -1,4 +1,4 @@
-/* What the kinds of failures of a sweep share: the draw, the output, and which node is struck. */
+/* Functions that all faults of a sweep share: random numbers, output, and the choice of a node. */
 #include "sweep_act.h"
 
 #include <inttypes.h>
@@ -7,17 +7,17 @@
 
 uint64_t sweep_draw(Sweep *sweep, uint64_t below)
 {
-    uint64_t mixed_bits = (sweep->state += 0x9e3779b97f4a7c15u);
+    uint64_t mixed_bits = (sweep->random_state += 0x9e3779b97f4a7c15u);
     mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
     mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
     return (mixed_bits ^ (mixed_bits >> 31)) % below;
 }
 
-void sweep_say(Sweep *sweep, const char *format, ...)
+void sweep_report_fault(Sweep *sweep, const char *format, ...)
 {
     sweep->faults++;
     checker_fault(sweep->fleet->checker);
-    if (!sweep->loud)
+    if (!sweep->verbose)
         return;
     va_list args;
     va_start(args, format);
@@ -32,14 +32,14 @@
     return fleet_node(sweep->fleet, role, (int)sweep_draw(sweep, (uint64_t)sweep->fleet->node_count[role]));
 }
 
-FleetNode *sweep_any(Sweep *sweep)
+FleetNode *sweep_any_node(Sweep *sweep)
 {
     static const FleetRole ROLES[] = {FLEET_CONTROLLER,  FLEET_CONTROLLER, FLEET_CONTROLLER,
                                       FLEET_ENTRY_POINT, FLEET_AGENT,      FLEET_WORKER};
     FleetNode *node = sweep_node(sweep, ROLES[sweep_draw(sweep, 6)]);
-    if (sweep->liars && node->role == FLEET_AGENT)
+    if (sweep->disks_lie && node->role == FLEET_AGENT)
         node = sweep_node(sweep, FLEET_CONTROLLER);
-    if (sweep->liars && node->role == FLEET_ENTRY_POINT) /* what it keeps for repair is kept by another too */
+    if (sweep->disks_lie && node->role == FLEET_ENTRY_POINT) /* other entry points hold its repair items too */
         node = fleet_node(sweep->fleet, FLEET_ENTRY_POINT, 0);
     return node;
 }
@@ -51,7 +51,7 @@
         for (int i = 0; i < fleet->node_count[role]; i++) {
             if (role == FLEET_WORKER && !sim_alive(fleet->world, fleet->nodes[role][i].machine))
                 checker_leaving(fleet->checker, fleet->nodes[role][i].settings.name, false);
-            /* a spare comes only in another's place */
+            /* a spare runs only once it was started in place of another controller */
             if (role != FLEET_CONTROLLER || i < fleet->shape.controllers || fleet->nodes[role][i].recorder != NULL)
                 fleet_start_node(fleet, (FleetRole)role, i);
         }
--- a/packages/sim/src/sweep_nodes.c
+++ b/packages/sim/src/sweep_nodes.c
@@ -1,4 +1,4 @@
-/* Failures of machines, disks, clocks and links. */
+/* Faults of machines, disks, clocks and links. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -8,6 +8,7 @@
 
 static const char *const ZONES[] = {"north", "south", "west"};
 
+/* Controllers whose processes run. */
 static int voters_alive(const Sweep *sweep)
 {
     int count = 0;
@@ -16,7 +17,7 @@
     return count;
 }
 
-/* How many of the wanted voters are not running with a good disk. */
+/* How many of the intended voters do not run with a working disk. */
 static int voters_missing(Sweep *sweep)
 {
     return 2 * sweep->fleet->site.losses + 1 - fleet_voters(sweep->fleet);
@@ -24,58 +25,59 @@
 
 void act_kill(Sweep *sweep)
 {
-    FleetNode *node = sweep_any(sweep);
+    FleetNode *node = sweep_any_node(sweep);
     if (node->role == FLEET_CONTROLLER && voters_alive(sweep) < sweep->fleet->shape.controllers &&
         sweep_draw(sweep, 3) != 0)
         return;
-    sweep_say(sweep, "kill %s", node->settings.name);
+    sweep_report_fault(sweep, "kill %s", node->settings.name);
     fleet_kill(sweep->fleet, node->role, node->number);
 }
 
 void act_power_off(Sweep *sweep)
 {
-    FleetNode *node = sweep_any(sweep);
-    if (sweep->liars && sweep_draw(sweep, 2) == 0) {
-        sweep_say(sweep, "power lost at all seats");
+    FleetNode *node = sweep_any_node(sweep);
+    if (sweep->disks_lie && sweep_draw(sweep, 2) == 0) {
+        sweep_report_fault(sweep, "power lost at all controllers");
         for (int i = 0; i < sweep->fleet->node_count[FLEET_CONTROLLER]; i++)
             fleet_power_off(sweep->fleet, FLEET_CONTROLLER, i);
         fleet_run(sweep->fleet, (int64_t)sweep_draw(sweep, 1500));
         sweep_start_all(sweep);
         return;
     }
-    sweep_say(sweep, "power off %s", node->settings.name);
+    sweep_report_fault(sweep, "power off %s", node->settings.name);
     fleet_power_off(sweep->fleet, node->role, node->number);
 }
 
 void act_freeze(Sweep *sweep)
 {
-    FleetNode *node = sweep_any(sweep);
+    FleetNode *node = sweep_any_node(sweep);
     const int64_t for_ms = 200 + (int64_t)sweep_draw(sweep, 6000);
-    sweep_say(sweep, "freeze %s for %" PRId64, node->settings.name, for_ms);
+    sweep_report_fault(sweep, "freeze %s for %" PRId64 " ms", node->settings.name, for_ms);
     fleet_freeze(sweep->fleet, node->role, node->number, for_ms);
 }
 
 void act_cut_off(Sweep *sweep)
 {
-    FleetNode *node = sweep_any(sweep);
-    sweep_say(sweep, "cut off %s", node->settings.name);
+    FleetNode *node = sweep_any_node(sweep);
+    sweep_report_fault(sweep, "cut off %s", node->settings.name);
     fleet_isolate(sweep->fleet, node->role, node->number, true);
 }
 
 void act_cut_one_way(Sweep *sweep)
 {
-    const FleetNode *from = sweep_any(sweep), *to = sweep_any(sweep);
-    sweep_say(sweep, "cut %s > %s", from->settings.name, to->settings.name);
+    const FleetNode *from = sweep_any_node(sweep), *to = sweep_any_node(sweep);
+    sweep_report_fault(sweep, "cut %s > %s", from->settings.name, to->settings.name);
     sim_cut(sweep->fleet->world, from->machine, to->machine, true);
 }
 
-/* A link that comes and goes, both ways or one. */
+/* A link that is cut and restored repeatedly, in one direction or both. */
 void act_flap(Sweep *sweep)
 {
-    const FleetNode *a = sweep_any(sweep), *b = sweep_node(sweep, FLEET_CONTROLLER);
+    const FleetNode *a = sweep_any_node(sweep), *b = sweep_node(sweep, FLEET_CONTROLLER);
     const bool both = sweep_draw(sweep, 2) == 0;
     const int64_t each_ms = 50 + (int64_t)sweep_draw(sweep, 900);
-    sweep_say(sweep, "flap %s %s %s each %" PRId64, a->settings.name, both ? "<>" : ">", b->settings.name, each_ms);
+    sweep_report_fault(sweep, "link %s %s %s flaps every %" PRId64 " ms", a->settings.name, both ? "<>" : ">",
+                       b->settings.name, each_ms);
     for (int i = 0; i < 8; i++) {
         sim_cut(sweep->fleet->world, a->machine, b->machine, i % 2 == 0);
         if (both)
@@ -86,13 +88,13 @@
 
 void act_join_all(Sweep *sweep)
 {
-    sweep_say(sweep, "all joined");
+    sweep_report_fault(sweep, "all links restored");
     sweep_join_all(sweep);
 }
 
 void act_start_all(Sweep *sweep)
 {
-    sweep_say(sweep, "all started");
+    sweep_report_fault(sweep, "all nodes started");
     sweep_start_all(sweep);
 }
 
@@ -100,90 +102,92 @@
 {
     const FleetNode *controller = sweep_node(sweep, FLEET_CONTROLLER);
     const int64_t sync_ms = sweep_draw(sweep, 2) ? 3 : (int64_t)sweep_draw(sweep, 4000);
-    sweep_say(sweep, "disk of %s takes %" PRId64, controller->settings.name, sync_ms);
+    sweep_report_fault(sweep, "disk of %s syncs in %" PRId64 " ms", controller->settings.name, sync_ms);
     sim_disk_slow(sweep->fleet->world, controller->machine, sync_ms);
 }
 
-/* Full, or failing: nothing is written until it works again. */
+/* A disk that is full or failing: no write succeeds until it works again. */
 void act_disk_fails(Sweep *sweep)
 {
     const FleetNode *controller = sweep_node(sweep, FLEET_CONTROLLER);
     const bool fails = sweep_draw(sweep, 2) == 0;
-    sweep_say(sweep, "disk of %s %s", controller->settings.name, fails ? "fails" : "works");
+    sweep_report_fault(sweep, "disk of %s %s", controller->settings.name, fails ? "fails" : "works");
     sim_disk_fail(sweep->fleet->world, controller->machine, fails);
 }
 
-/* A journal torn or spoilt while its controller is down. One spoilt before its end is
- * refused, so that controller starts with an empty disk: it has been replaced. */
-void act_disk_spoilt(Sweep *sweep)
+/* A journal that is torn or damaged while its controller is down. A journal damaged before its end is rejected at the
+ * start, so that controller starts with an empty disk, like a replaced one. */
+void act_disk_damaged(Sweep *sweep)
 {
     FleetNode *controller = sweep_node(sweep, FLEET_CONTROLLER);
-    if (voters_missing(sweep) >=
-        sweep->fleet->site.losses) /* as many disks may be lost as the site tolerates, and no more */
+    /* no more disks may be lost than the site tolerates */
+    if (voters_missing(sweep) >= sweep->fleet->site.losses)
         return;
     fleet_power_off(sweep->fleet, FLEET_CONTROLLER, controller->number);
     Bytes *journal = sim_disk_content(sweep->fleet->world, controller->machine, "data/journal");
     const bool torn = sweep_draw(sweep, 2) == 0 && !sweep->fleet->site.disks_keep;
     if (torn && journal->count > 600) {
         const size_t cut = 1 + (size_t)sweep_draw(sweep, 300);
-        sweep_say(sweep, "%s loses the last %zu bytes", controller->settings.name, cut);
+        sweep_report_fault(sweep, "journal of %s loses its last %zu bytes", controller->settings.name, cut);
         journal->count -= cut;
     } else {
-        sweep_say(sweep, "%s's disk is spoilt and emptied", controller->settings.name);
+        sweep_report_fault(sweep, "disk of %s is damaged and wiped", controller->settings.name);
         sim_disk_wipe(sweep->fleet->world, controller->machine);
     }
     fleet_run(sweep->fleet, 500 + (int64_t)sweep_draw(sweep, 2000));
     fleet_start_node(sweep->fleet, FLEET_CONTROLLER, controller->number);
 }
 
-/* One machine's wall clock is off at a time: the median of three is right. */
+/* At most one machine's wall clock is wrong at a time, so that the median of three clocks is correct. */
 void act_clock_jump(Sweep *sweep)
 {
-    const FleetNode *node = sweep_any(sweep);
+    const FleetNode *node = sweep_any_node(sweep);
     const int64_t by_ms = (int64_t)sweep_draw(sweep, 7200000) - 3600000;
-    if (sweep->jumped >= 0) {
-        sweep_say(sweep, "the clock that was off is set right");
-        sim_clock_right(sweep->fleet->world, sweep->jumped);
-        sweep->jumped = -1;
+    if (sweep->wrong_clock_machine >= 0) {
+        sweep_report_fault(sweep, "the wrong clock is corrected");
+        sim_clock_right(sweep->fleet->world, sweep->wrong_clock_machine);
+        sweep->wrong_clock_machine = -1;
         return;
     }
-    sweep_say(sweep, "clock of %s jumps by %" PRId64, node->settings.name, by_ms);
+    sweep_report_fault(sweep, "clock of %s jumps by %" PRId64 " ms", node->settings.name, by_ms);
     sim_jump(sweep->fleet->world, node->machine, by_ms);
-    sweep->jumped = node->machine;
+    sweep->wrong_clock_machine = node->machine;
 }
 
+/* Applies fn to each node of the zone; only to controllers where disks acknowledge syncs falsely. */
 static void zone_each(Sweep *sweep, const char *zone, void (*fn)(Fleet *, FleetRole, int))
 {
     Fleet *fleet = sweep->fleet;
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            if (strcmp(fleet->nodes[role][i].settings.zone, zone) == 0 && !(sweep->liars && role != FLEET_CONTROLLER))
+            if (strcmp(fleet->nodes[role][i].settings.zone, zone) == 0 &&
+                !(sweep->disks_lie && role != FLEET_CONTROLLER))
                 fn(fleet, (FleetRole)role, i);
 }
 
 void act_zone_off(Sweep *sweep)
 {
     const char *zone = ZONES[sweep_draw(sweep, 3)];
-    sweep_say(sweep, "zone %s has no power", zone);
+    sweep_report_fault(sweep, "power lost in zone %s", zone);
     zone_each(sweep, zone, fleet_power_off);
 }
 
 void act_zone_cut(Sweep *sweep)
 {
     const char *zone = ZONES[sweep_draw(sweep, 3)];
-    if (sweep->liars)
+    if (sweep->disks_lie)
         return;
-    sweep_say(sweep, "zone %s is cut off", zone);
+    sweep_report_fault(sweep, "zone %s is cut off", zone);
     fleet_zone_cut(sweep->fleet, zone, true);
 }
 
-/* All disks fail for a while, so that no lock can be held: the second survival rule (XenServer HA design), and its
- * end. */
-void act_store_gone(Sweep *sweep)
+/* All links between controllers are cut for a while, so that no lock can be held. This is the case of the second
+ * survival rule (XenServer HA design); the links are then restored. */
+void act_controllers_cut(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
     const int64_t for_ms = 1000 + (int64_t)sweep_draw(sweep, 7000);
-    sweep_say(sweep, "cores reach no core for %" PRId64, for_ms);
+    sweep_report_fault(sweep, "no controller reaches another for %" PRId64 " ms", for_ms);
     for (int turn = 0; turn < 2; turn++) {
         for (int a = 0; a < fleet->node_count[FLEET_CONTROLLER]; a++)
             for (int b = 0; b < fleet->node_count[FLEET_CONTROLLER]; b++)
@@ -197,9 +201,9 @@
 void act_all_killed(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
-    if (sweep->liars)
+    if (sweep->disks_lie)
         return;
-    sweep_say(sweep, "everything is killed");
+    sweep_report_fault(sweep, "all processes are killed");
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
             fleet_kill(fleet, (FleetRole)role, i);
@@ -207,7 +211,7 @@
     sweep_start_all(sweep);
 }
 
-/* A controller is gone for good; an empty one at a new address with other seeds is started. */
+/* A controller is lost for good; a spare with an empty disk, a new address and other seeds is started in its place. */
 void act_controller_replaced(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
@@ -216,8 +220,8 @@
     if (sim_alive(fleet->world, fleet->nodes[FLEET_CONTROLLER][spare].machine) ||
         voters_missing(sweep) >= fleet->site.losses)
         return;
-    sweep_say(sweep, "%s is gone for good, empty %s comes", gone->settings.name,
-              fleet->nodes[FLEET_CONTROLLER][spare].settings.name);
+    sweep_report_fault(sweep, "%s is lost for good, %s starts with an empty disk", gone->settings.name,
+                       fleet->nodes[FLEET_CONTROLLER][spare].settings.name);
     fleet_power_off(fleet, FLEET_CONTROLLER, gone->number);
     sim_disk_wipe(fleet->world, gone->machine);
     fleet_start_node(fleet, FLEET_CONTROLLER, spare);
@@ -226,6 +230,6 @@
 void act_links_slow(Sweep *sweep)
 {
     const int64_t most_ms = sweep_draw(sweep, 2) ? 3 : 5 + (int64_t)sweep_draw(sweep, 55);
-    sweep_say(sweep, "links take up to %" PRId64, most_ms);
+    sweep_report_fault(sweep, "frames are delayed by up to %" PRId64 " ms", most_ms);
     sim_delay(sweep->fleet->world, 1, most_ms);
 }
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -1,4 +1,4 @@
-/* Operators in races and storms, callers in crowds, workers that fail. */
+/* Changes by operators, also two at once, cancellations and load peaks by callers, and faults of workers. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,44 +6,47 @@
 
 #include "sweep_act.h"
 
-/* One operator's change: one PATCH that lets a tenant in or out, or sets a quota. */
-typedef struct Operator {
+/* An operator's change of the configuration: a PATCH that adds or removes a tenant, or sets its quota. */
+typedef struct ConfigChange {
     Sweep *sweep;
     int entry_point;
     const char *tenant;
-    bool in, quota;
+    bool in;    /* the tenant is added, rather than removed */
+    bool quota; /* the change sets the quota to resources */
     Resources resources;
     uint64_t base;
-    uint64_t version; /* the version that it names; 0: none. Such a call is sent again after a time-out */
+    uint64_t version; /* version named in the request, which is then sent again after a time-out; 0: none */
     const char *body;
     bool done;
-    int code;
-    struct Operator *beside; /* another that sends at the same time */
-} Operator;
+    int code;                    /* HTTP status; 0: no answer */
+    struct ConfigChange *beside; /* unused */
+} ConfigChange;
 
-static void reported(Operator *operator, TenantWord word)
+/* Reports the state of the change to the checker. */
+static void change_report(ConfigChange *change, TenantWord word)
 {
-    Checker *checker = operator->sweep->fleet->checker;
-    if (operator->quota)
-        checker_quota(checker, operator->tenant, operator->resources, word);
+    Checker *checker = change->sweep->fleet->checker;
+    if (change->quota)
+        checker_quota(checker, change->tenant, change->resources, word);
     else
-        checker_tenant(checker, operator->tenant, word);
+        checker_tenant(checker, change->tenant, word);
 }
 
-#define OPERATOR_TRIES 4 /* count; attempts of a call that names its version */
+#define CHANGE_TRIES 4 /* Requests for a change that names its version, at most. */
 
-/* One attempt at one entry point; returns the HTTP status, 0 after a time-out, and the version that was told. */
-static int operator_try(Operator *operator, int entry_point, int64_t wait_ms, uint64_t *version)
+/* Sends one request to one entry point. Returns the HTTP status, 0 after a time-out; version receives the version in
+ * the answer, 0 if there is none. */
+static int change_try(ConfigChange *change, int entry_point, int64_t wait_ms, uint64_t *version)
 {
-    Fleet *fleet = operator->sweep->fleet;
+    Fleet *fleet = change->sweep->fleet;
     void *mem = talloc_new(fleet);
-    const char *named = operator->version> 0 ? talloc_asprintf(mem, "&revision=%" PRIu64, operator->version) : "";
+    const char *named = change->version > 0 ? talloc_asprintf(mem, "&revision=%" PRIu64, change->version) : "";
     HttpCall call = {.mem = mem,
                      .address = fleet->nodes[FLEET_ENTRY_POINT][entry_point % 3].settings.http,
                      .method = "PATCH",
-                     .path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "%s", operator->base, named),
+                     .path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "%s", change->base, named),
                      .wait_ms = wait_ms};
-    bytes_add(mem, &call.body, operator->body, strlen(operator->body));
+    bytes_add(mem, &call.body, change->body, strlen(change->body));
     const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
     bytes_add(mem, &call.result, "", 1);
     if (status != STATUS_OK || sscanf((const char *)call.result.data, "{\"revision\":%" SCNu64, version) != 1)
@@ -52,28 +55,28 @@
     return status == STATUS_OK ? call.code : 0;
 }
 
-static void operator_main(void *arg)
+static void change_main(void *arg)
 {
-    Operator *operator= arg;
-    Fleet *fleet = operator->sweep->fleet;
+    ConfigChange *change = arg;
+    Fleet *fleet = change->sweep->fleet;
     uint64_t version = 0;
-    reported(operator, TENANT_ASKED);
-    operator->code = operator_try(operator, operator->entry_point, operator->version> 0 ? 1000 : 9000, &version);
-    for (int i = 1; i < OPERATOR_TRIES && operator->version> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
+    change_report(change, TENANT_ASKED);
+    change->code = change_try(change, change->entry_point, change->version > 0 ? 1000 : 9000, &version);
+    for (int i = 1; i < CHANGE_TRIES && change->version > 0 && (change->code == 0 || change->code >= 500); i++) {
         loop_sleep(sim_loop(fleet->world, fleet->caller), 250 * i);
-        operator->code = operator_try(operator, operator->entry_point + i, 2000, &version);
+        change->code = change_try(change, change->entry_point + i, 2000, &version);
     }
-    if (operator->code == 200 && version> 0) {
+    if (change->code == 200 && version > 0) {
         checker_config_set(fleet->checker, version);
-        reported(operator, operator->quota || operator->in ? TENANT_IN : TENANT_OUT);
-    } else if (operator->code >= 400 && operator->code<500) {
-        reported(operator, TENANT_REFUSED);
+        change_report(change, change->quota || change->in ? TENANT_IN : TENANT_OUT);
+    } else if (change->code >= 400 && change->code < 500) {
+        change_report(change, TENANT_REFUSED);
     }
-    operator->done = true;
+    change->done = true;
 }
 
-/* The version in force, as an entry point tells it; false: it does not. */
-static bool base_ask(Sweep *sweep, uint64_t *base)
+/* Reads the version in force from an entry point. Returns false if it does not answer with one. */
+static bool version_read(Sweep *sweep, uint64_t *base)
 {
     void *mem = talloc_new(NULL);
     const HttpCall got =
@@ -85,92 +88,92 @@
     return known;
 }
 
-static Operator *operator_new(Sweep *sweep, uint64_t base, const char *tenant, bool in)
+/* A change on sweep of the tenant's membership, at a random entry point. */
+static ConfigChange *change_new(Sweep *sweep, uint64_t base, const char *tenant, bool in)
 {
-    Operator *operator= talloc_zero(sweep, Operator);
-    *operator=(Operator){
+    ConfigChange *change = talloc_zero(sweep, ConfigChange);
+    *change = (ConfigChange){
         .sweep = sweep, .entry_point = (int)sweep_draw(sweep, 3), .tenant = tenant, .in = in, .base = base};
-    operator->version = base % 2 == 0 ? base + 1 + base % 3 : 0;
-    operator->body = talloc_asprintf(operator, "{\"cells\":{\"%s\":{\"tenants\":{\"%s\":%s}}}}",
-                                     mix_cell(sweep->fleet->shape.mix), tenant, in ? "{}" : "null");
-    return operator;
+    change->version = base % 2 == 0 ? base + 1 + base % 3 : 0;
+    change->body = talloc_asprintf(change, "{\"cells\":{\"%s\":{\"tenants\":{\"%s\":%s}}}}",
+                                   mix_cell(sweep->fleet->shape.mix), tenant, in ? "{}" : "null");
+    return change;
 }
 
-static void operator_send(Operator *operator)
+static void change_send(ConfigChange *change)
 {
-    loop_spawn(sim_loop(operator->sweep->fleet->world, operator->sweep->fleet->caller), "operator",
-               operator_main, operator);
+    loop_spawn(sim_loop(change->sweep->fleet->world, change->sweep->fleet->caller), "operator", change_main, change);
 }
 
-static void operator_wait(Operator *operator)
+static void change_wait(ConfigChange *change)
 {
-    while (!operator->done)
-        fleet_run(operator->sweep->fleet, 5);
+    while (!change->done)
+        fleet_run(change->sweep->fleet, 5);
 }
 
 void act_config(Sweep *sweep)
 {
     uint64_t base;
-    if (!base_ask(sweep, &base))
+    if (!version_read(sweep, &base))
         return;
     const char *tenant = PROBE_IN_OUT[sweep_draw(sweep, PROBE_TENANTS)];
-    Operator *operator= operator_new(sweep, base, tenant, sweep_draw(sweep, 2) == 0);
-    operator_send(operator);
-    operator_wait(operator);
-    sweep_say(sweep, "%s %s, on %" PRIu64 ": %d", tenant, operator->in ? "in" : "out", base, operator->code);
+    ConfigChange *change = change_new(sweep, base, tenant, sweep_draw(sweep, 2) == 0);
+    change_send(change);
+    change_wait(change);
+    sweep_report_fault(sweep, "change of tenant %s to %s, based on %" PRIu64 ": %d", tenant, change->in ? "in" : "out",
+                       base, change->code);
 }
 
-/* Two operators at once on the same base: at most one may win. */
+/* Two changes based on the same version and sent at once: at most one may be accepted. */
 void act_config_race(Sweep *sweep)
 {
     uint64_t base;
-    if (!base_ask(sweep, &base))
+    if (!version_read(sweep, &base))
         return;
-    Operator *a = operator_new(sweep, base, PROBE_IN_OUT[0], sweep_draw(sweep, 2) == 0);
-    Operator *b = operator_new(sweep, base, PROBE_IN_OUT[1], sweep_draw(sweep, 2) == 0);
-    operator_send(a);
-    operator_send(b);
-    operator_wait(a);
-    operator_wait(b);
-    sweep_say(sweep, "two operators on %" PRIu64 ": %d %d", base, a->code, b->code);
+    ConfigChange *a = change_new(sweep, base, PROBE_IN_OUT[0], sweep_draw(sweep, 2) == 0);
+    ConfigChange *b = change_new(sweep, base, PROBE_IN_OUT[1], sweep_draw(sweep, 2) == 0);
+    change_send(a);
+    change_send(b);
+    change_wait(a);
+    change_wait(b);
+    sweep_report_fault(sweep, "two changes based on %" PRIu64 ": %d %d", base, a->code, b->code);
     if (a->code == 200 && b->code == 200)
         checker_config_both(sweep->fleet->checker, base);
 }
 
-/* Rejected changes: a stale base, or an error in them. They must never take effect. */
-void act_config_refused(Sweep *sweep)
+/* A change that must be rejected, because its base is stale or its content invalid, and must never take effect. */
+void act_config_rejected(Sweep *sweep)
 {
     uint64_t base;
-    if (!base_ask(sweep, &base) || base == 0)
+    if (!version_read(sweep, &base) || base == 0)
         return;
-    Operator *operator= operator_new(sweep, base, PROBE_NEVER, true);
+    ConfigChange *change = change_new(sweep, base, PROBE_NEVER, true);
     const bool stale = sweep_draw(sweep, 2) == 0;
     if (stale)
-        operator->base--;
+        change->base--;
     else
-        operator->body = talloc_asprintf(operator, "{\"r\":99,\"cells\":{\"%s\":{\"tenants\":{\"%s\":{}}}}}",
-                                         mix_cell(sweep->fleet->shape.mix), PROBE_NEVER);
-    operator_send(operator);
-    operator_wait(operator);
-    sweep_say(sweep, "a %s configuration: %d", stale ? "stale" : "faulty", operator->code);
+        change->body = talloc_asprintf(change, "{\"r\":99,\"cells\":{\"%s\":{\"tenants\":{\"%s\":{}}}}}",
+                                       mix_cell(sweep->fleet->shape.mix), PROBE_NEVER);
+    change_send(change);
+    change_wait(change);
+    sweep_report_fault(sweep, "a change that must be rejected (%s): %d", stale ? "stale" : "faulty", change->code);
 }
 
 void act_quota(Sweep *sweep)
 {
     uint64_t base;
-    if (sweep->fleet->shape.mix != MIX_VARIED || !base_ask(sweep, &base))
+    if (sweep->fleet->shape.mix != MIX_VARIED || !version_read(sweep, &base))
         return;
-    Operator *operator= operator_new(sweep, base, "bounded", true);
-    operator->quota = true;
-    operator->resources =(Resources){1000 * (1 + sweep_draw(sweep, 4)), 0, 0};
-    operator->body =
-        talloc_asprintf(operator, "{\"cells\":{\"imagery\":{\"tenants\":{\"bounded\":{\"quota\":{\"cpu\":%" PRIu64
-                                  ",\"memMb\":0}}}}}}",
-                                  operator->resources.cpu_milli / 1000);
-    operator_send(operator);
-    operator_wait(operator);
-    sweep_say(sweep, "quota of %" PRIu64 " milli-CPU, on %" PRIu64 ": %d", operator->resources.cpu_milli,
-              base, operator->code);
+    ConfigChange *change = change_new(sweep, base, "bounded", true);
+    change->quota = true;
+    change->resources = (Resources){1000 * (1 + sweep_draw(sweep, 4)), 0, 0};
+    change->body = talloc_asprintf(
+        change, "{\"cells\":{\"imagery\":{\"tenants\":{\"bounded\":{\"quota\":{\"cpu\":%" PRIu64 ",\"memMb\":0}}}}}}",
+        change->resources.cpu_milli / 1000);
+    change_send(change);
+    change_wait(change);
+    sweep_report_fault(sweep, "quota of %" PRIu64 " milli-CPU, based on %" PRIu64 ": %d", change->resources.cpu_milli,
+                       base, change->code);
 }
 
 void act_cancel(Sweep *sweep)
@@ -188,82 +191,83 @@
                                     talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL);
     if (call.code == 200)
         checker_cancelled(fleet->checker, job->id);
-    sweep_say(sweep, "cancel %s: %d", job->id, call.code);
+    sweep_report_fault(sweep, "cancel %s: %d", job->id, call.code);
     talloc_free(mem);
 }
 
-/* Drains a zone, or takes back the one that is drained; other failures come between. */
+/* Drains a zone, or takes back the drain of the zone that is drained. Other faults may happen in between. */
 void act_drain(Sweep *sweep)
 {
     static const char *const ZONES[] = {"north", "south", "west"};
     Fleet *fleet = sweep->fleet;
     void *mem = talloc_new(NULL);
-    const bool back = sweep->drained != NULL;
-    const char *zone = back ? sweep->drained : ZONES[sweep_draw(sweep, 3)];
-    if (back)
-        checker_zone(fleet->checker, zone, false); /* from the asking on it may be given work */
-    const int code = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, (int)sweep_draw(sweep, 3), back ? "DELETE" : "POST",
+    const bool take_back = sweep->drained_zone != NULL;
+    const char *zone = take_back ? sweep->drained_zone : ZONES[sweep_draw(sweep, 3)];
+    if (take_back)
+        checker_zone(fleet->checker, zone, false); /* the zone may be given work from the request on */
+    const int code = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, (int)sweep_draw(sweep, 3), take_back ? "DELETE" : "POST",
                                talloc_asprintf(mem, "/v1/zones/%s/drain", zone), NULL)
                          .code;
-    sweep_say(sweep, "%s %s: %d", back ? "back" : "drain", zone, code);
-    if (!back && code == 200)
+    sweep_report_fault(sweep, "change of drain (%s) of zone %s: %d", take_back ? "back" : "drain", zone, code);
+    if (!take_back && code == 200)
         checker_zone(fleet->checker, zone, true);
-    /* an unclear outcome is settled by taking the zone back later */
-    if (!back && (code == 200 || code == 504 || code == 0))
-        sweep->drained = zone;
-    if (back && code == 200)
-        sweep->drained = NULL;
+    /* after an unknown outcome, a later step takes the drain back */
+    if (!take_back && (code == 200 || code == 504 || code == 0))
+        sweep->drained_zone = zone;
+    if (take_back && code == 200)
+        sweep->drained_zone = NULL;
     talloc_free(mem);
 }
 
 void act_worker_leaves(Sweep *sweep)
 {
     FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
-    const int64_t notice_ms = (int64_t)sweep_draw(sweep, 3000);
+    const int64_t until_kill_ms = (int64_t)sweep_draw(sweep, 3000);
     if (worker->worker == NULL || !sim_alive(sweep->fleet->world, worker->machine))
         return;
-    sweep_say(sweep, "%s leaves, gone in %" PRId64, worker->settings.name, notice_ms);
+    sweep_report_fault(sweep, "%s announces to leave and is killed after %" PRId64 " ms", worker->settings.name,
+                       until_kill_ms);
     stand_worker_leave(worker->worker);
     checker_leaving(sweep->fleet->checker, worker->settings.name, true);
-    fleet_run(sweep->fleet, notice_ms);
+    fleet_run(sweep->fleet, until_kill_ms);
     fleet_kill(sweep->fleet, FLEET_WORKER, worker->number);
 }
 
-void act_worker_sick(Sweep *sweep)
+void act_worker_faulty(Sweep *sweep)
 {
     FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
-    const uint64_t how = sweep_draw(sweep, 5);
+    const uint64_t kind = sweep_draw(sweep, 5);
     if (worker->worker == NULL)
         return;
-    sweep_say(sweep, "%s %s", worker->settings.name,
-              how == 0   ? "fails its work"
-              : how == 1 ? "is five times slower"
-              : how == 2 ? "repeats its reports"
-                         : "is well");
-    worker->worker_settings.fails_all = how == 0;
-    worker->worker_settings.slow_times = how == 1 ? 5 : 1;
-    worker->worker_settings.repeats = how == 2;
-    stand_worker_fail(worker->worker, how == 0);
-    stand_worker_slow(worker->worker, how == 1 ? 5 : 1);
-    stand_worker_repeat(worker->worker, how == 2);
+    sweep_report_fault(sweep, "%s %s", worker->settings.name,
+                       kind == 0   ? "fails its work"
+                       : kind == 1 ? "is five times slower"
+                       : kind == 2 ? "repeats its reports"
+                                   : "works normally");
+    worker->worker_settings.fails_all = kind == 0;
+    worker->worker_settings.slow_times = kind == 1 ? 5 : 1;
+    worker->worker_settings.repeats = kind == 2;
+    stand_worker_fail(worker->worker, kind == 0);
+    stand_worker_slow(worker->worker, kind == 1 ? 5 : 1);
+    stand_worker_repeat(worker->worker, kind == 2);
 }
 
-/* It is started again at once and has lost all that it ran. */
+/* A worker's process is restarted at once; all attempts that it ran are lost. */
 void act_worker_restarts(Sweep *sweep)
 {
     FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
-    sweep_say(sweep, "%s starts anew", worker->settings.name);
+    sweep_report_fault(sweep, "%s restarts", worker->settings.name);
     fleet_kill(sweep->fleet, FLEET_WORKER, worker->number);
     checker_leaving(sweep->fleet->checker, worker->settings.name, false);
     fleet_start_node(sweep->fleet, FLEET_WORKER, worker->number);
 }
 
-void act_crowd(Sweep *sweep)
+void act_load_peak(Sweep *sweep)
 {
     char name[32];
-    if (sweep->calls >= 4)
+    if (sweep->load_peaks >= 4)
         return;
-    snprintf(name, sizeof(name), "crowd%d", sweep->calls++);
-    sweep_say(sweep, "a crowd: 40 jobs in a second");
+    snprintf(name, sizeof(name), "crowd%d", sweep->load_peaks++);
+    sweep_report_fault(sweep, "load peak: 40 jobs in one second");
     fleet_call(sweep->fleet, name, 40000, 1000);
 }
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -1,4 +1,4 @@
-/* Timelines: reads the rows of a drawing and plays them on a fleet. */
+/* Timelines: parses the rows of the text and runs them on a fleet. */
 #include "sim/timeline.h"
 
 #include <stdlib.h>
@@ -7,7 +7,8 @@
 
 #include "timeline_act.h"
 
-static bool cell_act(Timeline *timeline, const Column *column, char *cell)
+/* Runs the words of one cell. */
+static bool run_cell(Timeline *timeline, const Column *column, char *cell)
 {
     for (char *save = NULL, *word = strtok_r(cell, "+", &save); word != NULL; word = strtok_r(NULL, "+", &save)) {
         if (strcmp(word, ".") == 0)
@@ -15,7 +16,7 @@
         char *value = strchr(word, ':');
         if (value != NULL)
             *value++ = '\0';
-        if ((column->zone != NULL || column->node != NULL) && !timeline_claims(word))
+        if ((column->zone != NULL || column->node != NULL) && !timeline_is_check(word))
             checker_fault(timeline->fleet->checker);
         const bool good = column->zone != NULL   ? timeline_zone(timeline, column, word)
                           : column->node != NULL ? timeline_node(timeline, column, word, value)
@@ -26,7 +27,8 @@
     return true;
 }
 
-static bool draw(Timeline *timeline, char *text)
+/* Runs all rows, each at its time. The text is modified. */
+static bool run_rows(Timeline *timeline, char *text)
 {
     Fleet *fleet = timeline->fleet;
     char *save_row = NULL;
@@ -44,15 +46,15 @@
         for (size_t i = 0; (cell = strtok_r(NULL, " ", &save_cell)) != NULL; i++) {
             if (header) {
                 if (i >= COLUMNS_MAX || !timeline_column(timeline, cell, &timeline->columns[i]))
-                    return timeline_fault(timeline, cell, "there is no such column");
+                    return timeline_fail(timeline, cell, "no such column");
                 timeline->column_count = i + 1;
-            } else if (i >= timeline->column_count || !cell_act(timeline, &timeline->columns[i], cell)) {
-                return i < timeline->column_count ? false : timeline_fault(timeline, cell, "more cells than columns");
+            } else if (i >= timeline->column_count || !run_cell(timeline, &timeline->columns[i], cell)) {
+                return i < timeline->column_count ? false : timeline_fail(timeline, cell, "more cells than columns");
             }
         }
         header = false;
         if (checker_broken_all(fleet->checker) > 0)
-            return timeline_fault(timeline, "checker", checker_first(fleet->checker));
+            return timeline_fail(timeline, "checker", checker_first(fleet->checker));
     }
     return true;
 }
@@ -69,11 +71,11 @@
     fleet_start(fleet);
     bool good = fleet_settle(fleet, 30000) && fleet_configure(fleet);
     if (!good)
-        timeline_fault(timeline, "-", "the fleet did not settle");
+        timeline_fail(timeline, "-", "the fleet did not settle");
     timeline->start_ms = sim_now_ms(fleet->world);
     if (shape.mix == MIX_VARIED)
         checker_quota(fleet->checker, "bounded", (Resources){3000, 0, 0}, TENANT_IN);
-    good = good && draw(timeline, talloc_strdup(mem, text));
+    good = good && run_rows(timeline, talloc_strdup(mem, text));
     if (!good)
         fleet_dump(fleet);
     talloc_free(mem);
--- a/packages/sim/src/timeline_act.c
+++ b/packages/sim/src/timeline_act.c
@@ -1,4 +1,4 @@
-/* What the words of a timeline share: its columns, and why it has failed. */
+/* Functions that all words of a timeline share: lookup of columns, and the reason of a failure. */
 #include "timeline_act.h"
 
 #include <inttypes.h>
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-bool timeline_fault(Timeline *timeline, const char *column, const char *what)
+bool timeline_fail(Timeline *timeline, const char *column, const char *what)
 {
-    /* a safety property that broke is the cause of a claim that does not hold */
+    /* the violation of a safety property is reported in preference, as it is the likely cause */
     if (checker_broken_all(timeline->fleet->checker) > 0)
         what = checker_first(timeline->fleet->checker);
     snprintf(timeline->why, timeline->why_size, "at %" PRId64 " ms, column %s: %s",
--- a/packages/sim/src/timeline_act.h
+++ b/packages/sim/src/timeline_act.h
@@ -1,41 +1,42 @@
 #ifndef SIM_SRC_TIMELINE_ACT_H
 #define SIM_SRC_TIMELINE_ACT_H
 
-/* A timeline that runs, and its words: those on nodes and zones in timeline_node.c, those on callers in
- * timeline_call.c. What they share is in timeline_act.c. Functions that return false have said why by timeline_fault.
- */
+/* The state of a timeline and its words. Words on nodes and zones are in timeline_node.c, those on callers in
+ * timeline_call.c; timeline_act.c has what they share. A function that returns false has recorded the reason with
+ * timeline_fail. */
 
 #include "sim/timeline.h"
 
 #define COLUMNS_MAX 16
 
+/* A column of a timeline: a node, a zone or the callers. */
 typedef struct Column {
-    const char *name;
+    const char *name; /* as in the text */
     FleetNode *node;  /* null: a zone or the callers */
-    const char *zone; /* null: none */
+    const char *zone; /* null: a node or the callers */
 } Column;
 
 struct Timeline {
     Fleet *fleet;
     Column columns[COLUMNS_MAX];
     size_t column_count;
-    int64_t start_ms;
-    Caller *caller; /* of the last call; null: none yet */
-    int calls;
-    char *why;
+    int64_t start_ms; /* world time of the timeline's time 0 */
+    Caller *caller;   /* of the latest word "call"; null: none yet */
+    int calls;        /* number of these words so far */
+    char *why;        /* receives the reason of a failure */
     size_t why_size;
 };
 
-/* Notes why the timeline has failed; returns false. */
-bool timeline_fault(Timeline *timeline, const char *column, const char *what);
-/* What a column's name stands for now; false: there is no such node. */
+/* Records why the timeline has failed; returns false. */
+bool timeline_fail(Timeline *timeline, const char *column, const char *what);
+/* Finds the node, zone or callers that the name of a column stands for now. Returns false if there is no such node. */
 bool timeline_column(Timeline *timeline, const char *name, Column *column);
 
-/* One word of a cell. value: what follows its colon; null: nothing. */
-bool timeline_node(Timeline *timeline, const Column *column, const char *verb, const char *value);
-bool timeline_zone(Timeline *timeline, const Column *column, const char *verb);
-bool timeline_callers(Timeline *timeline, const Column *column, const char *verb, const char *value);
-/* Whether the word claims something of a node, rather than bringing a failure about or ending one. */
-bool timeline_claims(const char *verb);
+/* Run one word of a cell. value: the text after the word's colon; null: none. */
+bool timeline_node(Timeline *timeline, const Column *column, const char *word, const char *value);
+bool timeline_zone(Timeline *timeline, const Column *column, const char *word);
+bool timeline_callers(Timeline *timeline, const Column *column, const char *word, const char *value);
+/* Whether the word checks the state of a node, rather than beginning or ending a fault. */
+bool timeline_is_check(const char *word);
 
 #endif
--- a/packages/sim/src/timeline_call.c
+++ b/packages/sim/src/timeline_call.c
@@ -1,4 +1,4 @@
-/* The words of a timeline on callers. */
+/* Words of a timeline on callers. */
 #include "timeline_act.h"
 
 #include <inttypes.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <talloc.h>
 
-/* The longest time between two acceptances of the last call's jobs. */
+/* The longest time between two consecutive acceptances of jobs of the latest call, in ms. */
 static int64_t longest_gap(const Timeline *timeline)
 {
     CallerJob *const *jobs;
@@ -29,10 +29,10 @@
     return gap_ms;
 }
 
-bool timeline_callers(Timeline *timeline, const Column *column, const char *verb, const char *value)
+bool timeline_callers(Timeline *timeline, const Column *column, const char *word, const char *value)
 {
     Fleet *fleet = timeline->fleet;
-    if (strcmp(verb, "call") == 0 && value != NULL) {
+    if (strcmp(word, "call") == 0 && value != NULL) {
         const char *slash = strchr(value, '/');
         char name[16];
         snprintf(name, sizeof(name), "c%d", timeline->calls++);
@@ -40,23 +40,23 @@
             fleet_call(fleet, name, atoi(value) * 1000, slash != NULL ? atoi(slash + 1) : INT64_C(1) << 40);
         return true;
     }
-    if (strcmp(verb, "links") == 0) {
+    if (strcmp(word, "links") == 0) {
         sim_delay(fleet->world, 1, value != NULL ? atoi(value) : 3);
         return true;
     }
-    if (strcmp(verb, "end") == 0) {
+    if (strcmp(word, "end") == 0) {
         for (int i = 0; i < fleet->caller_count; i++)
             caller_stop(fleet->callers[i]);
         if (!fleet_finish(fleet, 90000))
-            return timeline_fault(timeline, column->name, "not every accepted job has ended");
+            return timeline_fail(timeline, column->name, "not every accepted job has ended");
         return true;
     }
-    if (strcmp(verb, "cancel") == 0) {
+    if (strcmp(word, "cancel") == 0) {
         for (int i = 0; i < fleet->caller_count; i++)
             caller_give_up(fleet->callers[i]);
         return true;
     }
-    if (strcmp(verb, "allDone") == 0) {
+    if (strcmp(word, "allDone") == 0) {
         CallerJob *const *jobs;
         const size_t count = caller_jobs(timeline->caller, &jobs);
         size_t other = 0;
@@ -64,15 +64,15 @@
             other += strcmp(jobs[i]->phase, "done") != 0;
         char text[64];
         snprintf(text, sizeof(text), "%zu of %zu jobs are not done", other, count);
-        return other == 0 || timeline_fault(timeline, column->name, text);
+        return other == 0 || timeline_fail(timeline, column->name, text);
     }
-    if (strncmp(verb, "gap<", 4) == 0) {
+    if (strncmp(word, "gap<", 4) == 0) {
         const int64_t gap_ms = longest_gap(timeline);
-        if (gap_ms < atoi(verb + 4))
+        if (gap_ms < atoi(word + 4))
             return true;
         char text[64];
         snprintf(text, sizeof(text), "the longest gap is %" PRId64 " ms", gap_ms);
-        return timeline_fault(timeline, column->name, text);
+        return timeline_fail(timeline, column->name, text);
     }
-    return timeline_fault(timeline, column->name, "callers do not know this word");
+    return timeline_fail(timeline, column->name, "unknown word for callers");
 }
--- a/packages/sim/src/timeline_node.c
+++ b/packages/sim/src/timeline_node.c
@@ -1,15 +1,15 @@
-/* The words of a timeline on nodes and zones. */
+/* Words of a timeline on nodes and zones. */
 #include "timeline_act.h"
 
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-#define RAN_MS 2000 /* ms; a worker that started something so lately counts as one that runs */
+#define RECENT_START_MS 2000 /* A worker that started an attempt less than this ago counts as running one. */
 
 /* --- actions on a node -------------------------------------------------------------------- */
 
-/* What an action is given. on: which of the two words of a pair it is. */
+/* Arguments of an action. value: the number after the word's colon; on: false for the word that ends a fault. */
 typedef struct NodeAction {
     Fleet *fleet;
     FleetNode *node;
@@ -50,7 +50,7 @@
     fleet_isolate(action->fleet, action->node->role, action->node->number, action->on);
 }
 
-/* Cut off from all entry points and agents, not from controllers. */
+/* Cuts the node off from all entry points and agents, but not from controllers. */
 static void act_blind(const NodeAction *action)
 {
     const Fleet *fleet = action->fleet;
@@ -105,10 +105,10 @@
 }
 
 static const struct {
-    const char *verb;
+    const char *word;
     void (*act)(const NodeAction *action);
     bool on;
-    bool worker; /* only of a worker whose process runs */
+    bool worker; /* only for a worker whose process runs */
 } ACTIONS[] = {
     {"kill", act_kill, true, false},
     {"off", act_power_off, true, false},
@@ -132,7 +132,7 @@
     {"heals", act_fail, false, true},
 };
 
-/* --- claims of a node ------------------------------------------------------------------------ */
+/* --- checks of a node ------------------------------------------------------------------------ */
 
 static bool node_leads(const Fleet *fleet, const FleetNode *node)
 {
@@ -142,7 +142,7 @@
 static bool node_runs(const Fleet *fleet, const FleetNode *node)
 {
     return node->worker != NULL && (stand_worker_running(node->worker) > 0 ||
-                                    checker_started_since(fleet->checker, node->settings.name) < RAN_MS);
+                                    checker_started_since(fleet->checker, node->settings.name) < RECENT_START_MS);
 }
 
 static bool node_is_up(const Fleet *fleet, const FleetNode *node)
@@ -152,57 +152,58 @@
 }
 
 static const struct {
-    const char *verb;
-    bool (*is)(const Fleet *fleet, const FleetNode *node);
-    bool claimed;
-    const char *otherwise; /* said when it does not hold */
-} CLAIMS[] = {
+    const char *word;
+    bool (*matches)(const Fleet *fleet, const FleetNode *node);
+    bool expected;
+    const char *reason; /* the reason reported when the check fails */
+} CHECKS[] = {
     {"leads", node_leads, true, "it does not lead"}, {"!leads", node_leads, false, "it leads"},
     {"runs", node_runs, true, "it runs nothing"},    {"idle", node_runs, false, "it runs something"},
     {"up", node_is_up, true, "it is not up"},        {"!up", node_is_up, false, "it is up"},
 };
 
-bool timeline_claims(const char *verb)
+bool timeline_is_check(const char *word)
 {
-    for (size_t i = 0; i < sizeof(CLAIMS) / sizeof(CLAIMS[0]); i++)
-        if (strcmp(verb, CLAIMS[i].verb) == 0)
+    for (size_t i = 0; i < sizeof(CHECKS) / sizeof(CHECKS[0]); i++)
+        if (strcmp(word, CHECKS[i].word) == 0)
             return true;
     return false;
 }
 
-/* cut>COLUMN and join>COLUMN: one way only. */
-static bool way_act(Timeline *timeline, const Column *column, const char *verb, const char *to_name)
+/* The words cut>COLUMN and join>COLUMN, on the link in one direction. */
+static bool link_act(Timeline *timeline, const Column *column, const char *word, const char *to_name)
 {
     Column to;
     if (!timeline_column(timeline, to_name, &to))
-        return timeline_fault(timeline, column->name, "no such column to cut from");
+        return timeline_fail(timeline, column->name, "no such column after '>'");
     for (size_t i = 0; i < timeline->column_count; i++)
         if (strcmp(timeline->columns[i].name, to_name) == 0)
             to = timeline->columns[i];
-    sim_cut(timeline->fleet->world, column->node->machine, to.node->machine, verb[0] == 'c');
+    sim_cut(timeline->fleet->world, column->node->machine, to.node->machine, word[0] == 'c');
     return true;
 }
 
-bool timeline_node(Timeline *timeline, const Column *column, const char *verb, const char *value)
+bool timeline_node(Timeline *timeline, const Column *column, const char *word, const char *value)
 {
     FleetNode *node = column->node;
-    const char *way = strchr(verb, '>');
-    if (way != NULL)
-        return way_act(timeline, column, verb, way + 1);
+    const char *arrow = strchr(word, '>');
+    if (arrow != NULL)
+        return link_act(timeline, column, word, arrow + 1);
     for (size_t i = 0; i < sizeof(ACTIONS) / sizeof(ACTIONS[0]); i++)
-        if (strcmp(verb, ACTIONS[i].verb) == 0 && (!ACTIONS[i].worker || node->worker != NULL)) {
+        if (strcmp(word, ACTIONS[i].word) == 0 && (!ACTIONS[i].worker || node->worker != NULL)) {
             ACTIONS[i].act(&(NodeAction){timeline->fleet, node, value != NULL ? atoll(value) : 0, ACTIONS[i].on});
             return true;
         }
-    for (size_t i = 0; i < sizeof(CLAIMS) / sizeof(CLAIMS[0]); i++)
-        if (strcmp(verb, CLAIMS[i].verb) == 0)
-            return CLAIMS[i].is(timeline->fleet, node) == CLAIMS[i].claimed ||
-                   timeline_fault(timeline, column->name, CLAIMS[i].otherwise);
-    return timeline_fault(timeline, column->name, "a node does not know this word");
+    for (size_t i = 0; i < sizeof(CHECKS) / sizeof(CHECKS[0]); i++)
+        if (strcmp(word, CHECKS[i].word) == 0)
+            return CHECKS[i].matches(timeline->fleet, node) == CHECKS[i].expected ||
+                   timeline_fail(timeline, column->name, CHECKS[i].reason);
+    return timeline_fail(timeline, column->name, "unknown word for a node");
 }
 
 /* --- zones ------------------------------------------------------------------------------------ */
 
+/* Applies fn to each node of the zone. */
 static void zone_each(Timeline *timeline, const char *zone, void (*fn)(Fleet *, FleetRole, int))
 {
     Fleet *fleet = timeline->fleet;
@@ -212,29 +213,29 @@
                 fn(fleet, (FleetRole)role, i);
 }
 
-bool timeline_zone(Timeline *timeline, const Column *column, const char *verb)
+bool timeline_zone(Timeline *timeline, const Column *column, const char *word)
 {
     Fleet *fleet = timeline->fleet;
-    if (strcmp(verb, "kill") == 0)
+    if (strcmp(word, "kill") == 0)
         zone_each(timeline, column->zone, fleet_kill);
-    else if (strcmp(verb, "off") == 0)
+    else if (strcmp(word, "off") == 0)
         zone_each(timeline, column->zone, fleet_power_off);
-    else if (strcmp(verb, "start") == 0)
+    else if (strcmp(word, "start") == 0)
         zone_each(timeline, column->zone, fleet_start_node);
-    else if (strcmp(verb, "cut") == 0 || strcmp(verb, "join") == 0)
-        fleet_zone_cut(fleet, column->zone, verb[0] == 'c');
-    else if (strcmp(verb, "drain") == 0 || strcmp(verb, "back") == 0) {
+    else if (strcmp(word, "cut") == 0 || strcmp(word, "join") == 0)
+        fleet_zone_cut(fleet, column->zone, word[0] == 'c');
+    else if (strcmp(word, "drain") == 0 || strcmp(word, "back") == 0) {
         void *mem = talloc_new(NULL);
-        const bool drain = verb[0] == 'd';
+        const bool drain = word[0] == 'd';
         const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, drain ? "POST" : "DELETE",
                                         talloc_asprintf(mem, "/v1/zones/%s/drain", column->zone), NULL);
         const bool taken = call.code == 200;
         talloc_free(mem);
         if (!taken)
-            return timeline_fault(timeline, column->name, "the drain was not taken");
+            return timeline_fail(timeline, column->name, "the drain was not accepted");
         checker_zone(fleet->checker, column->zone, drain);
     } else {
-        return timeline_fault(timeline, column->name, "a zone does not know this word");
+        return timeline_fail(timeline, column->name, "unknown word for a zone");
     }
     return true;
 }
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -1,4 +1,4 @@
-/* The simulated implementation of the loop: processes on machines, started, run in turns, and ended. */
+/* The simulated implementation of the loop: start, turns and end of the processes on machines. */
 #include "world.h"
 
 #include <talloc.h>
@@ -22,27 +22,30 @@
     return sim_random(((SimLoop *)loop)->world);
 }
 
-/* A turn of a machine's loop that is due. It names a life of the machine, so that it cannot touch a later one. */
+/* A scheduled turn of a machine's loop. It holds the number of the process (SimMachine.incarnation), so that it does
+ * not run a later process. */
 typedef struct SimTurn {
     SimMachine *machine;
-    uint64_t life;
-    int64_t when_ms; /* on the machine's clock; other than the loop's armed_ms: an earlier turn came since */
+    uint64_t incarnation;
+    int64_t when_ms; /* on the machine's clock; the turn is stale if the loop's armed_ms differs */
 } SimTurn;
 
-static void turn(void *arg)
+/* Event: runs one turn of a machine's loop and schedules the next one. */
+static void turn_run(void *arg)
 {
-    SimTurn *one = arg;
-    SimMachine *machine = one->machine;
+    SimTurn *scheduled = arg;
+    SimMachine *machine = scheduled->machine;
     SimWorld *world = machine->world;
-    if (machine->loop == NULL || machine->life != one->life || machine->loop->armed_ms != one->when_ms) {
-        talloc_free(one);
+    if (machine->loop == NULL || machine->incarnation != scheduled->incarnation ||
+        machine->loop->armed_ms != scheduled->when_ms) {
+        talloc_free(scheduled);
         return;
     }
     if (machine->frozen_until_ms > world->now_ms) {
-        sim_at(world, machine->frozen_until_ms, turn, one);
+        sim_at(world, machine->frozen_until_ms, turn_run, scheduled);
         return;
     }
-    talloc_free(one);
+    talloc_free(scheduled);
     SimLoop *sim = machine->loop;
     sim->armed_ms = INT64_MAX;
     machine->turns++;
@@ -59,11 +62,11 @@
         return;
     sim->armed_ms = when_ms;
     SimMachine *machine = &sim->world->machines[sim->machine];
-    SimTurn *one = talloc_zero(sim->world, SimTurn);
-    *one = (SimTurn){machine, machine->life, when_ms};
+    SimTurn *scheduled = talloc_zero(sim->world, SimTurn);
+    *scheduled = (SimTurn){machine, machine->incarnation, when_ms};
     const int64_t span_ms = when_ms - machine->boot_offset_ms - machine->rate_from_ms;
     sim_at(sim->world, machine->rate_from_ms + (span_ms * 100 + machine->rate_percent - 1) / machine->rate_percent,
-           turn, one);
+           turn_run, scheduled);
 }
 
 void sim_thaw(SimWorld *world, int number)
@@ -74,10 +77,10 @@
     machine->frozen_until_ms = world->now_ms;
     if (machine->loop == NULL || machine->loop->armed_ms == INT64_MAX)
         return;
-    /* the turn that waits for the former end finds a later one armed, or runs once more for nothing */
-    SimTurn *one = talloc_zero(world, SimTurn);
-    *one = (SimTurn){machine, machine->life, machine->loop->armed_ms};
-    sim_at(world, world->now_ms, turn, one);
+    /* the turn scheduled for the former end of the freeze is then stale, or runs without effect */
+    SimTurn *scheduled = talloc_zero(world, SimTurn);
+    *scheduled = (SimTurn){machine, machine->incarnation, machine->loop->armed_ms};
+    sim_at(world, world->now_ms, turn_run, scheduled);
 }
 
 static const LoopOps SIM_OPS = {
@@ -86,8 +89,8 @@
     sim_file_read,   sim_file_append,  sim_file_replace, sim_hint_write, sim_hint_read,
 };
 
-/* power: its peers are not told, and its disk loses what it has not synced. */
-static void end(SimWorld *world, int number, bool power)
+/* Ends the machine's process. power: by a loss of power, so that its peers see nothing and unsynced writes are lost. */
+static void process_end(SimWorld *world, int number, bool power)
 {
     SimMachine *machine = &world->machines[number];
     SimLoop *sim = machine->loop;
@@ -100,11 +103,11 @@
     talloc_free(sim);
 }
 
-/* Ends all processes while what they refer to is still there. */
+/* Destructor. Ends all processes while the objects that they refer to still exist. */
 static int world_free(SimWorld *world)
 {
     for (int i = 0; i < world->machine_count; i++)
-        end(world, i, true);
+        process_end(world, i, true);
     return 0;
 }
 
@@ -112,7 +115,7 @@
 {
     SimWorld *world = talloc_zero(mem, SimWorld);
     talloc_set_destructor(world, world_free);
-    world->state = seed * 2 + 1;
+    world->random_state = seed * 2 + 1;
     world->now_ms = 1000;
     world->delay_low_ms = 1;
     world->delay_high_ms = 3;
@@ -130,7 +133,7 @@
     sim->next_port = 40000;
     sim->armed_ms = INT64_MAX;
     machine->loop = sim;
-    machine->life++;
+    machine->incarnation++;
     machine->frozen_until_ms = 0;
     machine->silent = false;
     start(arg, &sim->loop);
@@ -138,10 +141,10 @@
 
 void sim_kill(SimWorld *world, int machine)
 {
-    end(world, machine, false);
+    process_end(world, machine, false);
 }
 
 void sim_power_off(SimWorld *world, int machine)
 {
-    end(world, machine, true);
+    process_end(world, machine, true);
 }
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -318,7 +318,7 @@
           "    if (!job_admissible(request->faults, spec, config, service->table)) {\n        request_refuse(request);\n        request->task = talloc_memdup(request->mem, request->task, sizeof(HttpTask));\n    }",
           "a refused job running", "sweep", "varied", 1, 12),
     Guard("read-synced", "what a restarted process reads is synced before it counts", "packages/sim/src/disk.c",
-          "    synced(sim_file->machine, from);\n", "", "read_is_synced", "test", "journal", "read_is_synced"),
+          "    content_sync(sim_file->machine, from);\n", "", "read_is_synced", "test", "journal", "read_is_synced"),
     Guard("rewrite-queued", "what a rewrite wrote counts as queued, and the newer entry counts",
           "packages/replication/src/disk.c", "    replication->queued_index = log_last_index(replication->log);\n    const Status status = journal_rewrite", "    const Status status = journal_rewrite",
           "snapshot_then_trimmed", "test", "disk_state", "snapshot_then_trimmed",
