--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -4,9 +4,10 @@
 #include "loop/loop.h"
 #include "state/table.h"
 
-/* The safety properties (nevers) of the product, checked from outside. A checker is told what really happens (what
- * workers run, what callers were told, who plans) and tells which property broke. Used by the simulator, the model and
- * the replay of real fleets (sim/tool/replay.c). Each event is told when it happens, on the one clock of now_ms. */
+/* The safety properties of the cluster, checked from outside. A checker receives the events that really happen (what
+ * workers run, what callers are told, which leader plans) and counts violations of each property. It is used by the
+ * simulator, the model and the replay of real fleets (sim/tool/replay.c). Each event must be reported when it happens,
+ * by the clock of CheckerSettings.now_ms. */
 #define INVARIANT_LIST(X)                                                                    \
     X(TWO_LEADERS, "two leaders planning at once")                                           \
     X(TWICE, "one task running twice at once")                                               \
@@ -33,114 +34,130 @@
         INVARIANT_COUNT
 } Invariant;
 
-/* What the property says must never happen. */
-const char *invariant_words(Invariant invariant);
+/* The text of the property: what must never happen. "" for an invalid value. */
+const char *invariant_text(Invariant invariant);
 
-/* Services that must be back within 12 s after the last failure. */
+/* Services that must be available again within 12 s after the last fault. */
 #define SERVE_LIST(X)          \
     X(ACCEPT, "an acceptance") \
     X(STATUS, "a status read") \
     X(START, "a start")
-typedef enum Serve {
+typedef enum ServiceKind {
 #define X(name, word) SERVE_##name,
     SERVE_LIST(X)
 #undef X
         SERVE_COUNT
-} Serve;
+} ServiceKind;
 
-const char *serve_word(Serve serve);
+/* The text of the service in messages. */
+const char *serve_text(ServiceKind serve);
 
-/* The outcome of an operator's change that concerns a tenant: sent and still open, acknowledged with the tenant in or
- * out, rejected for good. */
-typedef enum TenantWord { TENANT_ASKED, TENANT_IN, TENANT_OUT, TENANT_REFUSED } TenantWord;
+/* The state of an operator's change that concerns a tenant: sent without an outcome yet, acknowledged with the tenant
+ * present or absent, definitely rejected. */
+typedef enum TenantChangeState { TENANT_ASKED, TENANT_IN, TENANT_OUT, TENANT_REFUSED } TenantChangeState;
 
 typedef struct Checker Checker;
 
-/* What a checker asks its owner. */
+/* Functions by which a checker queries its owner; each gets arg. */
 typedef struct CheckerSettings {
     void *arg;
-    int64_t (*now_ms)(void *arg); /* one clock for all that is told */
-    /* Whether the worker's machine stands still now, so that its tasks make no progress. */
+    int64_t (*now_ms)(void *arg); /* one clock for all events */
+    /* Whether the worker's machine is frozen now, so that its attempts make no progress. */
     bool (*frozen)(void *arg, const char *worker);
-    /* A job as accepted, from any node that knows it; null when none does. */
+    /* The accepted job, from any node that knows it; null if none does. */
     const Job *(*job)(void *arg, const char *id);
-    /* True wall time; null where it is not known. */
+    /* The true wall time. The function is null if that is not known. */
     int64_t (*wall_ms)(void *arg);
 } CheckerSettings;
 
-/* On mem; settings is copied. */
+/* A checker owned by mem. settings is copied. */
 Checker *checker_new(void *mem, const CheckerSettings *settings);
-/* How often properties broke, and what the first break was ("": none). */
+/* Number of violations of one property. */
 size_t checker_broken(const Checker *checker, Invariant invariant);
+/* Number of violations of all properties. */
 size_t checker_broken_all(const Checker *checker);
+/* Time, property and details of the first violation; "": none. The checker owns the text. */
 const char *checker_first(const Checker *checker);
 
-/* The leader acts as one under the term: no two may at once. */
+/* The leader makes a plan under the term. No two leaders may do so at once. */
 void checker_plans(Checker *checker, const char *leader, uint64_t term);
-/* The process of a leader, or of a former one, has ended. */
+/* The process of a leader or former leader has ended. */
 void checker_leader_gone(Checker *checker, const char *leader);
-/* The worker describes itself. */
+/* The worker's description is new or has changed. worker is copied. */
 void checker_worker(Checker *checker, const Worker *worker);
-/* An attempt starts on a worker. */
+/* An attempt starts on a worker. task: the task's number, not its index. */
 void checker_started(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                      Resources resources);
-/* The attempt that is about to start continues from a checkpoint, which stand-ins write as "TASK@MS of JOB". */
+/* The attempt that is about to start continues from a checkpoint. saved: its text, "TASK@MS of JOB" from stand-ins. */
 void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                      const char *saved);
-/* An attempt has ended there; later, the worker is told that this is known. */
+/* An attempt has ended on the worker. */
 void checker_ended(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                    AttemptWord word);
+/* The worker was told that the end of the attempt is known. */
 void checker_known(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                    AttemptWord word);
-/* The worker's process is gone: nothing runs there any more. */
+/* The worker's process has ended: nothing runs there any more. */
 void checker_worker_gone(Checker *checker, const char *worker);
-/* Its machine runs again after standing still. */
+/* The worker's machine runs again after a freeze. */
 void checker_worker_restarted(Checker *checker, const char *worker);
+/* The worker announced that it leaves, or a new process of it stays. */
 void checker_leaving(Checker *checker, const char *worker, bool leaving);
+/* The drain of the zone was acknowledged, or taken back. */
 void checker_zone(Checker *checker, const char *zone, bool drained);
-/* A new process of the worker has reported to its agent: nothing of the old one runs. */
+/* A new process of the worker has reported to its agent: nothing of the former process runs. */
 void checker_booted(Checker *checker, const char *worker);
-/* The worker may run its attempts until then: its lease. */
+/* The worker was granted a lease: it may run its attempts until until_ms. */
 void checker_held(Checker *checker, const char *worker, int64_t until_ms);
 /* The worker has been told to stop the attempt. */
 void checker_notified(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt);
-/* A failure begins or ends now. */
+/* A fault begins or ends now. */
 void checker_fault(Checker *checker);
-/* An entry point has served something; it must have served each kind by now, 12 s after the last failure; the fleet
- * must have started something by now. */
-void checker_served(Checker *checker, const char *entry, Serve serve);
+/* An entry point has provided a service. */
+void checker_served(Checker *checker, const char *entry, ServiceKind serve);
+/* Checks that the entry point has accepted a job and answered a status read within 12 s after the last fault. */
 void checker_must_serve(Checker *checker, const char *entry);
+/* Checks that the fleet has started an attempt within 12 s after the last fault. */
 void checker_must_start(Checker *checker);
-/* The longest time from the last failure to the first service after it, of those asserted. */
-int64_t checker_worst_ms(const Checker *checker, Serve serve);
-/* The job is sent for the first time. */
+/* The longest time from a fault to the first service after it, in ms, of the cases that were checked. */
+int64_t checker_worst_ms(const Checker *checker, ServiceKind serve);
+/* A caller sends the job. Only the first time counts. */
 void checker_sent(Checker *checker, const char *job);
+/* A caller was told that the job is accepted. */
 void checker_accepted(Checker *checker, const char *job);
+/* A caller was told that the job is rejected. */
 void checker_refused(Checker *checker, const char *job);
+/* A caller was told that the job is cancelled. */
 void checker_cancelled(Checker *checker, const char *job);
+/* A caller was shown the job in this final phase. */
 void checker_job_ended(Checker *checker, const char *job, const char *phase);
+/* A caller was told that the job, which had been accepted, is unknown. */
 void checker_unknown(Checker *checker, const char *job);
-/* An operator was told that this version is in force; a version was read back. */
+/* An operator was told that this configuration version is in force. */
 void checker_config_set(Checker *checker, uint64_t version);
-/* Two operators were told that their changes of the same base were taken. */
+/* Two operators were told that their changes, both based on this version, were accepted. */
 void checker_config_both(Checker *checker, uint64_t base);
+/* An operator has read this version as the one in force. */
 void checker_config_read(Checker *checker, uint64_t version);
-/* The effect of configurations: a tenant's membership; work of a tenant that was sent at sent_ms and answered now; a
- * tenant's quota in every cell. */
-void checker_tenant(Checker *checker, const char *tenant, TenantWord word);
+/* An operator's change of a tenant's membership has reached this state. */
+void checker_tenant(Checker *checker, const char *tenant, TenantChangeState word);
+/* A job of the tenant, sent at sent_ms, was accepted (taken) or rejected now because of the tenant. */
 void checker_probe(Checker *checker, const char *tenant, int64_t sent_ms, bool taken);
-void checker_quota(Checker *checker, const char *tenant, Resources quota, TenantWord word);
-/* Accepted jobs not shown as ended. */
-size_t checker_open(const Checker *checker);
+/* An operator's change of the tenant's quota, which applies in every cell, has reached this state. */
+void checker_quota(Checker *checker, const char *tenant, Resources quota, TenantChangeState word);
+/* Number of accepted jobs not shown as ended yet. */
+size_t checker_open_jobs(const Checker *checker);
+/* Number of starts of attempts. */
 size_t checker_starts(const Checker *checker);
-/* How many of the starts continued from a checkpoint. */
+/* Number of starts that continued from a checkpoint. */
 size_t checker_resumes(const Checker *checker);
+/* Number of starts on the worker. */
 size_t checker_starts_on(Checker *checker, const char *worker);
-/* How long ago the worker last started something. */
-int64_t checker_started_since(Checker *checker, const char *worker);
-/* To be called from time to time: checks what must not last. */
+/* Time since the latest start on the worker, in ms. */
+int64_t checker_last_start_age_ms(Checker *checker, const char *worker);
+/* Checks properties that depend on a time limit. To be called regularly, about every 500 ms. */
 void checker_inspect(Checker *checker);
-/* At the end of a run: every accepted job must have ended. */
+/* Checks at the end of a run that every accepted job has ended. */
 void checker_end(Checker *checker);
 
 #endif
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -9,49 +9,50 @@
 #include "standin/caller.h"
 #include "standin/worker.h"
 
-#define FLEET_EACH_MAX 40
+#define FLEET_EACH_MAX 40 /* Nodes of one role, at most. */
 
-/* A whole cell in a simulated world: controllers, entry points, agents with stand-in workers, and callers, watched by a
- * checker. Used by the simulator's tests, sweeps and timelines. Node N of a role stands in zone N modulo the number of
- * zones. */
+/* A whole cell in a simulated world: controllers, entry points, agents with stand-in workers, and callers, with a
+ * checker that receives their events. Used by the simulator's tests, sweeps and timelines. Node N of a role is in zone
+ * N modulo the number of zones. */
 
-/* How many nodes of each role, and what callers submit. */
+/* The number of nodes of each role, and the mix of jobs that callers submit. */
 typedef struct FleetShape {
-    int controllers, entry_points, workers; /* each worker has an agent on a machine of its own */
+    int controllers, entry_points, workers; /* each worker has an agent, on another machine */
     Mix mix;
-    int spares; /* controllers beyond the others, not started with them; they know entry points as seeds too */
+    int spares; /* additional controllers, not started by fleet_start; their seeds are entry points */
 } FleetShape;
 
-/* How a fleet is set up, where it differs from three zones and a founding by three empty disks. */
+/* The setup of a fleet, where it differs from three zones and a cluster founded by three empty disks. */
 typedef struct FleetSite {
     int zones;                 /* 2 to 4 */
-    int losses;                /* controllers that may be lost at once with their disks */
-    int entry_point_set_seeds; /* how many of the three seeds are entry points; the others are controllers */
-    bool votes;                /* founded by the seeds' votes; a restarted process founds nothing */
-    bool disks_keep;           /* setting: disks keep what they have synced */
-    int64_t voter_back_ms;     /* setting: a lost voter is replaced within this */
-    int64_t stagger_ms;        /* processes start at moments drawn from this span */
+    int losses;                /* controllers that may be lost at once together with their disks */
+    int entry_point_set_seeds; /* number of the three seeds that are entry points; the others are controllers */
+    bool votes;                /* votes of the seeds found the cluster; a restarted process never founds one */
+    bool disks_keep;           /* the setting that disks never lose what they have synced */
+    int64_t voter_back_ms;     /* the setting of the time within which a lost voter is replaced; 0: its default */
+    int64_t stagger_ms;        /* processes start at random times within this span; 0: all at once */
 } FleetSite;
 
 typedef enum FleetRole { FLEET_CONTROLLER, FLEET_ENTRY_POINT, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
 
-/* A machine with its process. One of controller, entry point, agent and worker is set while it runs. */
+/* A machine with its process. While the process runs, one of controller, entry_point, agent and worker is set. */
 typedef struct FleetNode {
     struct Fleet *fleet;
     FleetRole role;
-    int number;
-    int machine;
+    int number;  /* within its role, from 0 */
+    int machine; /* number of its machine in the world */
     Settings settings;
-    void *mem;
+    void *mem; /* not used */
     Controller *controller;
     EntryPoint *entry_point;
     Agent *agent;
     StandWorker *worker;
     StandWorkerSettings worker_settings;
-    bool up; /* its start has succeeded */
-    Recorder *recorder;
+    bool up;            /* its start has succeeded */
+    Recorder *recorder; /* null until the first start */
 } FleetNode;
 
+/* A fleet. */
 typedef struct Fleet {
     SimWorld *world;
     Checker *checker;
@@ -59,65 +60,68 @@
     FleetSite site;
     FleetNode nodes[FLEET_ROLES][FLEET_EACH_MAX];
     int node_count[FLEET_ROLES];
-    int caller; /* the machine of callers and operators */
+    int caller; /* number of the machine on which callers and operators run */
     Caller *callers[8];
     int caller_count;
-    bool probes_over;
+    bool probes_stopped; /* probes submit no more jobs */
 } Fleet;
 
-/* A fleet on mem in a world of its own; nothing runs yet. */
+/* A fleet owned by mem, in a world of its own. No process runs yet. */
 Fleet *fleet_new(void *mem, uint64_t seed, FleetShape shape);
-/* The same; the site is copied. */
+/* The same with the setup of a site, which is copied. */
 Fleet *fleet_new_at(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site);
-/* Starts all nodes but the spares. */
+/* Starts all nodes except the spares. */
 void fleet_start(Fleet *fleet);
+/* The node of a role by its number, from 0. */
 FleetNode *fleet_node(Fleet *fleet, FleetRole role, int number);
-/* No effect on one that runs. */
+/* Starts a node's process. Has no effect if it runs. */
 void fleet_start_node(Fleet *fleet, FleetRole role, int number);
-/* SIGKILL: its peers see the connections end. */
+/* Kills a process, as SIGKILL does: its peers see the connections end. */
 void fleet_kill(Fleet *fleet, FleetRole role, int number);
-/* Its peers are not told, and its disk loses what it has not synced. */
+/* Cuts the power of a machine: its peers see nothing, and its disk may lose unsynced writes. */
 void fleet_power_off(Fleet *fleet, FleetRole role, int number);
-/* The process stands still for this long. */
+/* Freezes a process for this long. */
 void fleet_freeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms);
-/* Runs until no machine stands still. */
-void fleet_thaw(Fleet *fleet);
-/* SIGTERM: a graceful shutdown, then a start again. */
+/* Runs until no machine is frozen. */
+void fleet_wait_thawed(Fleet *fleet);
+/* Shuts a process down gracefully, as SIGTERM does, and starts it again. */
 void fleet_roll(Fleet *fleet, FleetRole role, int number);
-/* SIGTERM: a graceful shutdown. */
+/* Shuts a process down gracefully, as SIGTERM does. */
 void fleet_leave(Fleet *fleet, FleetRole role, int number);
-/* Cuts, or joins again, the links between a node and all others. */
+/* Cuts or restores the links between a node and all others. The link of a worker and its agent is not cut. */
 void fleet_isolate(Fleet *fleet, FleetRole role, int number, bool cut);
-/* Cuts a zone off from the others, or joins it to them again. */
+/* Cuts or restores the links between a zone and the others. */
 void fleet_zone_cut(Fleet *fleet, const char *zone, bool cut);
-/* The number of the controller that leads now; -1: none. */
+/* The number of the controller that leads now and is not frozen; -1: none. */
 int fleet_leader(const Fleet *fleet);
-/* A job as some controller has it; null: none knows it. Valid until the next step. */
+/* A job from the state of the leader or, if it does not know the job, of another controller; null: none knows it.
+ * Valid until time runs on. */
 const Job *fleet_job(const Fleet *fleet, const char *id);
-/* Runs for this long in virtual time. */
+/* Runs the world for this long in virtual time, with regular inspections by the checker. */
 void fleet_run(Fleet *fleet, int64_t for_ms);
-/* Runs until a controller leads and all workers are ready, at most for this long; false: they were not. */
+/* Runs until a controller leads and knows all workers, at most for this long. Returns false if that did not happen. */
 bool fleet_settle(Fleet *fleet, int64_t most_ms);
-/* Whether callers of the entry point can be served now: it is up and reaches a majority of the voters, which are up
- * with working disks and reach each other. */
-bool fleet_servable(const Fleet *fleet, int entry_point);
-/* Controllers that run, are voters and have a working disk. */
+/* Whether callers of the entry point can be served now: it is up, and reaches a majority of the voters. These run
+ * with working disks, and one of them reaches the others. */
+bool fleet_can_serve(const Fleet *fleet, int entry_point);
+/* Number of controllers that run, are voters and have a working disk. */
 int fleet_voters(const Fleet *fleet);
-/* Workers that could take work: up with their agents, and those reach such controllers. */
-int fleet_workable(const Fleet *fleet);
-/* Sets the mix's configuration and runs until that is acknowledged; false: it was not. */
+/* Number of workers that can take work: the worker and its agent are up, and the agent reaches such a majority. */
+int fleet_usable_workers(const Fleet *fleet);
+/* Sets the mix's configuration and runs until that is acknowledged. Returns false if it was not. */
 bool fleet_configure(Fleet *fleet);
-/* Submits jobs of the mix through all entry points for this long; rate_milli: thousandths of a job a second. */
+/* Submits jobs of the mix through all entry points for this long. rate_milli: rate in thousandths of a job a second. */
 Caller *fleet_call(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms);
-/* Runs until every accepted job has been shown as ended, at most for this long; false: not every one was. */
+/* Runs until every accepted job was shown as ended, at most for this long. Returns false if some job was not. */
 bool fleet_finish(Fleet *fleet, int64_t most_ms);
-/* One request from the operators' machine; runs until it is answered. The result is on mem. */
+/* Sends one request from the operators' machine and runs until its answer or time limit. The result is on mem and
+ * null-terminated; code 0: no answer. */
 HttpCall fleet_ask(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
                    const char *body);
-/* The same with headers. */
+/* The same with HTTP headers. */
 HttpCall fleet_ask_as(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
                       const char *body, const HttpPair *heads, size_t head_count);
-/* Prints the flight recorders of all nodes. */
+/* Prints the flight recorders of all nodes to stderr. */
 void fleet_dump(const Fleet *fleet);
 
 #endif
--- a/packages/sim/include/sim/probe.h
+++ b/packages/sim/include/sim/probe.h
@@ -3,17 +3,18 @@
 
 #include "sim/fleet.h"
 
-/* Probes: what shows whether configurations are in force, and whether entry points serve. */
+/* Probes: small jobs that show which configuration is in force, and whether entry points serve. */
 
-/* Tenants that operators add and remove during a run, and one that only rejected configurations ever had. */
-#define PROBE_TENANTS 3
-extern const char *const PROBE_IN_OUT[PROBE_TENANTS];
-extern const char *const PROBE_NEVER;
+/* Tenants that operators add and remove during a run. */
+#define PROBE_TENANT_COUNT 3
+extern const char *const PROBE_TENANT_NAMES[PROBE_TENANT_COUNT];
+/* A tenant that only rejected configurations contain. */
+extern const char *const PROBE_REJECTED_TENANT;
 
-/* Starts a prober at each entry point: every every_ms it submits light work of tenants that are in, out and never were,
- * reads that back at other entry points, and tells the checker. It ends once probes_stop was called and all its work
- * has ended. */
-void probes_start(Fleet *fleet, int64_t every_ms);
+/* Starts a probe at each entry point. Every interval_ms it submits a small job of one of these tenants or of its own
+ * tenant, reads the status of such jobs back at all entry points, and reports to the checker. The probe ends when
+ * probes_stop was called and all its jobs have ended. */
+void probes_start(Fleet *fleet, int64_t interval_ms);
 void probes_stop(Fleet *fleet);
 
 #endif
--- a/packages/sim/src/check_config.c
+++ b/packages/sim/src/check_config.c
@@ -39,7 +39,7 @@
     return tenant;
 }
 
-void checker_tenant(Checker *checker, const char *name, TenantWord word)
+void checker_tenant(Checker *checker, const char *name, TenantChangeState word)
 {
     SeenTenant *tenant = seen_tenant(checker, name);
     switch (word) {
@@ -80,7 +80,7 @@
     return a == 0 || b == 0 ? 0 : a > b ? a : b; /* 0 stands for no limit */
 }
 
-void checker_quota(Checker *checker, const char *name, Resources quota, TenantWord word)
+void checker_quota(Checker *checker, const char *name, Resources quota, TenantChangeState word)
 {
     SeenTenant *tenant = seen_tenant(checker, name);
     if (word == TENANT_REFUSED) {
--- a/packages/sim/src/check_job.c
+++ b/packages/sim/src/check_job.c
@@ -56,7 +56,7 @@
     checker_violated(checker, INVARIANT_FORGOTTEN, "job %s is unknown", id);
 }
 
-size_t checker_open(const Checker *checker)
+size_t checker_open_jobs(const Checker *checker)
 {
     void *mem = talloc_new(NULL);
     const char **ids;
--- a/packages/sim/src/check_run.c
+++ b/packages/sim/src/check_run.c
@@ -17,7 +17,7 @@
     return seen_worker(checker, worker)->starts;
 }
 
-int64_t checker_started_since(Checker *checker, const char *worker)
+int64_t checker_last_start_age_ms(Checker *checker, const char *worker)
 {
     return checker_now(checker) - seen_worker(checker, worker)->started_ms;
 }
--- a/packages/sim/src/check_serve.c
+++ b/packages/sim/src/check_serve.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <talloc.h>
 
-const char *serve_word(Serve serve)
+const char *serve_text(ServiceKind serve)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -25,7 +25,7 @@
     return entry_point;
 }
 
-void checker_served(Checker *checker, const char *name, Serve serve)
+void checker_served(Checker *checker, const char *name, ServiceKind serve)
 {
     SeenEntryPoint *entry_point = seen_entry_point(checker, name);
     if (entry_point->served_ms[serve] == 0)
@@ -33,14 +33,14 @@
 }
 
 /* Checks that a service was first provided in time after the last fault. served_ms 0: it was not provided yet. */
-static void check_service_time(Checker *checker, const char *where, Serve serve, int64_t served_ms)
+static void check_service_time(Checker *checker, const char *where, ServiceKind serve, int64_t served_ms)
 {
     const int64_t took_ms = (served_ms != 0 ? served_ms : checker_now(checker)) - checker->fault_ms;
     if (took_ms > checker->worst_ms[serve])
         checker->worst_ms[serve] = took_ms;
     if (served_ms == 0 || took_ms > SERVE_LATE_MS)
         checker_violated(checker, INVARIANT_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last fault", where,
-                         serve_word(serve), served_ms == 0 ? "not yet," : "first", took_ms);
+                         serve_text(serve), served_ms == 0 ? "not yet," : "first", took_ms);
 }
 
 void checker_must_serve(Checker *checker, const char *name)
@@ -55,7 +55,7 @@
     check_service_time(checker, "the fleet", SERVE_START, checker->first_start_ms);
 }
 
-int64_t checker_worst_ms(const Checker *checker, Serve serve)
+int64_t checker_worst_ms(const Checker *checker, ServiceKind serve)
 {
     return checker->worst_ms[serve];
 }
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <talloc.h>
 
-const char *invariant_words(Invariant invariant)
+const char *invariant_text(Invariant invariant)
 {
     static const char *const WORDS[] = {
 #define X(name, words) words,
@@ -47,7 +47,7 @@
     char *detail = talloc_vasprintf(checker, format, args);
     va_end(args);
     checker->first_violation =
-        talloc_asprintf(checker, "at %" PRId64 " ms: %s: %s", checker_now(checker), invariant_words(invariant), detail);
+        talloc_asprintf(checker, "at %" PRId64 " ms: %s: %s", checker_now(checker), invariant_text(invariant), detail);
 }
 
 size_t checker_broken(const Checker *checker, Invariant invariant)
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -296,7 +296,7 @@
     world->machines[machine].disk_lies = lies;
 }
 
-bool sim_disk_good(const SimWorld *world, int machine, int64_t most_ms)
+bool sim_disk_healthy(const SimWorld *world, int machine, int64_t most_ms)
 {
     return !world->machines[machine].disk_fails && world->machines[machine].sync_ms <= most_ms;
 }
--- a/packages/sim/src/fleet_ask.c
+++ b/packages/sim/src/fleet_ask.c
@@ -85,7 +85,7 @@
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + most_ms;
     for (;;) {
-        bool done = checker_open(fleet->checker) == 0;
+        bool done = checker_open_jobs(fleet->checker) == 0;
         for (int i = 0; i < fleet->caller_count; i++)
             done &= caller_done(fleet->callers[i]);
         if (done || sim_now_ms(fleet->world) >= until_ms) {
--- a/packages/sim/src/fleet_fault.c
+++ b/packages/sim/src/fleet_fault.c
@@ -105,7 +105,7 @@
         sim_at(fleet->world, until_ms + 1, report_thaw, node);
 }
 
-void fleet_thaw(Fleet *fleet)
+void fleet_wait_thawed(Fleet *fleet)
 {
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
--- a/packages/sim/src/machine.c
+++ b/packages/sim/src/machine.c
@@ -83,7 +83,7 @@
     world->machines[machine].wall_offset_ms += by_ms;
 }
 
-void sim_clock_right(SimWorld *world, int machine)
+void sim_clock_correct(SimWorld *world, int machine)
 {
     world->machines[machine].wall_offset_ms = 0;
 }
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -10,8 +10,8 @@
 #define PROBE_OPEN_MAX 512      /* Jobs that one probe tracks at once. */
 #define READ_BACK_DELAY_MS 3000 /* Requirement: no job is "unknown when asked about 3 seconds after acceptance". */
 
-const char *const PROBE_IN_OUT[PROBE_TENANTS] = {"guest1", "guest2", "guest3"};
-const char *const PROBE_NEVER = "nobody";
+const char *const PROBE_TENANT_NAMES[PROBE_TENANT_COUNT] = {"guest1", "guest2", "guest3"};
+const char *const PROBE_REJECTED_TENANT = "nobody";
 
 typedef struct ProbeJob {
     char *id;
@@ -52,7 +52,9 @@
     Fleet *fleet = probe->fleet;
     void *mem = talloc_new(fleet);
     const uint64_t at = probe->count++;
-    const char *tenant = at % 2 == 0 ? "probe" : at % 8 == 7 ? PROBE_NEVER : PROBE_IN_OUT[at / 2 % PROBE_TENANTS];
+    const char *tenant = at % 2 == 0   ? "probe"
+                         : at % 8 == 7 ? PROBE_REJECTED_TENANT
+                                       : PROBE_TENANT_NAMES[at / 2 % PROBE_TENANT_COUNT];
     char *id = talloc_asprintf(fleet, "probe-%d-%" PRIu64, probe->entry_point, at);
     const int64_t sent_ms = sim_now_ms(fleet->world);
     checker_sent(fleet->checker, id);
@@ -118,8 +120,8 @@
     Probe *probe = arg;
     Fleet *fleet = probe->fleet;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
-    while (!fleet->probes_over || probe->open_count > 0) {
-        if (!fleet->probes_over && probe->open_count < PROBE_OPEN_MAX / 2)
+    while (!fleet->probes_stopped || probe->open_count > 0) {
+        if (!fleet->probes_stopped && probe->open_count < PROBE_OPEN_MAX / 2)
             submit_job(probe);
         read_back(probe);
         loop_sleep(loop, probe->interval_ms);
@@ -137,5 +139,5 @@
 
 void probes_stop(Fleet *fleet)
 {
-    fleet->probes_over = true;
+    fleet->probes_stopped = true;
 }
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -42,7 +42,7 @@
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CONTROLLER][i];
         if (!node_runs(fleet, node) || node->controller == NULL ||
-            !sim_disk_good(fleet->world, node->machine, DISK_HEALTHY_SYNC_MS))
+            !sim_disk_healthy(fleet->world, node->machine, DISK_HEALTHY_SYNC_MS))
             continue;
         bool is_voter = false;
         for (size_t s = 0; s < voter_count; s++)
@@ -79,13 +79,13 @@
     return false;
 }
 
-bool fleet_servable(const Fleet *fleet, int entry_point)
+bool fleet_can_serve(const Fleet *fleet, int entry_point)
 {
     const FleetNode *node = &fleet->nodes[FLEET_ENTRY_POINT][entry_point];
     return node_runs(fleet, node) && reaches_voters(fleet, node->machine);
 }
 
-int fleet_workable(const Fleet *fleet)
+int fleet_usable_workers(const Fleet *fleet)
 {
     int count = 0;
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -48,7 +48,7 @@
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
         sim_disk_slow(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, 3);
         sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, false);
-        if (!sim_disk_good(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, INT64_MAX)) {
+        if (!sim_disk_healthy(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, INT64_MAX)) {
             /* after a disk failure a controller does not lead again until its process is restarted */
             sim_disk_fail(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, false);
             fleet_kill(fleet, FLEET_CONTROLLER, i);
@@ -97,12 +97,12 @@
     Fleet *fleet = sweep->fleet;
     bool any = false;
     for (int i = 0; i < fleet->node_count[FLEET_ENTRY_POINT]; i++)
-        if (fleet_servable(fleet, i)) {
+        if (fleet_can_serve(fleet, i)) {
             checker_must_serve(fleet->checker, fleet->nodes[FLEET_ENTRY_POINT][i].settings.name);
             result->asserted++;
             any = true;
         }
-    if (any && sweep->drained_zone == NULL && fleet_workable(fleet) >= USABLE_WORKERS_MIN)
+    if (any && sweep->drained_zone == NULL && fleet_usable_workers(fleet) >= USABLE_WORKERS_MIN)
         checker_must_start(fleet->checker);
 }
 
@@ -135,7 +135,7 @@
             fleet_run(fleet, (int64_t)sweep_draw(sweep, 1200));
         }
         /* the quiet period begins when the last freeze has ended */
-        fleet_thaw(fleet);
+        fleet_wait_thawed(fleet);
         checker_fault(fleet->checker);
         fleet_run(fleet, QUIET_MS);
         if (!has_violation(sweep))
@@ -236,7 +236,7 @@
 static void check_service_restored(Sweep *sweep, SweepResult *result)
 {
     end_faults(sweep);
-    fleet_thaw(sweep->fleet);
+    fleet_wait_thawed(sweep->fleet);
     fleet_run(sweep->fleet, QUIET_MS);
     check_service(sweep, result);
 }
@@ -276,7 +276,7 @@
     result->starts = checker_starts(fleet->checker);
     result->faults = sweep->faults;
     for (int i = 0; i < SERVE_COUNT; i++)
-        result->worst_ms[i] = checker_worst_ms(fleet->checker, (Serve)i);
+        result->worst_ms[i] = checker_worst_ms(fleet->checker, (ServiceKind)i);
     if (!result->good && settings->loud)
         print_failed_run(sweep);
     talloc_free(mem);
--- a/packages/sim/src/sweep_nodes.c
+++ b/packages/sim/src/sweep_nodes.c
@@ -145,7 +145,7 @@
     const int64_t by_ms = (int64_t)sweep_draw(sweep, 7200000) - 3600000;
     if (sweep->wrong_clock_machine >= 0) {
         sweep_report_fault(sweep, "the wrong clock is corrected");
-        sim_clock_right(sweep->fleet->world, sweep->wrong_clock_machine);
+        sim_clock_correct(sweep->fleet->world, sweep->wrong_clock_machine);
         sweep->wrong_clock_machine = -1;
         return;
     }
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -23,7 +23,7 @@
 } ConfigChange;
 
 /* Reports the state of the change to the checker. */
-static void change_report(ConfigChange *change, TenantWord word)
+static void change_report(ConfigChange *change, TenantChangeState word)
 {
     Checker *checker = change->sweep->fleet->checker;
     if (change->quota)
@@ -116,7 +116,7 @@
     uint64_t base;
     if (!version_read(sweep, &base))
         return;
-    const char *tenant = PROBE_IN_OUT[sweep_draw(sweep, PROBE_TENANTS)];
+    const char *tenant = PROBE_TENANT_NAMES[sweep_draw(sweep, PROBE_TENANT_COUNT)];
     ConfigChange *change = change_new(sweep, base, tenant, sweep_draw(sweep, 2) == 0);
     change_send(change);
     change_wait(change);
@@ -130,8 +130,8 @@
     uint64_t base;
     if (!version_read(sweep, &base))
         return;
-    ConfigChange *a = change_new(sweep, base, PROBE_IN_OUT[0], sweep_draw(sweep, 2) == 0);
-    ConfigChange *b = change_new(sweep, base, PROBE_IN_OUT[1], sweep_draw(sweep, 2) == 0);
+    ConfigChange *a = change_new(sweep, base, PROBE_TENANT_NAMES[0], sweep_draw(sweep, 2) == 0);
+    ConfigChange *b = change_new(sweep, base, PROBE_TENANT_NAMES[1], sweep_draw(sweep, 2) == 0);
     change_send(a);
     change_send(b);
     change_wait(a);
@@ -147,13 +147,13 @@
     uint64_t base;
     if (!version_read(sweep, &base) || base == 0)
         return;
-    ConfigChange *change = change_new(sweep, base, PROBE_NEVER, true);
+    ConfigChange *change = change_new(sweep, base, PROBE_REJECTED_TENANT, true);
     const bool stale = sweep_draw(sweep, 2) == 0;
     if (stale)
         change->base--;
     else
         change->body = talloc_asprintf(change, "{\"r\":99,\"cells\":{\"%s\":{\"tenants\":{\"%s\":{}}}}}",
-                                       mix_cell(sweep->fleet->shape.mix), PROBE_NEVER);
+                                       mix_cell(sweep->fleet->shape.mix), PROBE_REJECTED_TENANT);
     change_send(change);
     change_wait(change);
     sweep_report_fault(sweep, "a change that must be rejected (%s): %d", stale ? "stale" : "faulty", change->code);
--- a/packages/sim/src/timeline_node.c
+++ b/packages/sim/src/timeline_node.c
@@ -142,7 +142,7 @@
 static bool node_runs(const Fleet *fleet, const FleetNode *node)
 {
     return node->worker != NULL && (stand_worker_running(node->worker) > 0 ||
-                                    checker_started_since(fleet->checker, node->settings.name) < RECENT_START_MS);
+                                    checker_last_start_age_ms(fleet->checker, node->settings.name) < RECENT_START_MS);
 }
 
 static bool node_is_up(const Fleet *fleet, const FleetNode *node)
