--- a/packages/sim/tool/load.c
+++ b/packages/sim/tool/load.c
@@ -1,9 +1,10 @@
-/* A steady load on a simulated fleet, to count the instructions that a start and its end cost, with all messages,
- * commits and passes:
+/* Runs a constant load on a simulated fleet, to count the instructions that the start and end of an attempt cost, with
+ * all messages, commits and passes of the planner:
  *
  *     valgrind --tool=callgrind build/spancart-load-bench SECONDS [JOBS-A-SECOND] [WORKERS]
  *
- * A seed makes each run the same, so two runs of different length tell what a second of load costs. */
+ * The fixed seed makes runs repeatable, so that the difference of two runs of different lengths is the cost of the
+ * additional seconds of load. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,8 +14,8 @@
 
 #define SEED 7
 #define SETTLE_MS 30000
-#define JOBS_A_SECOND 60
-#define WORKERS 36 /* count; below FLEET_EACH_MAX */
+#define JOBS_A_SECOND 60 /* Default rate. */
+#define WORKERS 36       /* Default number of workers; at most FLEET_EACH_MAX. */
 
 int main(int argc, char **argv)
 {
@@ -34,7 +35,7 @@
     const size_t before = checker_starts(fleet->checker);
     fleet_call(fleet, "load", rate * 1000, seconds * 1000);
     fleet_run(fleet, seconds * 1000);
-    printf("%" PRId64 " s, %zu starts, %zu safety properties broken\n", seconds,
+    printf("%" PRId64 " s, %zu starts, %zu violations of safety properties\n", seconds,
            checker_starts(fleet->checker) - before, checker_broken_all(fleet->checker));
     talloc_free(fleet);
     return 0;
--- a/packages/sim/tool/pass_bench.c
+++ b/packages/sim/tool/pass_bench.c
@@ -1,8 +1,8 @@
-/* Measures the cost of one pass of the planner by fleet size: processor time for each pass, and for each start. Calm: a
- * few jobs have arrived, and all of them find capacity. Crowded: the fleet is full, and many jobs wait. Over quota:
- * there is capacity, and one tenant, which has reached its quota, has many jobs waiting. Then the same fleet with 1, 4,
- * 16 and 64 times the tasks, and the slope: the exponent of the number of tasks in the cost of a pass, 0 where the cost
- * does not depend on it.
+/* Measures the cost of one pass of the planner by fleet size: processor time for each pass, and for each start. In the
+ * calm case, a few jobs have arrived and find capacity. In the crowded case, the fleet is full and many jobs wait. In
+ * the case over quota there is capacity, but one tenant that has reached its quota has many jobs waiting. The calm and
+ * the crowded case are also measured with 1, 4, 16 and 64 times the tasks on the same fleet. The slope is the exponent
+ * of the number of tasks in the cost of a pass; it is 0 where the cost does not depend on this number.
  *
  *     spancart-pass-bench [ATTEMPTS] */
 #include <math.h>
@@ -11,14 +11,15 @@
 
 #include "scheduler_fixture.h"
 
-#define WORKERS 74    /* count; workers of the larger sites */
-#define TASKS_EACH 27 /* count; tasks on each worker */
+#define WORKERS 74    /* Workers of the larger sites. */
+#define TASKS_EACH 27 /* Tasks on each worker. */
 
-/* The fleet whose number of tasks grows: that of the largest site. */
+/* The fleet for the slopes, with the number of workers of the largest site. */
 #define SLOPE_WORKERS 240
-#define SLOPE_TASKS_EACH 7 /* count; tasks on each worker at first; 64 times as many fit */
-#define SLOPE_WAITING 60   /* count; waiting jobs at first */
+#define SLOPE_TASKS_EACH 7 /* Initial tasks on each worker; 64 times as many fit. */
+#define SLOPE_WAITING 60   /* Initial number of waiting jobs. */
 
+/* Processor time of this process, in s. */
 static double seconds(void)
 {
     struct timespec at;
@@ -26,34 +27,34 @@
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-/* The load to measure: a fleet, what runs on it, and what waits. */
+/* The load to measure: the size of the fleet, the running tasks, and the waiting jobs of 4 tasks each. */
 typedef struct Load {
-    size_t workers, running, waiting; /* count: workers, tasks, and jobs of 4 tasks each */
+    size_t workers, running, waiting;
 } Load;
 
 /* Prints and returns the time of a pass, in ms. */
 static double measure(Load load, int attempts)
 {
     void *mem = talloc_new(NULL);
-    SchedulerFixture *stand = scheduler_fixture_new(mem, load.workers);
+    SchedulerFixture *fixture = scheduler_fixture_new(mem, load.workers);
     const size_t waiting = load.waiting, tasks_each = load.running / load.workers;
     const bool crowded = waiting > 0;
     for (size_t i = 0; i < load.running / 9; i++)
-        job_add(stand, 9, (crowded ? FIXTURE_CPU_MILLI : FIXTURE_CPU_MILLI / 2) / tasks_each);
-    const size_t running = settle(stand);
+        job_add(fixture, 9, (crowded ? FIXTURE_CPU_MILLI : FIXTURE_CPU_MILLI / 2) / tasks_each);
+    const size_t running = settle(fixture);
     for (size_t i = 0; i < waiting; i++)
-        job_add(stand, 4, 6000 + i % 7 * 1000);
+        job_add(fixture, 4, 6000 + i % 7 * 1000);
     double passes = 0;
     size_t starts = 0;
     for (int i = 0; i < attempts; i++) {
         for (int k = 0; k < 2 && !crowded; k++)
-            job_add(stand, 4, 100);
+            job_add(fixture, 4, 100);
         const double start = seconds();
-        Pass *run = pass(stand);
+        Pass *run = pass(fixture);
         passes += seconds() - start;
         starts += run->places.placements_count;
         if (run->places.placements_count > 0)
-            deliver_change(stand, CHANGE_PLACE, &PlaceList_shape, &run->places);
+            deliver_change(fixture, CHANGE_PLACE, &PlaceList_shape, &run->places);
         talloc_free(run);
     }
     printf("%5zu workers %6zu running %6zu wait: %8.3f ms a pass", load.workers, running, waiting,
@@ -99,13 +100,13 @@
 static void measure_over_quota(size_t waiting, int attempts)
 {
     void *mem = talloc_new(NULL);
-    SchedulerFixture *stand = scheduler_fixture_new(mem, WORKERS);
+    SchedulerFixture *fixture = scheduler_fixture_new(mem, WORKERS);
     for (size_t i = 0; i < waiting; i++)
-        job_of_tenant(stand, "full", (StepSpec){.count = 4, .resources = {4000, 512, 0}});
-    const size_t running = settle(stand);
+        job_of_tenant(fixture, "full", (StepSpec){.count = 4, .resources = {4000, 512, 0}});
+    const size_t running = settle(fixture);
     const double start = seconds();
     for (int i = 0; i < attempts; i++)
-        talloc_free(pass(stand));
+        talloc_free(pass(fixture));
     printf("%5d workers %6zu running %6zu wait over quota: %8.3f ms a pass\n", WORKERS, running, waiting,
            (seconds() - start) * 1000 / attempts);
     talloc_free(mem);
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -1,9 +1,10 @@
-/* Reads the record of a run of real processes, in the order of time, and gives
- * it to the same checkers that watch the simulator.
+/* Reads the recorded events of a run of real processes, sorts them by time, and checks them with the checker of the
+ * simulator.
  *
  *     spancart-replay RECORD MIX [open]
  *
- * Each line: time, what happened, who, job, task, round, more. */
+ * Each line of RECORD is an event: time in ms, kind, name of the node, job, task, attempt, details. With "open", the
+ * record may end while jobs are active. The exit code is 0 if the record has a start and no violation. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,19 +17,21 @@
 #include "sim/checker.h"
 #include "standin/caller.h"
 
-typedef struct Line {
+/* A line of the record. order: its number, which orders events of the same time. */
+typedef struct RecordedEvent {
     int64_t at_ms;
     size_t order;
-    char what[16], who[ID_MAX + 1], job[ID_MAX + 1];
+    char kind[16], node[ID_MAX + 1], job[ID_MAX + 1];
     uint64_t task, attempt;
-    char more[64];
-} Line;
+    char details[64];
+} RecordedEvent;
 
 typedef struct Replay {
     Checker *checker;
-    int64_t now_ms;
+    int64_t now_ms; /* time of the current event */
     Mix mix;
-    Map *jobs, *frozen;
+    Map *jobs;   /* id to Job */
+    Map *frozen; /* names of frozen nodes */
 } Replay;
 
 static int64_t replay_now(void *arg)
@@ -41,21 +44,21 @@
     return map_get(((Replay *)arg)->frozen, worker) != NULL;
 }
 
-/* The job as the mix makes it: its id says its class. */
+/* The job as the mix generates it. Its id contains the name of its class. */
 static const Job *replay_job(void *arg, const char *id)
 {
     Replay *replay = arg;
     Job *job = map_get(replay->jobs, id);
     if (job != NULL)
         return job;
-    MixClass kind = CLASS_URGENT;
+    MixClass job_class = CLASS_URGENT;
     for (int i = 0; i < CLASS_COUNT; i++)
         if (strstr(id, class_word((MixClass)i)) != NULL)
-            kind = (MixClass)i;
+            job_class = (MixClass)i;
     job = talloc_zero(replay->jobs, Job);
     Faults *faults = talloc_zero(job, Faults);
     faults->mem = job;
-    const char *text = mix_job(job, replay->mix, kind, id, 0);
+    const char *text = mix_job(job, replay->mix, job_class, id, 0);
     if (!job_read(faults, text, strlen(text), &job->spec))
         return NULL;
     for (size_t s = 0; s < job->spec.steps_count; s++)
@@ -67,70 +70,71 @@
     return job;
 }
 
-static int line_order(const void *a, const void *b)
+/* Compares two events for qsort. */
+static int event_order(const void *a, const void *b)
 {
-    const Line *one = a, *other = b;
+    const RecordedEvent *one = a, *other = b;
     if (one->at_ms != other->at_ms)
         return one->at_ms < other->at_ms ? -1 : 1;
     return one->order < other->order ? -1 : one->order > other->order;
 }
 
-static void play(Replay *replay, const Line *line)
+/* Reports an event to the checker. */
+static void report_event(Replay *replay, const RecordedEvent *event)
 {
     Checker *checker = replay->checker;
-    replay->now_ms = line->at_ms;
-    if (strcmp(line->what, "plans") == 0) {
-        checker_plans(checker, line->who, strtoull(line->more, NULL, 10));
-    } else if (strcmp(line->what, "worker") == 0) {
-        Worker worker = {.name = line->who, .zone = line->job, .rack = "", .kind = "std"};
-        sscanf(line->more, "%" SCNu64 " %" SCNu64, &worker.resources.cpu_milli, &worker.resources.mem_mb);
+    replay->now_ms = event->at_ms;
+    if (strcmp(event->kind, "plans") == 0) {
+        checker_plans(checker, event->node, strtoull(event->details, NULL, 10));
+    } else if (strcmp(event->kind, "worker") == 0) {
+        Worker worker = {.name = event->node, .zone = event->job, .rack = "", .kind = "std"};
+        sscanf(event->details, "%" SCNu64 " %" SCNu64, &worker.resources.cpu_milli, &worker.resources.mem_mb);
         checker_worker(checker, &worker);
-        checker_leaving(checker, line->who, false);
-    } else if (strcmp(line->what, "leaving") == 0) {
-        checker_leaving(checker, line->who, true);
-    } else if (strcmp(line->what, "started") == 0) {
+        checker_leaving(checker, event->node, false);
+    } else if (strcmp(event->kind, "leaving") == 0) {
+        checker_leaving(checker, event->node, true);
+    } else if (strcmp(event->kind, "started") == 0) {
         Resources resources = {0};
-        sscanf(line->more, "%" SCNu64 " %" SCNu64, &resources.cpu_milli, &resources.mem_mb);
-        checker_started(checker, line->who, line->job, line->task, line->attempt, resources);
-    } else if (strcmp(line->what, "ended") == 0) {
-        checker_ended(checker, line->who, line->job, line->task, line->attempt, attempt_of_word(line->more));
-    } else if (strcmp(line->what, "known") == 0) {
-        checker_known(checker, line->who, line->job, line->task, line->attempt, attempt_of_word(line->more));
-    } else if (strcmp(line->what, "booted") == 0) {
-        checker_booted(checker, line->who);
-    } else if (strcmp(line->what, "held") == 0) {
-        checker_held(checker, line->who, line->at_ms + strtoll(line->more, NULL, 10));
-    } else if (strcmp(line->what, "resumed") == 0) {
-        checker_resumed(checker, line->who, line->job, line->task, line->attempt, line->more);
-    } else if (strcmp(line->what, "told") == 0) {
-        checker_notified(checker, line->who, line->job, line->task, line->attempt);
-    } else if (strcmp(line->what, "sent") == 0) {
-        checker_sent(checker, line->job);
-    } else if (strcmp(line->what, "gone") == 0) {
-        checker_worker_gone(checker, line->who);
-        checker_leader_gone(checker, line->who);
+        sscanf(event->details, "%" SCNu64 " %" SCNu64, &resources.cpu_milli, &resources.mem_mb);
+        checker_started(checker, event->node, event->job, event->task, event->attempt, resources);
+    } else if (strcmp(event->kind, "ended") == 0) {
+        checker_ended(checker, event->node, event->job, event->task, event->attempt, attempt_of_word(event->details));
+    } else if (strcmp(event->kind, "known") == 0) {
+        checker_known(checker, event->node, event->job, event->task, event->attempt, attempt_of_word(event->details));
+    } else if (strcmp(event->kind, "booted") == 0) {
+        checker_booted(checker, event->node);
+    } else if (strcmp(event->kind, "held") == 0) {
+        checker_held(checker, event->node, event->at_ms + strtoll(event->details, NULL, 10));
+    } else if (strcmp(event->kind, "resumed") == 0) {
+        checker_resumed(checker, event->node, event->job, event->task, event->attempt, event->details);
+    } else if (strcmp(event->kind, "told") == 0) {
+        checker_notified(checker, event->node, event->job, event->task, event->attempt);
+    } else if (strcmp(event->kind, "sent") == 0) {
+        checker_sent(checker, event->job);
+    } else if (strcmp(event->kind, "gone") == 0) {
+        checker_worker_gone(checker, event->node);
+        checker_leader_gone(checker, event->node);
         checker_fault(checker);
-    } else if (strcmp(line->what, "frozen") == 0) {
-        map_set(replay->frozen, line->who, replay);
+    } else if (strcmp(event->kind, "frozen") == 0) {
+        map_set(replay->frozen, event->node, replay);
         checker_fault(checker);
-    } else if (strcmp(line->what, "woke") == 0) {
-        map_drop(replay->frozen, line->who);
+    } else if (strcmp(event->kind, "woke") == 0) {
+        map_drop(replay->frozen, event->node);
         checker_fault(checker);
-        checker_worker_restarted(checker, line->who);
-    } else if (strcmp(line->what, "accepted") == 0) {
-        checker_accepted(checker, line->job);
-    } else if (strcmp(line->what, "refused") == 0) {
-        checker_refused(checker, line->job);
-    } else if (strcmp(line->what, "job-ended") == 0) {
-        checker_job_ended(checker, line->job, line->more);
-    } else if (strcmp(line->what, "unknown") == 0) {
-        checker_unknown(checker, line->job);
+        checker_worker_restarted(checker, event->node);
+    } else if (strcmp(event->kind, "accepted") == 0) {
+        checker_accepted(checker, event->job);
+    } else if (strcmp(event->kind, "refused") == 0) {
+        checker_refused(checker, event->job);
+    } else if (strcmp(event->kind, "job-ended") == 0) {
+        checker_job_ended(checker, event->job, event->details);
+    } else if (strcmp(event->kind, "unknown") == 0) {
+        checker_unknown(checker, event->job);
     }
 }
 
 int main(int argc, char **argv)
 {
-    /* open: the record ends while jobs are under way */
     const bool open = argc == 4 && strcmp(argv[3], "open") == 0;
     FILE *file = argc == 3 || open ? fopen(argv[1], "r") : NULL;
     if (file == NULL || mix_of_word(argv[2]) == MIX_COUNT) {
@@ -145,17 +149,18 @@
     replay->frozen = map_new(replay);
     const CheckerSettings settings = {replay, replay_now, replay_frozen, replay_job, NULL};
     replay->checker = checker_new(replay, &settings);
-    Line *lines = NULL;
+    RecordedEvent *events = NULL;
     size_t count = 0, capacity = 0;
     char text[512];
     while (fgets(text, sizeof(text), file) != NULL) {
-        lines = array_grow(replay, lines, sizeof(*lines), count, &capacity);
-        Line *line = &lines[count];
-        *line = (Line){.order = count};
-        const int got = sscanf(text, "%" SCNd64 " %15s %96s %96s %" SCNu64 " %" SCNu64 " %63[^\n]", &line->at_ms,
-                               line->what, line->who, line->job, &line->task, &line->attempt, line->more);
-        if (got < 3) {
-            fprintf(stderr, "line %zu of the record can't be read\n", count + 1);
+        events = array_grow(replay, events, sizeof(*events), count, &capacity);
+        RecordedEvent *event = &events[count];
+        *event = (RecordedEvent){.order = count};
+        const int field_count =
+            sscanf(text, "%" SCNd64 " %15s %96s %96s %" SCNu64 " %" SCNu64 " %63[^\n]", &event->at_ms, event->kind,
+                   event->node, event->job, &event->task, &event->attempt, event->details);
+        if (field_count < 3) {
+            fprintf(stderr, "line %zu of the record is malformed: fewer than 3 fields\n", count + 1);
             fclose(file);
             return 2;
         }
@@ -163,20 +168,20 @@
     }
     fclose(file);
     if (count > 0)
-        qsort(lines, count, sizeof(*lines), line_order);
-    int64_t shown_ms = count > 0 ? lines[0].at_ms : 0;
+        qsort(events, count, sizeof(*events), event_order);
+    int64_t inspected_ms = count > 0 ? events[0].at_ms : 0;
     for (size_t i = 0; i < count; i++) {
-        play(replay, &lines[i]);
-        if (replay->now_ms - shown_ms >= 500) {
-            shown_ms = replay->now_ms;
+        report_event(replay, &events[i]);
+        if (replay->now_ms - inspected_ms >= 500) {
+            inspected_ms = replay->now_ms;
             checker_inspect(replay->checker);
         }
     }
     if (!open)
         checker_end(replay->checker);
-    printf("replay: %zu lines, %zu starts, %zu nevers broken%s%s\n", count, checker_starts(replay->checker),
-           checker_broken_all(replay->checker), checker_broken_all(replay->checker) ? "; first " : "",
-           checker_first(replay->checker));
+    printf("replay: %zu lines, %zu starts, %zu violations of safety properties%s%s\n", count,
+           checker_starts(replay->checker), checker_broken_all(replay->checker),
+           checker_broken_all(replay->checker) ? "; the first " : "", checker_first(replay->checker));
     const int code = checker_broken_all(replay->checker) == 0 && checker_starts(replay->checker) > 0 ? 0 : 1;
     talloc_free(replay);
     return code;
--- a/packages/sim/tool/scheduler_fixture.h
+++ b/packages/sim/tool/scheduler_fixture.h
@@ -1,8 +1,9 @@
 #ifndef SIM_TOOL_SCHEDULER_FIXTURE_H
 #define SIM_TOOL_SCHEDULER_FIXTURE_H
 
-/* A test fixture: a scheduler by itself, on a state table and a live set, with a controller that always leads. Shows
- * what one pass decides and what it costs, for fleets that are larger than those the simulator runs. */
+/* A fixture for tests and benchmarks: a scheduler on a state table and a live set, without replication, for a
+ * controller that always leads. It serves to inspect and measure single passes, also on fleets larger than the
+ * simulator can run. */
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
@@ -10,10 +11,10 @@
 #include "planner.h"
 #include "sim/world.h"
 
-#define FIXTURE_CPU_MILLI 64000 /* capacity of a worker */
-#define STAND_EST_MS 3000       /* ms; estimated run time of a task */
+#define FIXTURE_CPU_MILLI 64000 /* CPU capacity of a worker. */
+#define FIXTURE_EST_MS 3000     /* Estimated run time of a task. */
 
-/* A scheduler with all that it works on. index: of the last delivered change; jobs: number of jobs added. */
+/* A scheduler with everything it depends on. index: of the last delivered change; jobs: number of jobs added. */
 typedef struct SchedulerFixture {
     SimWorld *world;
     Loop *loop;
@@ -25,33 +26,34 @@
 } SchedulerFixture;
 
 /* Delivers a change to the state table. */
-static inline void deliver_change(SchedulerFixture *stand, ChangeKind kind, const Shape *shape, const void *body)
+static inline void deliver_change(SchedulerFixture *fixture, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {.change = kind, .index = ++stand->index, .at_ms = loop_now_ms(stand->loop)};
+    Record change = {.change = kind, .index = ++fixture->index, .at_ms = loop_now_ms(fixture->loop)};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ReplicationState state = table_state(stand->table);
+    const ReplicationState state = table_state(fixture->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
 }
 
+/* The name of a worker by its index. */
 static inline const char *worker_name(void *mem, size_t index)
 {
     return talloc_asprintf(mem, "worker%05zu", index);
 }
 
-/* Receives a heartbeat from the worker. */
-static inline void worker_heartbeat(SchedulerFixture *stand, const Worker *worker)
+/* Passes a heartbeat of the worker to the live set. */
+static inline void worker_heartbeat(SchedulerFixture *fixture, const Worker *worker)
 {
     const HeartbeatAsk heartbeat = {
         .agent = worker->name, .incarnation = 1, .number = 1, .worker = *worker, .worker_live = true, .settled = true};
     bool list_counts;
-    liveset_heartbeat(stand->liveset, &heartbeat, loop_now_ms(stand->loop), 60000, &list_counts);
+    liveset_heartbeat(fixture->liveset, &heartbeat, loop_now_ms(fixture->loop), 60000, &list_counts);
 }
 
-/* Adds count workers with that much CPU each, in 3 zones and racks of 6. */
-static inline void workers_add(SchedulerFixture *stand, size_t count, uint64_t cpu_milli)
+/* Adds count workers with that CPU capacity each, in 3 zones and in racks of 6. */
+static inline void workers_add(SchedulerFixture *fixture, size_t count, uint64_t cpu_milli)
 {
     void *mem = talloc_new(NULL);
     for (size_t i = 0; i < count; i++) {
@@ -60,81 +62,82 @@
                                .rack = talloc_asprintf(mem, "rack%zu", i / 6),
                                .kind = "std",
                                .resources = {cpu_milli, 262144, 0}};
-        deliver_change(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
-        worker_heartbeat(stand, &worker);
+        deliver_change(fixture, CHANGE_WORKER_SET, &Worker_shape, &worker);
+        worker_heartbeat(fixture, &worker);
     }
     talloc_free(mem);
 }
 
-/* Receives another heartbeat from each of the first count workers. */
-static inline void workers_heartbeat(SchedulerFixture *stand, size_t count)
+/* Passes another heartbeat of each of the first count workers to the live set. */
+static inline void workers_heartbeat(SchedulerFixture *fixture, size_t count)
 {
     void *mem = talloc_new(NULL);
     for (size_t i = 0; i < count; i++)
-        worker_heartbeat(stand, table_worker(stand->table, worker_name(mem, i)));
+        worker_heartbeat(fixture, table_worker(fixture->table, worker_name(mem, i)));
     talloc_free(mem);
 }
 
-/* Adds a job of the tenant with only that step. */
-static inline void job_of_tenant(SchedulerFixture *stand, const char *tenant, StepSpec step)
+/* Adds a job of the tenant that consists of this step. */
+static inline void job_of_tenant(SchedulerFixture *fixture, const char *tenant, StepSpec step)
 {
     char id[32];
-    snprintf(id, sizeof(id), "%016llx", (unsigned long long)++stand->jobs);
+    snprintf(id, sizeof(id), "%016llx", (unsigned long long)++fixture->jobs);
     step.name = "0";
     step.kind = step.payload = step.near = "";
-    step.est_ms = STAND_EST_MS;
+    step.est_ms = FIXTURE_EST_MS;
     const JobAdd add = {{.id = id,
                          .cell = "all",
                          .tenant = tenant,
-                         .queue = stand->jobs % 3 == 0 ? "a" : "b",
+                         .queue = fixture->jobs % 3 == 0 ? "a" : "b",
                          .attempt_limit = 3,
                          .steps = &step,
                          .steps_count = 1},
                         {.stretch_milli = 2000, .target_ms = 2000, .kind = "std"}};
-    deliver_change(stand, CHANGE_JOB_ADD, &JobAdd_shape, &add);
+    deliver_change(fixture, CHANGE_JOB_ADD, &JobAdd_shape, &add);
 }
 
-/* Adds a job of the default tenant with only that step. */
-static inline void job_of_step(SchedulerFixture *stand, StepSpec step)
+/* Adds a job of the default tenant that consists of this step. */
+static inline void job_of_step(SchedulerFixture *fixture, StepSpec step)
 {
-    job_of_tenant(stand, "all", step);
+    job_of_tenant(fixture, "all", step);
 }
 
-/* Adds a job of one step with that many tasks. */
-static inline void job_add(SchedulerFixture *stand, uint64_t tasks, uint64_t cpu_milli)
+/* Adds a job of one step with that many tasks of that CPU demand each. */
+static inline void job_add(SchedulerFixture *fixture, uint64_t tasks, uint64_t cpu_milli)
 {
-    job_of_step(stand, (StepSpec){.count = tasks, .resources = {cpu_milli, 512, 0}});
+    job_of_step(fixture, (StepSpec){.count = tasks, .resources = {cpu_milli, 512, 0}});
 }
 
-/* Runs a pass up to its placements, which are not delivered. The caller frees it. */
-static inline Pass *pass(SchedulerFixture *stand)
+/* Runs a pass up to its placements, which are not delivered. The caller frees the pass. */
+static inline Pass *pass(SchedulerFixture *fixture)
 {
-    Pass *run = pass_new(stand->scheduler, stand->scheduler);
+    Pass *run = pass_new(fixture->scheduler, fixture->scheduler);
     pass_place_candidates(run);
     return run;
 }
 
-/* Runs passes and delivers their placements until nothing more is placed; returns the number of placed tasks. */
-static inline size_t settle(SchedulerFixture *stand)
+/* Runs passes and delivers their placements until a pass places nothing. Returns the number of placed tasks. */
+static inline size_t settle(SchedulerFixture *fixture)
 {
     size_t placed = 0, more = 1;
     while (more > 0) {
-        Pass *run = pass(stand);
+        Pass *run = pass(fixture);
         more = run->places.placements_count;
         placed += more;
         if (more > 0)
-            deliver_change(stand, CHANGE_PLACE, &PlaceList_shape, &run->places);
+            deliver_change(fixture, CHANGE_PLACE, &PlaceList_shape, &run->places);
         talloc_free(run);
     }
     return placed;
 }
 
+/* SimStart function: stores the loop in *arg. */
 static inline void loop_started(void *arg, Loop *loop)
 {
     *(Loop **)arg = loop;
 }
 
-/* The functions of SchedulerLeader, of a controller that always leads. The passes here submit no change. */
+/* The functions of SchedulerLeader for a controller that always leads. No pass of this fixture submits a change. */
 static inline bool always_true(void *arg)
 {
     (void)arg;
@@ -149,15 +152,15 @@
 
 static inline QueueClock clock_now(void *arg)
 {
-    const SchedulerFixture *stand = arg;
-    return (QueueClock){loop_now_ms(stand->loop), loop_wall_ms(stand->loop)};
+    const SchedulerFixture *fixture = arg;
+    return (QueueClock){loop_now_ms(fixture->loop), loop_wall_ms(fixture->loop)};
 }
 
 static inline const Config *config(void *arg, uint64_t *stamp)
 {
-    const SchedulerFixture *stand = arg;
+    const SchedulerFixture *fixture = arg;
     *stamp = 1;
-    return stand->config;
+    return fixture->config;
 }
 
 static inline const Policy *policy(void *arg, const ConfigCell *cell)
@@ -186,45 +189,46 @@
     return STATUS_NOT_LEADER;
 }
 
-static inline Scheduler *scheduler_create(SchedulerFixture *stand, const Bounds *bounds)
+/* The fixture's scheduler. bounds must outlive it. */
+static inline Scheduler *scheduler_create(SchedulerFixture *fixture, const Bounds *bounds)
 {
-    return scheduler_new(stand, &(SchedulerSettings){.loop = stand->loop,
-                                                     .recorder = recorder_new(stand, "bench"),
-                                                     .table = stand->table,
-                                                     .liveset = stand->liveset,
-                                                     .orphans = orphans_new(stand),
-                                                     .bounds = bounds,
-                                                     .leader = {.arg = stand,
-                                                                .leads = always_true,
-                                                                .decides = always_true,
-                                                                .won_ms = won_ms,
-                                                                .clock = clock_now,
-                                                                .config = config,
-                                                                .policy = policy,
-                                                                .policy_failures = policy_failures,
-                                                                .submit = submit_refuse}});
+    return scheduler_new(fixture, &(SchedulerSettings){.loop = fixture->loop,
+                                                       .recorder = recorder_new(fixture, "bench"),
+                                                       .table = fixture->table,
+                                                       .liveset = fixture->liveset,
+                                                       .orphans = orphans_new(fixture),
+                                                       .bounds = bounds,
+                                                       .leader = {.arg = fixture,
+                                                                  .leads = always_true,
+                                                                  .decides = always_true,
+                                                                  .won_ms = won_ms,
+                                                                  .clock = clock_now,
+                                                                  .config = config,
+                                                                  .policy = policy,
+                                                                  .policy_failures = policy_failures,
+                                                                  .submit = submit_refuse}});
 }
 
-/* A fixture owned by mem: count workers of 64 cores with nothing running. */
+/* A fixture owned by mem, with count idle workers of 64 cores each. */
 static inline SchedulerFixture *scheduler_fixture_new(void *mem, size_t count)
 {
     static const char CONFIG[] =
         "{\"r\":0,\"cells\":{\"all\":{\"tenants\":{\"all\":{},\"full\":{\"quota\":{\"cpu\":64,\"memMb\":0}}},\"queues\":{\"a\":{\"priority\":1},\"b\":{}}}}}";
-    SchedulerFixture *stand = talloc_zero(mem, SchedulerFixture);
-    stand->world = sim_world_new(mem, 1);
-    Bounds *bounds = talloc(stand, Bounds);
-    Faults *faults = talloc_zero(stand, Faults);
+    SchedulerFixture *fixture = talloc_zero(mem, SchedulerFixture);
+    fixture->world = sim_world_new(mem, 1);
+    Bounds *bounds = talloc(fixture, Bounds);
+    Faults *faults = talloc_zero(fixture, Faults);
     *bounds = bounds_first();
-    faults->mem = stand;
-    sim_start(stand->world, sim_machine(stand->world), loop_started, &stand->loop);
-    stand->table = table_new(stand);
-    stand->liveset = liveset_new(stand);
-    stand->config = config_read(stand, CONFIG, strlen(CONFIG), 1, faults);
-    stand->scheduler = scheduler_create(stand, bounds);
+    faults->mem = fixture;
+    sim_start(fixture->world, sim_machine(fixture->world), loop_started, &fixture->loop);
+    fixture->table = table_new(fixture);
+    fixture->liveset = liveset_new(fixture);
+    fixture->config = config_read(fixture, CONFIG, strlen(CONFIG), 1, faults);
+    fixture->scheduler = scheduler_create(fixture, bounds);
     const ConfigSet set = {.version = 1, .text = CONFIG};
-    deliver_change(stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
-    workers_add(stand, count, FIXTURE_CPU_MILLI);
-    return stand;
+    deliver_change(fixture, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
+    workers_add(fixture, count, FIXTURE_CPU_MILLI);
+    return fixture;
 }
 
 #endif
--- a/packages/sim/tool/sweep.c
+++ b/packages/sim/tool/sweep.c
@@ -1,9 +1,10 @@
-/* Seeds of random failures, every never checked at each step.
+/* Runs sweeps: one run with random faults for each seed, with all safety properties checked throughout.
  *
  *     spancart-sweep FIRST LAST [trentvale|atlas|varied] [plain|three|six|eight] [-v] [--skip N,N,...]
  *
- * Prints each seed that broke, and how. The same seed gives the same run. --skip
- * leaves out the failures of these numbers. scripts/sweep.py runs many at once. */
+ * Prints each failed seed with its reason, and totals. The same arguments give the same runs. -v prints each fault, and
+ * the reports of nodes after a failed run; --skip leaves out the steps with these numbers. scripts/sweep.py runs many
+ * seeds in parallel. The exit code is 1 if a seed failed. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,6 +12,7 @@
 
 #include "sim/sweep.h"
 
+/* Reads the list of step numbers after --skip. */
 static void skip_read(SweepSettings *settings, const char *text)
 {
     for (char *end; *text != '\0'; text = *end == ',' ? end + 1 : end) {
--- a/packages/sim/tool/timeline.c
+++ b/packages/sim/tool/timeline.c
@@ -1,8 +1,8 @@
-/* One timeline, drawn as text in a file, under some seeds.
+/* Runs the timeline in a file (see sim/timeline.h) with each seed from FIRST to LAST.
  *
  *     spancart-timeline FILE FIRST LAST [trentvale|atlas|varied]
  *
- * Exit code 1 when a claim did not hold or a never broke. */
+ * Stops at the first failure. The exit code is 1 if a check failed or a safety property was violated. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
