--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -109,7 +109,7 @@
 void checker_booted(Checker *checker, const char *worker);
 /* The worker was granted a lease: it may run its attempts until until_ms. */
 void checker_held(Checker *checker, const char *worker, int64_t until_ms);
-/* The worker has been told to stop the attempt. */
+/* The worker was told to stop the attempt. */
 void checker_notified(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 /* A fault begins or ends now. */
 void checker_fault(Checker *checker);
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -24,7 +24,7 @@
 
 /* The setup of a fleet, where it differs from three zones and a cluster founded by three empty disks. */
 typedef struct FleetSite {
-    int zones;                 /* 2 to 4 */
+    int zones;                 /* number of zones, 2 to 4 */
     int losses;                /* controllers that may be lost at once together with their disks */
     int entry_point_set_seeds; /* number of the three seeds that are entry points; the others are controllers */
     bool votes;                /* votes of the seeds found the cluster; a restarted process never founds one */
@@ -48,7 +48,7 @@
     Agent *agent;
     StandWorker *worker;
     StandWorkerSettings worker_settings;
-    bool up;            /* its start has succeeded */
+    bool up;            /* the start of the process has succeeded */
     Recorder *recorder; /* null until the first start */
 } FleetNode;
 
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -52,7 +52,7 @@
     SeenRun *runs; /* attempts that run now */
     SeenClaim *claims;
     bool done;          /* a worker has completed the task */
-    bool done_known;    /* that worker was told that the completion is known */
+    bool done_known;    /* the worker was told that the controllers know of the completion */
     int64_t started_ms; /* the latest start */
 } SeenTask;
 
@@ -69,8 +69,8 @@
 
 /* A worker, over all its processes. */
 typedef struct SeenWorker {
-    Worker worker;      /* its description */
-    Resources used;     /* by its runs */
+    Worker worker;      /* the worker's description as last reported */
+    Resources used;     /* resources of the worker's runs */
     int64_t leaving_ms; /* when the worker announced that it leaves; 0: it has not */
     int64_t started_ms; /* the latest start of an attempt here; 0: none yet */
     size_t starts;
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -261,7 +261,7 @@
         SimName *name = map_get(machine->disk, paths[i]);
         content_end(machine, name->content, power);
         if (power && name->content != name->durable) {
-            if (sim_random(machine->world) % 2 == 0) /* the rename or removal is lost */
+            if (sim_random(machine->world) % 2 == 0) /* the rename or the removal is lost */
                 name->content = name->durable;
             name->durable = name->content;
         }
--- a/packages/sim/src/events.c
+++ b/packages/sim/src/events.c
@@ -20,7 +20,7 @@
     return world->event_count;
 }
 
-/* splitmix64 */
+/* The generator is splitmix64. */
 uint64_t sim_random(SimWorld *world)
 {
     uint64_t mixed_bits = (world->random_state += 0x9e3779b97f4a7c15u);
--- a/packages/sim/src/sweep_act.h
+++ b/packages/sim/src/sweep_act.h
@@ -38,9 +38,10 @@
     X(worker_restarts, "WorkerRestarts", 4)   \
     X(load_peak, "Crowd", 2)
 
+/* A sweep in progress. */
 typedef struct Sweep {
     Fleet *fleet;
-    uint64_t random_state; /* of the random numbers; set anew for each step */
+    uint64_t random_state; /* state of the random numbers, reset at each step */
     bool verbose;          /* print each fault */
     /* Disks may acknowledge syncs falsely. Of the nodes with repair buffers at most one may be lost then. */
     bool disks_lie;
@@ -51,6 +52,7 @@
     const char *drained_zone; /* the zone that is drained; null: none */
 } Sweep;
 
+/* Injects a fault of one kind, or does nothing if it is not possible now. */
 typedef void (*SweepAct)(Sweep *sweep);
 
 /* A random number less than below, from the state of the current step. */
@@ -64,7 +66,7 @@
 FleetNode *sweep_any_node(Sweep *sweep);
 /* Starts all nodes that do not run, except spares that have not replaced a controller. */
 void sweep_start_all(Sweep *sweep);
-/* Ends all cuts. */
+/* Restores all links. */
 void sweep_join_all(Sweep *sweep);
 
 #define X(name, outer_name, weight) void act_##name(Sweep *sweep);
--- a/packages/sim/src/world.h
+++ b/packages/sim/src/world.h
@@ -79,7 +79,7 @@
 
 struct SimWorld {
     int64_t now_ms;        /* virtual time, also called world time */
-    uint64_t random_state; /* of the random numbers */
+    uint64_t random_state; /* state of the random number generator */
     uint64_t order;        /* of the next event added */
     uint64_t event_count;  /* events that have run */
     SimEvent *events;
--- a/packages/sim/tool/scheduler_fixture.h
+++ b/packages/sim/tool/scheduler_fixture.h
@@ -25,7 +25,7 @@
     uint64_t index, jobs;
 } SchedulerFixture;
 
-/* Delivers a change to the state table. */
+/* Delivers a change to the state table, with the next index. */
 static inline void deliver_change(SchedulerFixture *fixture, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
