--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -147,9 +147,9 @@
 {
     AgentFixture *fixture = talloc_zero(NULL, AgentFixture);
     fixture->world = sim_world_new(fixture, 1);
-    fixture->leader_machine = sim_machine(fixture->world);
-    fixture->agent_machine = sim_machine(fixture->world);
-    fixture->other_machine = sim_machine(fixture->world);
+    fixture->leader_machine = sim_machine_new(fixture->world);
+    fixture->agent_machine = sim_machine_new(fixture->world);
+    fixture->other_machine = sim_machine_new(fixture->world);
     fixture->leader =
         (FakeLeader){.id = "boss", .address = LEADER, .term = TERM(5), .lease_ms = lease_ms, .commits = true};
     fixture->other = (FakeLeader){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
--- a/packages/agent/test/agent_lease.c
+++ b/packages/agent/test/agent_lease.c
@@ -11,7 +11,7 @@
     assert_int_equal(call->orders.lease_ms, 1960);
     assert_true(lease_claim_ms(call->orders.lease_ms) >= call->orders.lease_ms * 102 / 100 + LEASE_SLACK_MS);
     /* No more than what is left is passed on: the worker's lease ends before the agent's own. */
-    sim_cut(fixture->world, fixture->agent_machine, fixture->leader_machine, true);
+    sim_link_cut(fixture->world, fixture->agent_machine, fixture->leader_machine, true);
     run_for(fixture, 5000);
     call = report_new(fixture, "b1");
     call->report.wait_ms = 0;
@@ -26,7 +26,7 @@
     AgentFixture *fixture = fixture_given(3000, 3000);
     assert_true(report_running(fixture, "")->orders.lease_ms > 0);
     fixture->leader.ignores_heartbeats = true;
-    sim_cut(fixture->world, fixture->agent_machine, fixture->leader_machine, true);
+    sim_link_cut(fixture->world, fixture->agent_machine, fixture->leader_machine, true);
     run_for(fixture, 3100);
     ReportCall *call = report_running(fixture, "");
     assert_int_equal(call->orders.lease_ms, 0);
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -66,16 +66,16 @@
     for (int i = 0; i < explore->node_count; i++) {
         const int other = explore->nodes[i].machine;
         if (out)
-            sim_cut(explore->world, node->machine, other, cut);
+            sim_link_cut(explore->world, node->machine, other, cut);
         if (in)
-            sim_cut(explore->world, other, node->machine, cut);
+            sim_link_cut(explore->world, other, node->machine, cut);
     }
 }
 
 static void cut_set(Explore *explore, const ActEnd *end, bool cut)
 {
     if (end->kind == ACT_CUT_ONE)
-        sim_cut(explore->world, end->node->machine, end->other, cut);
+        sim_link_cut(explore->world, end->node->machine, end->other, cut);
     else
         cut_all(explore, end->node, end->kind != ACT_CUT_IN, end->kind != ACT_CUT_OUT, cut);
 }
@@ -92,14 +92,14 @@
         cut_set(explore, end, false);
         break;
     case ACT_DELAY:
-        sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
+        sim_link_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
         break;
     case ACT_DROP:
     case ACT_REPEAT:
-        sim_frames(explore->world, 0, 0, 0);
+        sim_frame_faults(explore->world, 0, 0, 0);
         break;
     case ACT_FAR:
-        sim_far(explore->world, end->node->machine, 0);
+        sim_machine_delay(explore->world, end->node->machine, 0);
         break;
     case ACT_CLOCK:
         sim_clock_rate(explore->world, end->node->machine, 100);
@@ -153,13 +153,13 @@
         join(explore);
         return true;
     case ACT_DELAY:
-        sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS + (int64_t)act->amount);
+        sim_link_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS + (int64_t)act->amount);
         return true;
     case ACT_DROP:
-        sim_frames(explore->world, act->amount, 0, LATE_MS);
+        sim_frame_faults(explore->world, act->amount, 0, LATE_MS);
         return true;
     case ACT_REPEAT:
-        sim_frames(explore->world, 0, act->amount, LATE_MS);
+        sim_frame_faults(explore->world, 0, act->amount, LATE_MS);
         return true;
     default:
         return false;
@@ -195,7 +195,7 @@
         sim_freeze(explore->world, node->machine, sim_now_ms(explore->world) + act->for_ms);
         break;
     case ACT_FAR:
-        sim_far(explore->world, node->machine, act->amount);
+        sim_machine_delay(explore->world, node->machine, act->amount);
         break;
     case ACT_CLOCK:
         sim_clock_rate(explore->world, node->machine, act->amount);
@@ -282,12 +282,12 @@
 void acts_end(Explore *explore)
 {
     explore->adversary_over = true;
-    sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
-    sim_frames(explore->world, 0, 0, 0);
+    sim_link_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
+    sim_frame_faults(explore->world, 0, 0, 0);
     for (int i = 0; i < explore->node_count; i++) {
         Node *node = &explore->nodes[i];
         cut_all(explore, node, true, true, false);
-        sim_far(explore->world, node->machine, 0);
+        sim_machine_delay(explore->world, node->machine, 0);
         sim_clock_rate(explore->world, node->machine, 100);
         sim_disk_slow(explore->world, node->machine, SYNC_MS);
         sim_disk_fail(explore->world, node->machine, false);
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -137,7 +137,7 @@
         return;
     for (int i = 0; i < explore->node_count; i++) {
         Node *node = &explore->nodes[i];
-        if (!node->up || !sim_alive(explore->world, node->machine))
+        if (!node->up || !sim_running(explore->world, node->machine))
             continue;
         ReplicationInspection window;
         replication_inspect(node->replication, &window);
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -75,9 +75,9 @@
     Node *node = target(explore);
     if (node != NULL)
         client_submit(explore, node);
-    sim_at(explore->world,
-           sim_now_ms(explore->world) + 1 + (int64_t)(sim_random(explore->world) % (2 * CLIENT_EACH_MS)), client_tick,
-           explore);
+    sim_schedule(explore->world,
+                 sim_now_ms(explore->world) + 1 + (int64_t)(sim_random(explore->world) % (2 * CLIENT_EACH_MS)),
+                 client_tick, explore);
 }
 
 void client_start(Explore *explore)
--- a/packages/explore/src/moment.c
+++ b/packages/explore/src/moment.c
@@ -29,13 +29,13 @@
 {
     const int64_t late_ms = sim_now_ms(explore->world) + most_ms;
     if (moment == MOMENT_NONE) {
-        sim_at(explore->world, late_ms, run, arg);
+        sim_schedule(explore->world, late_ms, run, arg);
         return;
     }
     Awaiting *awaiting = talloc_zero(explore, Awaiting);
     *awaiting = (Awaiting){explore->awaiting, moment, run, arg, false, false};
     explore->awaiting = awaiting;
-    sim_at(explore->world, late_ms, run_once, awaiting);
+    sim_schedule(explore->world, late_ms, run_once, awaiting);
 }
 
 void moment_raise(Explore *explore, Moment moment)
@@ -43,8 +43,9 @@
     for (Awaiting *awaiting = explore->awaiting; awaiting != NULL; awaiting = awaiting->next)
         if (awaiting->moment == moment && !awaiting->raised && !awaiting->over) {
             awaiting->raised = true;
-            sim_at(explore->world, sim_now_ms(explore->world) + (int64_t)(sim_random(explore->world) % MOMENT_LATE_MS),
-                   run_once, awaiting);
+            sim_schedule(explore->world,
+                         sim_now_ms(explore->world) + (int64_t)(sim_random(explore->world) % MOMENT_LATE_MS), run_once,
+                         awaiting);
         }
 }
 
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -53,7 +53,7 @@
         return NULL;
     const int number = explore->node_count++;
     Node *node = &explore->nodes[number];
-    *node = (Node){.explore = explore, .machine = sim_machine(explore->world)};
+    *node = (Node){.explore = explore, .machine = sim_machine_new(explore->world)};
     node->name = talloc_asprintf(explore, "node%d", number + 1);
     node->listen = talloc_asprintf(explore, "%s:7000", sim_address(explore->world, node->machine));
     node->recorder = recorder_new(explore, node->name);
@@ -130,7 +130,7 @@
     const Status status = boot(node, sim_loop(node->explore->world, node->machine), &failure);
     node->up = status == STATUS_OK;
     if (status == STATUS_DISK_FAILED) /* the process ends and is started again */
-        sim_at(node->explore->world, sim_now_ms(node->explore->world), start_again, node);
+        sim_schedule(node->explore->world, sim_now_ms(node->explore->world), start_again, node);
     else if (!node->up)
         explore_break(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
 }
@@ -149,7 +149,7 @@
 
 void node_start(Node *node)
 {
-    if (!node->gone && !sim_alive(node->explore->world, node->machine)) {
+    if (!node->gone && !sim_running(node->explore->world, node->machine)) {
         explore_say(node->explore, "%s starts", node->name);
         sim_start(node->explore->world, node->machine, on_start, node);
     }
@@ -217,14 +217,14 @@
     }
     node->leaving = true;
     loop_spawn(sim_loop(node->explore->world, node->machine), "leave", leave_main, node);
-    sim_at(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, left_now, node);
+    sim_schedule(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, left_now, node);
 }
 
 /* --- roles and losses --------------------------------------------------------------- */
 
 bool node_leads(const Node *node)
 {
-    return node->up && sim_alive(node->explore->world, node->machine) && replication_leading(node->replication);
+    return node->up && sim_running(node->explore->world, node->machine) && replication_leading(node->replication);
 }
 
 Node *node_leader(Explore *explore)
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -120,7 +120,7 @@
     explore->result = result;
     explore->loud = loud;
     explore->world = sim_world_new(explore, plan->world);
-    sim_watch(explore->world, check_step, explore);
+    sim_watch_events(explore->world, check_step, explore);
     sim_watch_disks(explore->world, disk_changed, explore);
     found(explore);
     explore->start_ms = sim_now_ms(explore->world);
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -185,7 +185,7 @@
     int unsynced = 0;
     for (uint64_t seed = 1; seed <= 60; seed++) {
         SimWorld *world = sim_world_new(NULL, seed);
-        const int machine = sim_machine(world);
+        const int machine = sim_machine_new(world);
         run(world, machine, "core1", 3, false);
         /* a fourth write begins, and the process dies before its sync */
         sim_disk_slow(world, machine, 60000);
@@ -217,7 +217,7 @@
     for (uint64_t seed = 1; seed <= 40; seed++)
         for (int64_t at_ms = 0; at_ms <= 220; at_ms += 20) {
             SimWorld *world = sim_world_new(NULL, seed);
-            const int machine = sim_machine(world);
+            const int machine = sim_machine_new(world);
             run(world, machine, "core1", 6, false);
             sim_disk_slow(world, machine, 100);
             JournalRun seen = {.node = "core1",
@@ -252,7 +252,7 @@
 {
     (void)state;
     SimWorld *world = sim_world_new(NULL, 7);
-    const int machine = sim_machine(world);
+    const int machine = sim_machine_new(world);
     run(world, machine, "core1", 10, false);
     sim_disk_capacity(world, machine, sim_disk_used(world, machine) + 50);
     assert_int_equal(run(world, machine, "core1", 1, false).status, STATUS_DISK_FAILED);
--- a/packages/journal/test/journal_fixture.h
+++ b/packages/journal/test/journal_fixture.h
@@ -29,7 +29,7 @@
 {
     Fixture *fixture = talloc_zero(NULL, Fixture);
     fixture->world = sim_world_new(fixture, 1);
-    fixture->machine = sim_machine(fixture->world);
+    fixture->machine = sim_machine_new(fixture->world);
     *state = fixture;
     return 0;
 }
--- a/packages/journal/test/journal_large.c
+++ b/packages/journal/test/journal_large.c
@@ -97,7 +97,7 @@
 {
     (void)state;
     SimWorld *world = sim_world_new(NULL, 1);
-    const int machine = sim_machine(world);
+    const int machine = sim_machine_new(world);
     const ProcessRun writer = live(world, machine, true);
     assert_int_equal(writer.opened, STATUS_OK);
     assert_int_equal(writer.rewritten, STATUS_OK);
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -80,7 +80,7 @@
     *callers = (Callers){
         .topology = listener->topology, .listener = listener, .records = records, .sent_documents = sent_documents};
     for (int64_t zone = 0; zone < callers->topology->site->zones; zone++)
-        callers->machines[zone] = sim_machine(callers->topology->world);
+        callers->machines[zone] = sim_machine_new(callers->topology->world);
     return callers;
 }
 
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -155,8 +155,8 @@
         node_kill(&topology->sides[i], closing != CLOSING_KILL);
     if (wiped != NULL)
         sim_disk_wipe(topology->world, wiped->machine);
-    sim_at(topology->world, topology_now_ms(topology) + random_source_span(random_source, 700, 1500), closing_start,
-           day);
+    sim_schedule(topology->world, topology_now_ms(topology) + random_source_span(random_source, 700, 1500),
+                 closing_start, day);
 }
 
 /* How many of the jobs that could be done were shown as done in time. */
@@ -188,9 +188,9 @@
         result->timely += took_ms <= target_ms;
         result->late += took_ms > target_ms && took_ms <= target_ms * 3;
     }
-    if (checker_broken(day->topology->checker, INVARIANT_TWO_LEADERS) > 0)
+    if (checker_violations(day->topology->checker, INVARIANT_TWO_LEADERS) > 0)
         rules_broke(&result->rules, RULE_LEADERS, topology_day_ms(day->topology), "%s",
-                    checker_first(day->topology->checker));
+                    checker_first_violation(day->topology->checker));
 }
 
 void day_run(const DaySettings *settings, DayResult *result)
@@ -212,19 +212,19 @@
     day->operator= operator_new(mem, topology, day->sent_documents);
     topology_start(topology);
     if (settings->wrong_clocks)
-        sim_at(topology->world, topology->began_ms + 2000, clocks_spoil, day);
+        sim_schedule(topology->world, topology->began_ms + 2000, clocks_spoil, day);
     listener_start(day->listener);
-    sim_at(topology->world, topology_now_ms(topology) + random_source_span(&random_source, 0, 1500),
-           worker_models_begin, day);
-    sim_at(topology->world, topology_now_ms(topology) + 1000, operator_begin, day);
-    sim_at(topology->world, topology->began_ms, callers_begin, day);
+    sim_schedule(topology->world, topology_now_ms(topology) + random_source_span(&random_source, 0, 1500),
+                 worker_models_begin, day);
+    sim_schedule(topology->world, topology_now_ms(topology) + 1000, operator_begin, day);
+    sim_schedule(topology->world, topology->began_ms, callers_begin, day);
     Fault *faults = talloc_zero_array(mem, Fault, DAY_FAULTS_MAX);
     const size_t count = settings->script != NULL ? faults_read(day, settings, faults, result)
                                                   : faults_draw(day, settings, faults, result);
     for (size_t i = 0; i < count; i++)
         if (faults[i].kind != FAULT_COUNT) {
-            sim_at(topology->world, topology->began_ms + faults[i].at_ms, begin, &faults[i]);
-            sim_at(topology->world, topology->began_ms + faults[i].at_ms + faults[i].for_ms, end, &faults[i]);
+            sim_schedule(topology->world, topology->began_ms + faults[i].at_ms, begin, &faults[i]);
+            sim_schedule(topology->world, topology->began_ms + faults[i].at_ms + faults[i].for_ms, end, &faults[i]);
         }
     day_for(day, site->lead_ms + site->traffic_ms);
     Closing closing = settings->closing;
--- a/packages/model/src/fault.c
+++ b/packages/model/src/fault.c
@@ -31,7 +31,7 @@
         return;
     old->gone = true;
     node_kill(old, true);
-    sim_at(topology->world, topology_now_ms(topology) + fault->for_ms, again, spare);
+    sim_schedule(topology->world, topology_now_ms(topology) + fault->for_ms, again, spare);
 }
 
 /* Waits for the next thing that an entry point acknowledges. */
@@ -45,7 +45,7 @@
         ? day->operator->last_taker : day->callers->last_taken_ms> from_ms ? day->callers->last_taker : NULL;
     if (taker == NULL) {
         if (topology_now_ms(topology) < from_ms + 2000)
-            sim_at(topology->world, topology_now_ms(topology) + 1, acknowledged_watch, fault);
+            sim_schedule(topology->world, topology_now_ms(topology) + 1, acknowledged_watch, fault);
         return;
     }
     TopologyNode *node = taker->disk ? taker : topology_leader(topology);
@@ -99,7 +99,7 @@
         break;
     }
     if (topology_day_ms(topology) < fault->at_ms + fault->for_ms)
-        sim_at(topology->world, topology_now_ms(topology) + 1300, roll_next, fault);
+        sim_schedule(topology->world, topology_now_ms(topology) + 1300, roll_next, fault);
 }
 
 static void strike_worker_models(Fault *fault)
--- a/packages/model/src/listener.c
+++ b/packages/model/src/listener.c
@@ -40,7 +40,7 @@
 {
     Listener *listener = talloc_zero(mem, Listener);
     listener->topology = topology;
-    listener->machine = sim_machine(topology->world);
+    listener->machine = sim_machine_new(topology->world);
     return listener;
 }
 
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -289,7 +289,7 @@
     Operator *self = talloc_zero(mem, Operator);
     *self = (Operator){.topology = topology,
                        .sent_documents = sent_documents,
-                       .machine = sim_machine(topology->world),
+                       .machine = sim_machine_new(topology->world),
                        .random_source = random_source_of(topology->seed, "operator", 0)};
     return self;
 }
--- a/packages/model/src/topology.c
+++ b/packages/model/src/topology.c
@@ -40,7 +40,7 @@
     TopologyNode *node = side ? &topology->sides[topology->side_count++] : &topology->servers[topology->server_count++];
     *node = (TopologyNode){.topology = topology,
                            .zone = site_zone(zone),
-                           .machine = sim_machine(topology->world),
+                           .machine = sim_machine_new(topology->world),
                            .side = side,
                            .disk = disk,
                            .counted = disk};
@@ -65,7 +65,7 @@
     if (mkdtemp(topology->folder) == NULL)
         topology->folder[0] = '\0';
     talloc_set_destructor(topology, topology_free);
-    sim_delay(topology->world, 1, site->link_ms > 1 ? site->link_ms : 1);
+    sim_link_delay(topology->world, 1, site->link_ms > 1 ? site->link_ms : 1);
     for (int64_t i = 0; i < site->controllers + site->spares; i++)
         node_add(topology, false, true, i, i % site->zones)->used = i < site->controllers;
     for (int64_t i = 0; i < site->entry_points; i++)
--- a/packages/model/src/topology_health.c
+++ b/packages/model/src/topology_health.c
@@ -18,10 +18,10 @@
 void topology_cut(TopologyNode *a, TopologyNode *b, bool cut)
 {
     SimWorld *world = a->topology->world;
-    if (a == b || sim_is_cut(world, a->machine, b->machine) == cut)
+    if (a == b || sim_link_is_cut(world, a->machine, b->machine) == cut)
         return;
-    sim_cut(world, a->machine, b->machine, cut);
-    sim_cut(world, b->machine, a->machine, cut);
+    sim_link_cut(world, a->machine, b->machine, cut);
+    sim_link_cut(world, b->machine, a->machine, cut);
     node_fault(a, cut ? 1 : -1);
     node_fault(b, cut ? 1 : -1);
 }
@@ -35,8 +35,8 @@
             i < topology->server_count ? &topology->servers[i] : &topology->sides[i - topology->server_count];
         if (other == node)
             continue;
-        sim_cut(topology->world, node->machine, other->machine, cut);
-        sim_cut(topology->world, other->machine, node->machine, cut);
+        sim_link_cut(topology->world, node->machine, other->machine, cut);
+        sim_link_cut(topology->world, other->machine, node->machine, cut);
     }
     node_fault(node, cut ? 1 : -1);
 }
@@ -51,7 +51,7 @@
     Topology *topology = node->topology;
     sim_freeze(topology->world, node->machine, topology_now_ms(topology) + for_ms);
     node_fault(node, 1);
-    sim_at(topology->world, topology_now_ms(topology) + for_ms, thawed, node);
+    sim_schedule(topology->world, topology_now_ms(topology) + for_ms, thawed, node);
 }
 
 static bool since(int64_t fault_ms, int64_t now_ms, int64_t span_ms)
--- a/packages/model/src/topology_node.c
+++ b/packages/model/src/topology_node.c
@@ -10,7 +10,7 @@
 
 static void on_plans(void *arg, const char *name, uint64_t term)
 {
-    checker_plans(((TopologyNode *)arg)->topology->checker, name, term);
+    checker_leader_plans(((TopologyNode *)arg)->topology->checker, name, term);
 }
 
 /* The same three for all at the first start; later a list drawn anew for each start. */
@@ -57,7 +57,7 @@
 static void again_later(void *arg)
 {
     TopologyNode *node = arg;
-    if (!sim_alive(node->topology->world, node->machine) && !node->gone)
+    if (!sim_running(node->topology->world, node->machine) && !node->gone)
         node_start(node);
 }
 
@@ -65,7 +65,7 @@
 {
     TopologyNode *node = arg;
     node_kill(node, false);
-    sim_at(node->topology->world, topology_now_ms(node->topology) + RESTART_MS, again_later, node);
+    sim_schedule(node->topology->world, topology_now_ms(node->topology) + RESTART_MS, again_later, node);
 }
 
 static void boot_main(void *arg)
@@ -94,7 +94,7 @@
     if (node->faults == 0)
         rules_broke(topology->rules, RULE_FAULT, topology_day_ms(topology), "%s does not start: %s", node->name,
                     failure.text);
-    sim_at(topology->world, topology_now_ms(topology), ends_by_itself, node);
+    sim_schedule(topology->world, topology_now_ms(topology), ends_by_itself, node);
 }
 
 static void process_start(void *arg, Loop *loop)
@@ -106,7 +106,7 @@
 
 void node_start(TopologyNode *node)
 {
-    if (sim_alive(node->topology->world, node->machine))
+    if (sim_running(node->topology->world, node->machine))
         return;
     node->used = true;
     node->life++;
@@ -119,14 +119,14 @@
 static void node_over(TopologyNode *node)
 {
     if (node->node.controller != NULL)
-        checker_leader_gone(node->topology->checker, node->name);
+        checker_leader_ended(node->topology->checker, node->name);
     node->node = (AdapterNode){0};
     node->up = node->leaving = false;
 }
 
 void node_kill(TopologyNode *node, bool power)
 {
-    if (!sim_alive(node->topology->world, node->machine))
+    if (!sim_running(node->topology->world, node->machine))
         return;
     node_over(node);
     if (power)
@@ -163,15 +163,15 @@
     Rolling *rolling = arg;
     TopologyNode *node = rolling->node;
     Topology *topology = node->topology;
-    if (node->life == rolling->life && sim_alive(topology->world, node->machine)) {
+    if (node->life == rolling->life && sim_running(topology->world, node->machine)) {
         if (!rolling->ended && topology_now_ms(topology) < rolling->until_ms) {
-            sim_at(topology->world, topology_now_ms(topology) + 10, roll_check, rolling);
+            sim_schedule(topology->world, topology_now_ms(topology) + 10, roll_check, rolling);
             return;
         }
         if (!rolling->ended)
             topology_say(topology, "%s is ended by force", node->name);
         node_kill(node, false);
-        sim_at(topology->world, topology_now_ms(topology) + RESTART_MS, again_later, node);
+        sim_schedule(topology->world, topology_now_ms(topology) + RESTART_MS, again_later, node);
     }
     talloc_free(rolling);
 }
@@ -186,5 +186,5 @@
     node->leaving = true;
     node_fault(node, 0);
     loop_spawn(node->node.loop, "term", term_main, rolling);
-    sim_at(topology->world, topology_now_ms(topology) + 10, roll_check, rolling);
+    sim_schedule(topology->world, topology_now_ms(topology) + 10, roll_check, rolling);
 }
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -154,7 +154,7 @@
     loop_call(worker_model->loop, &call);
     talloc_free(mem);
     topology_say(topology, "%s has left", worker_model->boot);
-    sim_at(topology->world, topology_now_ms(topology), over_later, worker_model);
+    sim_schedule(topology->world, topology_now_ms(topology), over_later, worker_model);
 }
 
 void worker_model_leave(WorkerModel *worker_model, int64_t after_ms)
@@ -241,7 +241,7 @@
         *worker_model =
             (WorkerModel){.worker_models = worker_models,
                           .side = &topology->sides[i],
-                          .machine = sim_machine(topology->world),
+                          .machine = sim_machine_new(topology->world),
                           .number = (int)i,
                           .kind = "std",
                           .zone = topology->sides[i].zone,
--- a/packages/replication/test/commit.c
+++ b/packages/replication/test/commit.c
@@ -64,7 +64,7 @@
 {
     Leader *leader = talloc_zero(NULL, Leader);
     leader->world = sim_world_new(leader, 1);
-    sim_start(leader->world, sim_machine(leader->world), leader_begin, leader);
+    sim_start(leader->world, sim_machine_new(leader->world), leader_begin, leader);
     *state = leader;
     return 0;
 }
--- a/packages/replication/test/old_disk.h
+++ b/packages/replication/test/old_disk.h
@@ -27,8 +27,9 @@
 /* Four controllers, the last one without a vote, as in the fixtures. */
 static inline Fleet *fleet_of(void)
 {
-    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = true, .disks_keep = true};
-    return fleet_new_at(NULL, 2, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
+    const FleetSite site = {
+        .zones = 3, .losses = 1, .entry_point_seeds = 1, .founded_by_votes = true, .disks_keep = true};
+    return fleet_new_with_site(NULL, 2, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
 }
 
 /* Replaces the controller's journal by the fixture. */
@@ -48,7 +49,7 @@
 static inline Replication *opened(Fleet *fleet, int controller, const char *name)
 {
     put(fleet, controller, name);
-    fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, controller, true);
     fleet_start_node(fleet, FLEET_CONTROLLER, controller);
     fleet_run(fleet, 100);
     if (!runs(fleet, controller))
--- a/packages/sim/src/events.c
+++ b/packages/sim/src/events.c
@@ -1,5 +1,5 @@
-/* The world's clock, random numbers and queue of events: a binary heap, the earliest first; of two at the same time the
- * one that was added first. */
+/* The world's clock, random numbers and event queue. The queue is a binary heap ordered by time; events of the same
+ * time run in the order in which they were added. */
 #include <talloc.h>
 
 #include "base/array.h"
@@ -20,10 +20,10 @@
     return world->event_count;
 }
 
-/* splitmix64 */
+/* The generator is splitmix64. */
 uint64_t sim_random(SimWorld *world)
 {
-    uint64_t mixed_bits = (world->state += 0x9e3779b97f4a7c15u);
+    uint64_t mixed_bits = (world->random_state += 0x9e3779b97f4a7c15u);
     mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
     mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
     return mixed_bits ^ (mixed_bits >> 31);
@@ -40,7 +40,7 @@
     return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->order < b->order);
 }
 
-void sim_at(SimWorld *world, int64_t when_ms, SimFn fn, void *arg)
+void sim_schedule(SimWorld *world, int64_t when_ms, SimFn fn, void *arg)
 {
     world->events = array_grow(world, world->events, sizeof(*world->events), world->count, &world->capacity);
     const SimEvent event = {when_ms < world->now_ms ? world->now_ms : when_ms, world->order++, fn, arg};
@@ -52,6 +52,7 @@
     world->events[at] = event;
 }
 
+/* Removes the earliest event from the heap. */
 static SimEvent take(SimWorld *world)
 {
     const SimEvent top = world->events[0];
@@ -73,6 +74,7 @@
     return top;
 }
 
+/* Runs the next event if its time is not after until_ms. Returns false if there is none. */
 static bool step_to(SimWorld *world, int64_t until_ms)
 {
     if (world->count == 0 || world->events[0].when_ms > until_ms)
@@ -93,7 +95,7 @@
     world->now_ms = until_ms;
 }
 
-bool sim_turn(SimWorld *world, int machine, int64_t until_ms)
+bool sim_run_turn(SimWorld *world, int machine, int64_t until_ms)
 {
     const uint64_t before = world->machines[machine].turns;
     while (world->machines[machine].turns == before)
@@ -102,7 +104,7 @@
     return true;
 }
 
-void sim_watch(SimWorld *world, SimFn fn, void *arg)
+void sim_watch_events(SimWorld *world, SimFn fn, void *arg)
 {
     world->watch = fn;
     world->watch_arg = arg;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -1,4 +1,4 @@
-/* A fleet: its nodes, how they start, and the run of its time. */
+/* A fleet: its nodes, their start, and the progress of virtual time. */
 #include "fleet.h"
 
 #include <stdio.h>
@@ -20,6 +20,7 @@
     return sim_wall_ms(((const Fleet *)arg)->world);
 }
 
+/* The node of the worker with that name; null: none. */
 static FleetNode *worker_node(const Fleet *fleet, const char *name)
 {
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
@@ -54,8 +55,9 @@
     return fleet_job(arg, id);
 }
 
-/* --- building ------------------------------------------------------------------------ */
+/* --- construction ------------------------------------------------------------------------ */
 
+/* Adds a node of the role, on a machine of its own, with its settings. */
 static FleetNode *node_add(Fleet *fleet, FleetRole role)
 {
     const int number = fleet->node_count[role]++;
@@ -63,7 +65,7 @@
     node->fleet = fleet;
     node->role = role;
     node->number = number;
-    node->machine = sim_machine(fleet->world);
+    node->machine = sim_machine_new(fleet->world);
     const char *ip = sim_address(fleet->world, node->machine);
     node->settings.cluster_settings = cluster_settings_default();
     node->settings.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
@@ -72,7 +74,7 @@
     if (fleet->site.voter_back_ms > 0)
         node->settings.cluster_settings.voter_back_ms = fleet->site.voter_back_ms;
     node->settings.cluster_settings.disks_keep = fleet->site.disks_keep;
-    if (fleet->site.votes)
+    if (fleet->site.founded_by_votes)
         node->settings.cluster_settings.founds = 1;
     node->settings.listen = talloc_asprintf(fleet, "%s:7000", ip);
     node->settings.http = talloc_asprintf(fleet, "%s:8000", ip);
@@ -81,18 +83,19 @@
 
 Fleet *fleet_new(void *mem, uint64_t seed, FleetShape shape)
 {
-    return fleet_new_at(mem, seed, shape, &(FleetSite){.zones = 3, .losses = 1});
+    return fleet_new_with_site(mem, seed, shape, &(FleetSite){.zones = 3, .losses = 1});
 }
 
+/* The listen address of a seed, by its number. */
 static const char *seed_of(const Fleet *fleet, int number)
 {
-    const int entry_points = fleet->site.entry_point_set_seeds;
+    const int entry_points = fleet->site.entry_point_seeds;
     return number < entry_points
                ? fleet->nodes[FLEET_ENTRY_POINT][number % fleet->shape.entry_points].settings.listen
                : fleet->nodes[FLEET_CONTROLLER][(number - entry_points) % fleet->shape.controllers].settings.listen;
 }
 
-Fleet *fleet_new_at(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
+Fleet *fleet_new_with_site(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
 {
     Fleet *fleet = talloc_zero(mem, Fleet);
     fleet->world = sim_world_new(fleet, seed);
@@ -120,14 +123,14 @@
             .agent = agent->settings.http,
             .watch = fleet_worker_watch(worker),
         };
-        checker_worker(fleet->checker, &worker->worker_settings.worker);
+        checker_worker_described(fleet->checker, &worker->worker_settings.worker);
     }
-    fleet->caller = sim_machine(fleet->world);
+    fleet->caller_machine = sim_machine_new(fleet->world);
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
             for (int s = 0; s < SEEDS; s++)
                 fleet->nodes[role][i].settings.seeds[s] = seed_of(fleet, s);
-    /* by the time a spare is started the seeds may be other nodes */
+    /* The seeds of a spare are entry points, since the first seeds may have been replaced when it is started. */
     for (int i = shape.controllers; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         for (int s = 0; s < SEEDS; s++)
             fleet->nodes[FLEET_CONTROLLER][i].settings.seeds[s] =
@@ -140,6 +143,7 @@
     return &fleet->nodes[role][number];
 }
 
+/* The first task of a node's process. */
 static void boot_main(void *arg)
 {
     FleetNode *node = arg;
@@ -147,7 +151,7 @@
     Failure failure = {0};
     Status status = STATUS_OK;
     const ControllerObserver watch = fleet_controller_watch(node);
-    recorder_set_place(node->recorder, NULL, NULL); /* the flight recorder outlives the process */
+    recorder_set_place(node->recorder, NULL, NULL); /* the fleet owns the flight recorder, which outlives the process */
     switch (node->role) {
     case FLEET_CONTROLLER:
         status = controller_start(loop, loop, node->recorder, &node->settings, &watch, &node->controller, &failure);
@@ -185,10 +189,11 @@
         node->recorder = recorder_new(fleet, node->settings.name);
         recorder_mute(node->recorder);
     }
-    if (!sim_alive(fleet->world, node->machine))
+    if (!sim_running(fleet->world, node->machine))
         sim_start(fleet->world, node->machine, node_start, node);
 }
 
+/* Starts no task: callers and operators are started later. */
 static void empty_start(void *arg, Loop *loop)
 {
     (void)arg;
@@ -203,14 +208,14 @@
 
 void fleet_start(Fleet *fleet)
 {
-    sim_start(fleet->world, fleet->caller, empty_start, fleet);
+    sim_start(fleet->world, fleet->caller_machine, empty_start, fleet);
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role] - (role == FLEET_CONTROLLER ? fleet->shape.spares : 0); i++)
             if (fleet->site.stagger_ms > 0)
-                sim_at(fleet->world,
-                       sim_now_ms(fleet->world) +
-                           (int64_t)(sim_random(fleet->world) % (uint64_t)fleet->site.stagger_ms),
-                       start_later, fleet_node(fleet, (FleetRole)role, i));
+                sim_schedule(fleet->world,
+                             sim_now_ms(fleet->world) +
+                                 (int64_t)(sim_random(fleet->world) % (uint64_t)fleet->site.stagger_ms),
+                             start_later, fleet_node(fleet, (FleetRole)role, i));
             else
                 fleet_start_node(fleet, (FleetRole)role, i);
 }
@@ -236,6 +241,7 @@
     }
 }
 
+/* Whether a controller leads and knows all workers. */
 static bool settled(Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
@@ -249,7 +255,7 @@
     return count == (size_t)fleet->node_count[FLEET_WORKER];
 }
 
-bool fleet_settle(Fleet *fleet, int64_t most_ms)
+bool fleet_wait_ready(Fleet *fleet, int64_t most_ms)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + most_ms;
     while (!settled(fleet) && sim_now_ms(fleet->world) < until_ms)
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -1,9 +1,9 @@
-/* Passes what nodes and callers of a fleet report on to its checker. */
+/* Callbacks that pass the events of a fleet's nodes and callers to its checker. */
 #include "fleet.h"
 
 static void on_plans(void *arg, const char *name, uint64_t term)
 {
-    checker_plans(((FleetNode *)arg)->fleet->checker, name, term);
+    checker_leader_plans(((FleetNode *)arg)->fleet->checker, name, term);
 }
 
 static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
@@ -21,18 +21,18 @@
 static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                      AttemptStatus word)
 {
-    checker_known(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, word);
+    checker_end_acknowledged(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, word);
 }
 
 static void on_booted(void *arg, const char *worker)
 {
-    checker_booted(((FleetNode *)arg)->fleet->checker, worker);
+    checker_worker_booted(((FleetNode *)arg)->fleet->checker, worker);
 }
 
 static void on_held(void *arg, const char *worker, int64_t left_ms)
 {
     const FleetNode *node = arg;
-    checker_held(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + left_ms);
+    checker_lease_granted(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + left_ms);
 }
 
 static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
@@ -43,7 +43,7 @@
 
 static void on_notified(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt)
 {
-    checker_notified(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt);
+    checker_stop_ordered(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt);
 }
 
 static void on_sent(void *arg, const char *id)
@@ -69,7 +69,7 @@
 
 static void on_unknown(void *arg, const char *id)
 {
-    checker_unknown(((Fleet *)arg)->checker, id);
+    checker_job_unknown(((Fleet *)arg)->checker, id);
 }
 
 static void on_cancelled(void *arg, const char *id)
--- a/packages/sim/src/machine.c
+++ b/packages/sim/src/machine.c
@@ -1,11 +1,11 @@
-/* Machines and what may befall them: addresses, clocks, freezes, and the network between them. */
+/* Machines: their addresses, ports, clocks and freezes, and the state of the links between them. */
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "world.h"
 
-int sim_machine(SimWorld *world)
+int sim_machine_new(SimWorld *world)
 {
     const int number = world->machine_count++;
     SimMachine *machine = &world->machines[number];
@@ -50,13 +50,13 @@
     else
         snprintf(name, sizeof(name), "%.15s", colon + 1);
     snprintf(bound, ADDRESS_MAX, "%s:%s", sim->world->machines[sim->machine].ip, name);
-    SimPort *kept = talloc_zero(sim, SimPort);
-    *kept = port;
-    map_set(sim->ports, name, kept);
+    SimPort *registered = talloc_zero(sim, SimPort);
+    *registered = port;
+    map_set(sim->ports, name, registered);
     return 0;
 }
 
-bool sim_alive(const SimWorld *world, int machine)
+bool sim_running(const SimWorld *world, int machine)
 {
     return world->machines[machine].loop != NULL;
 }
@@ -68,7 +68,7 @@
 
 void sim_freeze(SimWorld *world, int machine, int64_t until_ms)
 {
-    /* of freezes that overlap the longest counts */
+    /* overlapping freezes end with the last of them */
     if (until_ms > world->machines[machine].frozen_until_ms)
         world->machines[machine].frozen_until_ms = until_ms;
 }
@@ -78,12 +78,12 @@
     return world->machines[machine].frozen_until_ms > world->now_ms;
 }
 
-void sim_jump(SimWorld *world, int machine, int64_t by_ms)
+void sim_clock_jump(SimWorld *world, int machine, int64_t by_ms)
 {
     world->machines[machine].wall_offset_ms += by_ms;
 }
 
-void sim_clock_right(SimWorld *world, int machine)
+void sim_clock_correct(SimWorld *world, int machine)
 {
     world->machines[machine].wall_offset_ms = 0;
 }
@@ -91,42 +91,42 @@
 void sim_clock_rate(SimWorld *world, int number, int64_t percent)
 {
     SimMachine *machine = &world->machines[number];
-    const int64_t ahead_ms = (world->now_ms - machine->rate_from_ms) * (machine->rate_percent - 100) / 100;
-    machine->boot_offset_ms += ahead_ms;
+    const int64_t gain_ms = (world->now_ms - machine->rate_from_ms) * (machine->rate_percent - 100) / 100;
+    machine->boot_offset_ms += gain_ms;
     machine->rate_from_ms = world->now_ms;
     machine->rate_percent = percent;
 }
 
-void sim_cut(SimWorld *world, int from, int to, bool cut)
+void sim_link_cut(SimWorld *world, int from, int to, bool cut)
 {
     if (from != to)
         world->cut[from][to] = cut;
 }
 
-void sim_refuse(SimWorld *world, int from, int to, bool refused)
+void sim_link_refuse(SimWorld *world, int from, int to, bool refused)
 {
     world->refused[from][to] = refused;
 }
 
-bool sim_is_cut(const SimWorld *world, int from, int to)
+bool sim_link_is_cut(const SimWorld *world, int from, int to)
 {
     return world->cut[from][to];
 }
 
-void sim_delay(SimWorld *world, int64_t low_ms, int64_t high_ms)
+void sim_link_delay(SimWorld *world, int64_t low_ms, int64_t high_ms)
 {
     world->delay_low_ms = low_ms;
     world->delay_high_ms = high_ms;
 }
 
-void sim_frames(SimWorld *world, unsigned dropped, unsigned repeated, int64_t late_ms)
+void sim_frame_faults(SimWorld *world, unsigned dropped, unsigned repeated, int64_t late_ms)
 {
     world->frame_dropped = dropped;
     world->frame_repeated = repeated;
     world->frame_late_ms = late_ms;
 }
 
-void sim_far(SimWorld *world, int machine, int64_t more_ms)
+void sim_machine_delay(SimWorld *world, int machine, int64_t more_ms)
 {
-    world->machines[machine].far_ms = more_ms;
+    world->machines[machine].extra_delay_ms = more_ms;
 }
--- a/packages/sim/src/timeline_act.c
+++ b/packages/sim/src/timeline_act.c
@@ -1,4 +1,4 @@
-/* What the words of a timeline share: its columns, and why it has failed. */
+/* Functions that all words of a timeline share: lookup of columns, and the reason of a failure. */
 #include "timeline_act.h"
 
 #include <inttypes.h>
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-bool timeline_fault(Timeline *timeline, const char *column, const char *what)
+bool timeline_fail(Timeline *timeline, const char *column, const char *what)
 {
-    /* a safety property that broke is the cause of a claim that does not hold */
-    if (checker_broken_all(timeline->fleet->checker) > 0)
-        what = checker_first(timeline->fleet->checker);
+    /* the violation of a safety property is reported in preference, as it is the likely cause */
+    if (checker_violations_total(timeline->fleet->checker) > 0)
+        what = checker_first_violation(timeline->fleet->checker);
     snprintf(timeline->why, timeline->why_size, "at %" PRId64 " ms, column %s: %s",
              sim_now_ms(timeline->fleet->world) - timeline->start_ms, column, what);
     return false;
@@ -28,7 +28,7 @@
         return true;
     }
     const int leader = fleet_leader(fleet);
-    int others[FLEET_EACH_MAX], count = 0;
+    int others[FLEET_ROLE_NODES_MAX], count = 0;
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         if (i != leader)
             others[count++] = i;
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -76,7 +76,7 @@
         SimWorld *world = sim_world_new(mem, 1);
         Asker asker = {0};
         Forger forger = {.change = ROWS[i].change};
-        const int client = sim_machine(world), server = sim_machine(world);
+        const int client = sim_machine_new(world), server = sim_machine_new(world);
         sim_start(world, server, forge_start, &forger);
         sim_start(world, client, asker_start, &asker);
         const Ask *ask = begin(&asker, (PeerIdentity){0}, 41, 500);
@@ -110,7 +110,7 @@
         SimWorld *world = sim_world_new(mem, 1);
         Asker asker = {0};
         Forger forger = {.says = true, .peer = i == 0 ? 0 : meant.id + ROWS[i].peer, .life = 999 + ROWS[i].life};
-        const int client = sim_machine(world), server = sim_machine(world);
+        const int client = sim_machine_new(world), server = sim_machine_new(world);
         sim_start(world, server, forge_start, &forger);
         sim_start(world, client, asker_start, &asker);
         const Ask *ask = begin(&asker, meant, 41, 500);
--- a/packages/sim/test/bad_disks.c
+++ b/packages/sim/test/bad_disks.c
@@ -151,15 +151,15 @@
     (void)state;
     const FleetSite site = {.zones = 3,
                             .losses = 1,
-                            .entry_point_set_seeds = 1,
-                            .votes = true,
+                            .entry_point_seeds = 1,
+                            .founded_by_votes = true,
                             .disks_keep = true,
                             .voter_back_ms = SYNC_MS,
                             .stagger_ms = 500};
     for (uint64_t seed = 1; seed <= 4; seed++) {
-        Fleet *fleet = fleet_new_at(NULL, seed, (FleetShape){4, 1, 1, MIX_TRENTVALE, 0}, &site);
+        Fleet *fleet = fleet_new_with_site(NULL, seed, (FleetShape){4, 1, 1, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
-        assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+        assert_true(fleet_wait_ready(fleet, 30000) && fleet_configure(fleet));
         fleet_run(fleet, SYNC_MS);
         int bad = -1;
         for (int i = 0; i < 4; i++)
@@ -168,7 +168,8 @@
         checker_fault(fleet->checker);
         sim_disk_fail(fleet->world, machine_of(fleet, bad), true);
         changes_go_on(fleet, 1500);
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/alerts", NULL);
+        const HttpCall call =
+            fleet_request(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/alerts", NULL);
         const char *name = fleet_node(fleet, FLEET_CONTROLLER, bad)->settings.name;
         const char *alert = talloc_asprintf(fleet, "{\"alert\":\"disk-refuses\",\"subject\":\"%s\"", name);
         const char *body = talloc_strndup(fleet, (const char *)call.response_body.data, call.response_body.count);
--- a/packages/sim/test/catch_up.c
+++ b/packages/sim/test/catch_up.c
@@ -137,7 +137,7 @@
     catch_up.bytes = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, leader)->machine) - sent;
     for (int i = 0; i < 3; i++)
         assert_false(replication_disk_failed(replication_of(fleet, i)));
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
+    assert_int_equal(checker_violations_total(fleet->checker), 0);
     print_message("away for %d changes of %zu bytes: caught up in %d ms with %zu KB; at most %zu KB on disk, %zu KB of "
                   "memory\n",
                   changes, bytes, (int)catch_up.took_ms, (size_t)catch_up.bytes / 1024, catch_up.disk / 1024,
@@ -183,9 +183,9 @@
     for (int i = 0; i < 600 && !(caught_up(fleet, away) && is_voter(fleet, away)); i++) {
         fleet_run(fleet, 100);
         if (i == 60)
-            fleet_isolate(fleet, FLEET_CONTROLLER, away, true);
+            fleet_node_cut(fleet, FLEET_CONTROLLER, away, true);
         if (i == 90)
-            fleet_isolate(fleet, FLEET_CONTROLLER, away, false);
+            fleet_node_cut(fleet, FLEET_CONTROLLER, away, false);
         const uint64_t snapshot_bytes_here = runs(fleet, away) ? snapshot_piece_count(replication_of(fleet, away)) : 0;
         most = snapshot_bytes_here > most ? snapshot_bytes_here : most;
         assert_true(snapshot_bytes_here == most || snapshot_bytes_here == 0);
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -74,7 +74,7 @@
                                .rack = "",
                                .kind = i == 3 ? "gpu" : "std",
                                .resources = {2000, 100, 0}};
-        checker_worker(checker, &worker);
+        checker_worker_described(checker, &worker);
     }
     return checker;
 }
@@ -83,15 +83,15 @@
 
 static void only(Checker *checker, Invariant invariant)
 {
-    assert_true(checker_broken(checker, invariant) > 0);
-    assert_int_equal(checker_broken_all(checker), checker_broken(checker, invariant));
-    assert_true(strlen(checker_first(checker)) > 0);
+    assert_true(checker_violations(checker, invariant) > 0);
+    assert_int_equal(checker_violations_total(checker), checker_violations(checker, invariant));
+    assert_true(strlen(checker_first_violation(checker)) > 0);
     talloc_free(checker);
 }
 
 static void good(Checker *checker)
 {
-    assert_int_equal(checker_broken_all(checker), 0);
+    assert_int_equal(checker_violations_total(checker), 0);
 }
 
 /* --- events told by hand: each safety property broken, and what is near to it and does not break --- */
@@ -101,19 +101,20 @@
 {
     (void)state;
     Checker *checker = begin();
-    checker_plans(checker, "a", 5), checker_plans(checker, "b", 6), checker_plans(checker, "b", 6), good(checker);
-    checker_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
+    checker_leader_plans(checker, "a", 5), checker_leader_plans(checker, "b", 6), checker_leader_plans(checker, "b", 6),
+        good(checker);
+    checker_leader_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
 
-    checker = begin(), checker_plans(checker, "a", 5), checker_plans(checker, "b", 5),
+    checker = begin(), checker_leader_plans(checker, "a", 5), checker_leader_plans(checker, "b", 5),
     only(checker, INVARIANT_TWO_LEADERS);
 
     /* forgotten by the disks: a new lower term after the end of the higher one is
      * no second leader, an old one that wakes is */
-    checker = begin(), checker_plans(checker, "a", 5), checker_plans(checker, "b", 7),
-    checker_leader_gone(checker, "b"), checker_plans(checker, "c", 6);
-    good(checker), checker_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
-    checker = begin(), checker_plans(checker, "b", 7), checker_leader_gone(checker, "a"),
-    checker_plans(checker, "c", 6), only(checker, INVARIANT_TWO_LEADERS);
+    checker = begin(), checker_leader_plans(checker, "a", 5), checker_leader_plans(checker, "b", 7),
+    checker_leader_ended(checker, "b"), checker_leader_plans(checker, "c", 6);
+    good(checker), checker_leader_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
+    checker = begin(), checker_leader_plans(checker, "b", 7), checker_leader_ended(checker, "a"),
+    checker_leader_plans(checker, "c", 6), only(checker, INVARIANT_TWO_LEADERS);
 }
 
 static void running_twice(void **state)
@@ -125,11 +126,11 @@
 
     checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE), stands_still = true;
     checker_started(checker, "w2", "j", 0, 2, ONE), good(checker);
-    stands_still = false, checker_worker_restarted(checker, "w1"), only(checker, INVARIANT_TWICE);
+    stands_still = false, checker_worker_thawed(checker, "w1"), only(checker, INVARIANT_TWICE);
 
     checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE),
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE);
-    checker_known(checker, "w1", "j", 0, 1, ATTEMPT_DONE), good(checker);
+    checker_end_acknowledged(checker, "w1", "j", 0, 1, ATTEMPT_DONE), good(checker);
     checker_started(checker, "w2", "j", 0, 2, ONE), only(checker, INVARIANT_AFTER_FINISH);
 }
 
@@ -137,9 +138,9 @@
 {
     (void)state;
     Checker *checker;
-    checker = begin(), checker_accepted(checker, "j"), good(checker), checker_end(checker),
+    checker = begin(), checker_accepted(checker, "j"), good(checker), checker_check_all_ended(checker),
     only(checker, INVARIANT_FORGOTTEN);
-    checker = begin(), checker_accepted(checker, "j"), checker_unknown(checker, "j"),
+    checker = begin(), checker_accepted(checker, "j"), checker_job_unknown(checker, "j"),
     only(checker, INVARIANT_FORGOTTEN);
     checker = begin(), checker_accepted(checker, "j"), checker_job_ended(checker, "j", "done"),
     only(checker, INVARIANT_FORGOTTEN);
@@ -194,7 +195,7 @@
     checker_fault(checker), now_ms += 15000;
     checker_inspect(checker), good(checker), now_ms += 1100, checker_inspect(checker),
         only(checker, INVARIANT_STOPPED_RAN);
-    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_notified(checker, "w1", "x", 0, 1),
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_stop_ordered(checker, "w1", "x", 0, 1),
     now_ms += 400, checker_inspect(checker);
     good(checker), now_ms += 200, checker_inspect(checker), only(checker, INVARIANT_STOPPED_RAN);
 }
@@ -204,24 +205,26 @@
     (void)state;
     Checker *checker;
     /* claims: they outlive their worker, and end by a word of it or by lapsing */
-    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(checker, "w1");
+    checker = begin(), checker_lease_granted(checker, "w1", now_ms + 3000),
+    checker_started(checker, "w1", "x", 0, 1, ONE), checker_worker_ended(checker, "w1");
     now_ms += 3000, checker_started(checker, "w2", "x", 0, 2, ONE), good(checker);
-    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(checker, "w1");
-    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), good(checker); /* a new boot */
-    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(checker, "w1");
+    checker = begin(), checker_lease_granted(checker, "w1", now_ms + 3000),
+    checker_started(checker, "w1", "x", 0, 1, ONE), checker_worker_ended(checker, "w1");
+    checker_worker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE),
+        good(checker); /* a new boot */
+    checker = begin(), checker_lease_granted(checker, "w1", now_ms + 3000),
+    checker_started(checker, "w1", "x", 0, 1, ONE), checker_worker_ended(checker, "w1");
     const Worker again = {.name = "w1", .zone = "z", .rack = "", .kind = "std", .resources = {2000, 100, 0}};
-    checker_worker(checker, &again); /* ... that says what it is */
-    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), good(checker);
-    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(checker, "w1");
+    checker_worker_described(checker, &again); /* ... that says what it is */
+    checker_worker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), good(checker);
+    checker = begin(), checker_lease_granted(checker, "w1", now_ms + 3000),
+    checker_started(checker, "w1", "x", 0, 1, ONE), checker_worker_ended(checker, "w1");
     now_ms += 2900, checker_started(checker, "w2", "x", 0, 2, ONE), only(checker, INVARIANT_EARLY_RESTART);
-    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE);
+    checker = begin(), checker_lease_granted(checker, "w1", now_ms + 3000),
+    checker_started(checker, "w1", "x", 0, 1, ONE);
     checker_ended(checker, "w1", "x", 0, 1, ATTEMPT_FAILED), checker_started(checker, "w2", "x", 0, 2, ONE),
         good(checker);
-    checker = begin(), checker_held(checker, "w1", now_ms + 4100), only(checker, INVARIANT_EARLY_RESTART);
+    checker = begin(), checker_lease_granted(checker, "w1", now_ms + 4100), only(checker, INVARIANT_EARLY_RESTART);
 }
 
 static void due_times(void **state)
@@ -251,39 +254,41 @@
     (void)state;
     Checker *checker;
     /* configurations by their effect */
-    checker = begin(), checker_tenant(checker, "g", TENANT_IN), now_ms += 2000,
-    checker_probe(checker, "g", now_ms, true), good(checker);
-    checker_probe(checker, "g", now_ms, false), only(checker, INVARIANT_CONFIG_LOST);
-    checker = begin(), checker_tenant(checker, "g", TENANT_IN), checker_tenant(checker, "g", TENANT_OUT),
-    checker_probe(checker, "g", now_ms, true);
-    good(checker), now_ms += 2000, checker_probe(checker, "g", now_ms, true), only(checker, INVARIANT_CONFIG_LOST);
-    checker = begin(), checker_tenant(checker, "g", TENANT_IN), checker_tenant(checker, "g", TENANT_ASKED),
-    now_ms += 2000;
-    checker_probe(checker, "g", now_ms, false), good(checker), checker_tenant(checker, "g", TENANT_REFUSED),
-        checker_probe(checker, "g", now_ms, false);
+    checker = begin(), checker_tenant_changed(checker, "g", TENANT_PRESENT), now_ms += 2000,
+    checker_tenant_probed(checker, "g", now_ms, true), good(checker);
+    checker_tenant_probed(checker, "g", now_ms, false), only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_tenant_changed(checker, "g", TENANT_PRESENT),
+    checker_tenant_changed(checker, "g", TENANT_ABSENT), checker_tenant_probed(checker, "g", now_ms, true);
+    good(checker), now_ms += 2000, checker_tenant_probed(checker, "g", now_ms, true),
+        only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_tenant_changed(checker, "g", TENANT_PRESENT),
+    checker_tenant_changed(checker, "g", TENANT_CHANGE_SENT), now_ms += 2000;
+    checker_tenant_probed(checker, "g", now_ms, false), good(checker),
+        checker_tenant_changed(checker, "g", TENANT_CHANGE_REJECTED),
+        checker_tenant_probed(checker, "g", now_ms, false);
     only(checker, INVARIANT_CONFIG_LOST);
-    checker = begin(), checker_tenant(checker, "n", TENANT_ASKED), checker_tenant(checker, "n", TENANT_REFUSED),
-    checker_probe(checker, "n", now_ms, true);
+    checker = begin(), checker_tenant_changed(checker, "n", TENANT_CHANGE_SENT),
+    checker_tenant_changed(checker, "n", TENANT_CHANGE_REJECTED), checker_tenant_probed(checker, "n", now_ms, true);
     only(checker, INVARIANT_REFUSED_CONFIG);
-    checker = begin(), checker_config_both(checker, 3), only(checker, INVARIANT_CONFIG_LOST);
-    checker = begin(), checker_quota(checker, "t", (Resources){1000, 0, 0}, TENANT_IN),
+    checker = begin(), checker_config_conflict(checker, 3), only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_quota_changed(checker, "t", (Resources){1000, 0, 0}, TENANT_PRESENT),
     checker_started(checker, "w1", "j", 0, 1, ONE);
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE),
         good(checker);
     checker_started(checker, "w1", "j", SECOND, 1, ONE), only(checker, INVARIANT_OVER_QUOTA);
-    checker = begin(), checker_quota(checker, "t", (Resources){2000, 0, 0}, TENANT_IN),
+    checker = begin(), checker_quota_changed(checker, "t", (Resources){2000, 0, 0}, TENANT_PRESENT),
     checker_started(checker, "w1", "j", 0, 1, ONE);
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE);
-    checker_quota(checker, "t", (Resources){1000, 0, 0}, TENANT_IN), now_ms += 1900,
+    checker_quota_changed(checker, "t", (Resources){1000, 0, 0}, TENANT_PRESENT), now_ms += 1900,
         checker_started(checker, "w1", "j", SECOND, 1, ONE), good(checker);
     checker_ended(checker, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200,
         checker_started(checker, "w1", "j", SECOND, 2, ONE);
     only(checker, INVARIANT_OVER_QUOTA);
 
-    checker = begin(), checker_config_set(checker, 3), checker_config_read(checker, 3), good(checker),
+    checker = begin(), checker_config_acknowledged(checker, 3), checker_config_read(checker, 3), good(checker),
     checker_config_read(checker, 2);
     only(checker, INVARIANT_CONFIG_LOST);
-    checker = begin(), checker_config_set(checker, 3), checker_config_set(checker, 3),
+    checker = begin(), checker_config_acknowledged(checker, 3), checker_config_acknowledged(checker, 3),
     only(checker, INVARIANT_CONFIG_LOST);
 }
 
@@ -295,15 +300,15 @@
     checker = begin(), checker_served(checker, "g1", SERVE_ACCEPT), checker_served(checker, "g1", SERVE_STATUS),
     checker_fault(checker), now_ms += 12000;
     checker_served(checker, "g1", SERVE_ACCEPT), checker_served(checker, "g1", SERVE_STATUS),
-        checker_must_serve(checker, "g1"), good(checker);
+        checker_check_served(checker, "g1"), good(checker);
     assert_int_equal(checker_worst_ms(checker, SERVE_ACCEPT), 12000);
-    checker_served(checker, "g2", SERVE_ACCEPT), checker_must_serve(checker, "g2"),
+    checker_served(checker, "g2", SERVE_ACCEPT), checker_check_served(checker, "g2"),
         only(checker, INVARIANT_NOT_SERVING);
     checker = begin(), checker_fault(checker), now_ms += 12001, checker_served(checker, "g1", SERVE_ACCEPT),
     checker_served(checker, "g1", SERVE_STATUS);
-    checker_must_serve(checker, "g1"), only(checker, INVARIANT_NOT_SERVING);
+    checker_check_served(checker, "g1"), only(checker, INVARIANT_NOT_SERVING);
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_fault(checker), now_ms += 12001,
-    checker_must_start(checker);
+    checker_check_started(checker);
     only(checker, INVARIANT_NOT_SERVING);
 }
 
@@ -311,10 +316,11 @@
 {
     (void)state;
     Checker *checker;
-    checker = begin(), checker_leaving(checker, "w1", true), now_ms += 2100,
+    checker = begin(), checker_worker_leaving(checker, "w1", true), now_ms += 2100,
     checker_started(checker, "w1", "x", 0, 1, ONE);
     only(checker, INVARIANT_LEAVING_GIVEN);
-    checker = begin(), checker_zone(checker, "z", true), now_ms += 5100, checker_started(checker, "w1", "x", 0, 1, ONE);
+    checker = begin(), checker_zone_drained(checker, "z", true), now_ms += 5100,
+    checker_started(checker, "w1", "x", 0, 1, ONE);
     only(checker, INVARIANT_LEAVING_GIVEN);
 
     checker = begin(), checker_accepted(checker, "j"), checker_started(checker, "w1", "j", 0, 1, ONE);
--- a/packages/sim/test/config_bodies.c
+++ b/packages/sim/test/config_bodies.c
@@ -44,8 +44,8 @@
     char *large = talloc_size(mem, CONFIG_BODY_MAX + 2);
     memset(large, ' ', CONFIG_BODY_MAX + 1);
     large[CONFIG_BODY_MAX + 1] = '\0';
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=9007199254740993", large).code,
-                     413);
+    assert_int_equal(
+        fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=9007199254740993", large).code, 413);
     /* many patches that together are too large */
     int code = 200;
     for (int i = 0; i < CONFIG_BODY_MAX / 60000 + 12 && code == 200; i++) {
@@ -55,7 +55,7 @@
         const char *body =
             talloc_asprintf(mem, "{\"cells\":{\"c%d\":{\"queues\":{\"q\":{\"note\":\"%s\"}}}}}", i, note);
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64, UINT64_C(9007199254740993) + (uint64_t)i);
-        code = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path, body).code;
+        code = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path, body).code;
     }
     assert_int_equal(code, 413);
 }
@@ -69,7 +69,7 @@
     void *mem = talloc_new(fleet);
     for (size_t i = 0; i < sizeof(CASES) / sizeof(CASES[0]); i++) {
         const HttpCall call =
-            fleet_ask(fleet, mem, FLEET_ENTRY_POINT, (int)(i % 3), CASES[i].method, CASES[i].path, CASES[i].body);
+            fleet_request(fleet, mem, FLEET_ENTRY_POINT, (int)(i % 3), CASES[i].method, CASES[i].path, CASES[i].body);
         const char *text = talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count);
         if (call.code != CASES[i].code || strstr(text, CASES[i].words) == NULL)
             fail_msg("%s %s %s: %d %s", CASES[i].method, CASES[i].path, CASES[i].body, call.code, text);
@@ -95,12 +95,12 @@
                                              i % 7, note);
     }
     text = talloc_strdup_append_buffer(text, "}}}}");
-    HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=1&revision=2", text);
+    HttpCall call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=1&revision=2", text);
     assert_int_equal(call.code, 200);
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "PUT", "/v1/config?base=1&revision=2", text).code,
+    assert_int_equal(fleet_request(fleet, mem, FLEET_ENTRY_POINT, 1, "PUT", "/v1/config?base=1&revision=2", text).code,
                      200);
     for (int k = 0; k < 2; k++) {
-        call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
+        call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
         assert_int_equal(call.code, 200);
         const char *read = talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count);
         assert_non_null(strstr(read, text));
@@ -114,11 +114,11 @@
     checker_fault(fleet->checker);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
-                               "{\"cells\":{\"c\":{\"queues\":{\"q0\":null}}}}")
+    assert_int_equal(fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
+                                   "{\"cells\":{\"c\":{\"queues\":{\"q0\":null}}}}")
                          .code,
                      200);
-    call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     const char *read = talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count);
     assert_non_null(strstr(read, strstr(text, "\"q1\"")));
     assert_null(strstr(read, "\"q0\""));
@@ -133,16 +133,16 @@
     Fleet *fleet = begin(54);
     void *mem = talloc_new(fleet);
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     char *note = talloc_size(mem, 60001);
     memset(note, 'n', 60000);
     note[60000] = '\0';
     const char *body = talloc_asprintf(mem, "{\"limits\":{\"idleMs\":9000},\"note\":\"%s\"}", note);
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1&revision=5", body).code,
-                     200);
+    assert_int_equal(
+        fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1&revision=5", body).code, 200);
     fleet_run(fleet, 200);
     for (int i = 0; i < 3; i++) { /* its number and limits are known at once */
-        const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, i, "GET", "/metrics", NULL);
+        const HttpCall call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, i, "GET", "/metrics", NULL);
         assert_non_null(strstr(talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count),
                                "config_revision 5\n"));
     }
@@ -150,7 +150,7 @@
     checker_fault(fleet->checker);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
-    const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    const HttpCall after = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(number_in(&after, mem, "\"revision\":"), 5);
     assert_true(after.response_body.count > 60000);
     talloc_free(mem);
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -34,7 +34,7 @@
 static void change_send(Operator *operator, Change * change)
 {
     Fleet *fleet = operator->fleet;
-    Loop *loop = sim_loop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     for (change->tries = 1; !operator->stop; change->tries++) {
         void *mem = talloc_new(loop);
         HttpCall call = {
@@ -63,7 +63,7 @@
 static const char *whole_body(Operator *operator, const Change * change)
 {
     Fleet *fleet = operator->fleet;
-    Loop *loop = sim_loop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     void *mem = talloc_new(loop);
     HttpCall call = {.mem = mem,
                      .address = fleet_node(fleet, FLEET_ENTRY_POINT, operator->number % 3)->settings.http,
@@ -90,7 +90,7 @@
 static void operate_main(void *arg)
 {
     Operator *operator= arg;
-    Loop *loop = sim_loop(operator->fleet->world, operator->fleet->caller);
+    Loop *loop = sim_loop(operator->fleet->world, operator->fleet->caller_machine);
     while (operator->count<CHANGES && !operator->stop) {
         Change *change = &operator->changes[operator->count];
         snprintf(change->marker, sizeof(change->marker), "o%d-%zu", operator->number, operator->count);
@@ -116,7 +116,7 @@
         all[i].fleet = fleet;
         all[i].number = i;
         all[i].believed = 1;
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operate_main, &all[i]);
+        loop_spawn(sim_loop(fleet->world, fleet->caller_machine), "operator", operate_main, &all[i]);
     }
     return all;
 }
@@ -125,7 +125,7 @@
 static const char *marker_at(Fleet *fleet, void *mem, uint64_t version)
 {
     const char *path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, version);
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
+    const HttpCall call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
     if (call.code != 200)
         return "";
     const char *text = talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count);
@@ -153,7 +153,7 @@
                 highest = change->version > highest ? change->version : highest;
                 assert_string_equal(marker_at(fleet, mem, change->version), change->marker);
                 const HttpCall call =
-                    fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, change->method, path_of(mem, change), change->body);
+                    fleet_request(fleet, mem, FLEET_ENTRY_POINT, 1, change->method, path_of(mem, change), change->body);
                 assert_int_equal(call.code, 200);
                 assert_int_equal(number_in(&call, mem, "\"revision\":"), change->version);
             } else if (change->code != 0) {
@@ -164,14 +164,14 @@
                 silent++;
             }
         }
-    const HttpCall newest = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
+    const HttpCall newest = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
     assert_int_equal(newest.code, 200);
     assert_true(number_in(&newest, mem, "\"revision\":") >= highest);
     print_message("%zu taken, %zu refused, %zu without an answer; %zu sent more than once\n", taken, refused, silent,
                   again);
     assert_true(taken > 20 && refused > 5 && silent <= (size_t)operators);
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
+    if (checker_violations_total(fleet->checker) > 0)
+        fail_msg("%s", checker_first_violation(fleet->checker));
     talloc_free(mem);
 }
 
@@ -203,12 +203,12 @@
             else if (i % 3 == 1)
                 fleet_freeze(fleet, FLEET_CONTROLLER, leader, 4000);
             else
-                fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
+                fleet_node_cut(fleet, FLEET_CONTROLLER, leader, true);
             fleet_run(fleet, 6000);
             if (i % 3 == 0)
                 fleet_start_node(fleet, FLEET_CONTROLLER, leader);
             else if (i % 3 == 2)
-                fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
+                fleet_node_cut(fleet, FLEET_CONTROLLER, leader, false);
             fleet_run(fleet, 3000);
         }
         wait(fleet, all, 3);
@@ -242,7 +242,7 @@
             *change = (Change){.base = base, .version = base + 2, .method = "PATCH"};
             snprintf(change->marker, sizeof(change->marker), "r%d-%d", i, k);
             change->body = talloc_asprintf(fleet, "{\"note\":\"%s\"}", change->marker);
-            loop_spawn(sim_loop(fleet->world, fleet->caller), "racer", send_main, &pair[k]);
+            loop_spawn(sim_loop(fleet->world, fleet->caller_machine), "racer", send_main, &pair[k]);
         }
         while (!pair[0].done || !pair[1].done)
             fleet_run(fleet, 5);
@@ -254,8 +254,8 @@
         talloc_free(mem);
         for (int k = 0; k < 2; k++) {
             const int before = pair[k].changes[0].code;
-            const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, k, "PATCH",
-                                            path_of(fleet, &pair[k].changes[0]), pair[k].changes[0].body);
+            const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, k, "PATCH",
+                                                path_of(fleet, &pair[k].changes[0]), pair[k].changes[0].body);
             assert_int_equal(call.code, before);
         }
         base += 2;
@@ -272,28 +272,28 @@
     Fleet *fleet = begin(53);
     void *mem = talloc_new(fleet);
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     uint64_t base = 1;
     for (int i = 0; i < 20; i++) {
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base, base + 3);
         const char *body =
             talloc_asprintf(mem, "{\"note\":\"t%d\",\"cells\":{\"x%d\":{\"share\":%d}}}", i, i % 5, i + 1);
-        assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path, body).code, 200);
+        assert_int_equal(fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path, body).code, 200);
         base += 3;
         fleet_run(fleet, i == 15 ? REPAIR_KEEP_MS + 10000 : 200);
     }
     fleet_run(fleet, REPAIR_KEEP_MS + 10000); /* the calls themselves are remembered no more */
-    const HttpCall before = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    const HttpCall before = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     checker_fault(fleet->checker);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
-    const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    const HttpCall after = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(after.code, 200);
     assert_true(bytes_equal(before.response_body, after.response_body));
     /* the last call, sent again, is known from what was told */
     const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base - 3, base);
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path,
-                               "{\"note\":\"t19\",\"cells\":{\"x4\":{\"share\":20}}}")
+    assert_int_equal(fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path,
+                                   "{\"note\":\"t19\",\"cells\":{\"x4\":{\"share\":20}}}")
                          .code,
                      200);
     talloc_free(mem);
--- a/packages/sim/test/controller_set.h
+++ b/packages/sim/test/controller_set.h
@@ -15,15 +15,16 @@
 static inline bool runs(Fleet *fleet, int controller)
 {
     const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
-    return node->up && node->controller != NULL && sim_alive(fleet->world, node->machine);
+    return node->up && node->controller != NULL && sim_running(fleet->world, node->machine);
 }
 
 static inline Fleet *begin(uint64_t seed)
 {
-    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = true, .disks_keep = true};
-    Fleet *fleet = fleet_new_at(NULL, seed, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
+    const FleetSite site = {
+        .zones = 3, .losses = 1, .entry_point_seeds = 1, .founded_by_votes = true, .disks_keep = true};
+    Fleet *fleet = fleet_new_with_site(NULL, seed, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    assert_true(fleet_wait_ready(fleet, 30000) && fleet_configure(fleet));
     return fleet;
 }
 
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -53,7 +53,7 @@
 {
     Pouring *pouring = arg;
     Fleet *fleet = pouring->fleet;
-    Loop *loop = sim_loop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     const bool trentvale = fleet->shape.mix == MIX_TRENTVALE;
     for (int i = 0; !pouring->stop; i++) {
         void *mem = talloc_new(loop);
@@ -92,9 +92,9 @@
         Pouring *pouring = talloc_zero(fleet, Pouring);
         pouring->fleet = fleet;
         if (with)
-            loop_spawn(sim_loop(fleet->world, fleet->caller), "pour", pour_main, pouring);
+            loop_spawn(sim_loop(fleet->world, fleet->caller_machine), "pour", pour_main, pouring);
         fleet_run(fleet, with ? 15000 : 1000); /* by now the fleet is full */
-        fleet_call(fleet, "u", 10000, 30000);
+        fleet_submit_jobs(fleet, "u", 10000, 30000);
         fleet_run(fleet, 40000);
         pouring->stop = true;
         if (with) {
@@ -105,8 +105,8 @@
         }
         fleet_run(fleet, 60000);
         urgent_spans(fleet, "u", &p50[with], &p99[with]);
-        if (checker_broken_all(fleet->checker) > 0)
-            fail_msg("%s", checker_first(fleet->checker));
+        if (checker_violations_total(fleet->checker) > 0)
+            fail_msg("%s", checker_first_violation(fleet->checker));
         talloc_free(fleet);
     }
     print_message("urgent alone p50 %d p99 %d ms, in the crowd %d and %d ms\n", (int)p50[0], (int)p99[0], (int)p50[1],
@@ -143,7 +143,7 @@
 {
     Operator *operator= arg;
     Fleet *fleet = operator->fleet;
-    Loop *loop = sim_loop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     uint64_t base = 1;
     for (int i = 0; i < 60; i++) {
         void *mem = talloc_new(loop);
@@ -176,7 +176,7 @@
     Operator *operators = talloc_zero_array(fleet, Operator, 5);
     for (int i = 0; i < 5; i++) {
         operators[i] = (Operator){.fleet = fleet, .number = i};
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operate_main, &operators[i]);
+        loop_spawn(sim_loop(fleet->world, fleet->caller_machine), "operator", operate_main, &operators[i]);
     }
     fleet_run(fleet, 4000);
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
@@ -198,7 +198,7 @@
     }
     print_message("%zu acknowledged, %zu refused as stale\n", acknowledged, stale);
     assert_true(acknowledged > 30 && stale > 20);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/config", NULL);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/config", NULL);
     assert_true(strtoull((const char *)call.response_body.data + strlen("{\"revision\":"), NULL, 10) >= highest);
     /* each acknowledged one is in the history as it was sent */
     for (int i = 0; i < 5; i++)
@@ -206,7 +206,7 @@
             char path[64], cell[24];
             snprintf(path, sizeof(path), "/v1/config?revision=%llu", (unsigned long long)operators[i].acknowledged[k]);
             snprintf(cell, sizeof(cell), "\"op%d\":", i);
-            const HttpCall read = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
+            const HttpCall read = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
             assert_int_equal(read.code, 200);
             assert_non_null(strstr((const char *)read.response_body.data, cell));
         }
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -61,14 +61,14 @@
         fleet_power_off(fleet, FLEET_CONTROLLER, controller);
     else
         fleet_kill(fleet, FLEET_CONTROLLER, controller);
-    fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, controller, true);
     fleet_start_node(fleet, FLEET_CONTROLLER, controller);
     sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine, 3);
     for (int i = 0; i < 100 && !runs(fleet, controller); i++)
         fleet_run(fleet, 10);
     assert_true(runs(fleet, controller));
     assert_back(fleet, controller, &held);
-    fleet_isolate(fleet, FLEET_CONTROLLER, controller, false);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, controller, false);
 }
 
 static void strike_any(Fleet *fleet, bool *cut)
@@ -83,7 +83,7 @@
         break;
     case 1:
         cut[controller] = !cut[controller];
-        fleet_isolate(fleet, FLEET_CONTROLLER, controller, cut[controller]);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, controller, cut[controller]);
         break;
     case 2:
         sim_disk_slow(world, machine, (int64_t)(sim_random(world) % 400));
@@ -110,8 +110,8 @@
             strike_any(fleet, cut);
             fleet_run(fleet, (int64_t)(sim_random(fleet->world) % 300));
         }
-        if (checker_broken_all(fleet->checker) > 0)
-            fail_msg("seed %" PRIu64 ": %s", seed, checker_first(fleet->checker));
+        if (checker_violations_total(fleet->checker) > 0)
+            fail_msg("seed %" PRIu64 ": %s", seed, checker_first_violation(fleet->checker));
         talloc_free(fleet);
     }
 }
@@ -131,14 +131,14 @@
         fleet_run(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
         replication_compact_if_due(replication_of(fleet, leader), true);
-        sim_turn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
-        fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
+        sim_run_turn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, leader, true);
         fleet_run(fleet, 5000);
         sim_disk_slow(fleet->world, machine, 3);
         assert_true(fleet_leader(fleet) >= 0 && fleet_leader(fleet) != leader);
         offer(fleet, 12, 10);
         fleet_run(fleet, 1000);
-        fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, leader, false);
         fleet_run(fleet, 5000);
         const uint64_t reported = log_last_index(replication_of(fleet, leader)->log);
         restart(fleet, leader, seed % 2 == 0);
@@ -186,7 +186,7 @@
     Replication *replication = replication_of(fleet, controller);
     const uint64_t index = replication->commit_index, term = log_at(replication->log, index)->term;
     Orders orders = {.replication = replication};
-    fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, controller, true);
     loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine), "orders", orders_main,
                &orders);
     fleet_run(fleet, 200);
@@ -212,7 +212,7 @@
     const int leader = fleet_leader(fleet);
     Replication *replication = replication_of(fleet, leader);
     assert_true(replication->list_index > 0 && replication->list_index <= replication->commit_index);
-    fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, leader, true);
     fleet_run(fleet, 3000);
     const uint64_t list_index = replication->list_index;
     for (uint64_t i = list_index; i <= log_last_index(replication->log); i++) /* as a disk would that lost the entry */
@@ -250,7 +250,7 @@
         fleet_kill(fleet, FLEET_CONTROLLER, controller);
         spoil(fleet, controller);
         checker_fault(fleet->checker);
-        fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, controller, true);
         fleet_start_node(fleet, FLEET_CONTROLLER, controller);
         fleet_run(fleet, 3000);
         assert_true(runs(fleet, controller));
@@ -263,11 +263,11 @@
         assert_int_equal(replication->lock.promised, 0);
         const ProposeAsk ask = {1000, before, 0, 1000, 1000};
         assert_int_equal(voter_propose(replication_of(fleet, controller), &ask), STATUS_NO_VOTER);
-        fleet_isolate(fleet, FLEET_CONTROLLER, controller, false);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, controller, false);
         for (int i = 0; i < 60 && !is_voter(fleet, controller); i++)
             fleet_run(fleet, 500);
         assert_true(is_voter(fleet, controller));
-        assert_int_equal(checker_broken_all(fleet->checker), 0);
+        assert_int_equal(checker_violations_total(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -335,10 +335,10 @@
     (void)state;
     for (int votes = 0; votes < 2; votes++) {
         const FleetSite site = {
-            .zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = votes == 1, .disks_keep = true};
-        Fleet *fleet = fleet_new_at(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
+            .zones = 3, .losses = 1, .entry_point_seeds = 1, .founded_by_votes = votes == 1, .disks_keep = true};
+        Fleet *fleet = fleet_new_with_site(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
-        assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+        assert_true(fleet_wait_ready(fleet, 30000) && fleet_configure(fleet));
         for (int life = 0; life < 2; life++) {
             for (int controller = 0; controller < 3; controller++) {
                 fleet_power_off(fleet, FLEET_CONTROLLER, controller);
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -21,7 +21,7 @@
 {
     Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     fleet_run(fleet, 1000);
-    sim_delay(fleet->world, LINK_MS, LINK_MS);
+    sim_link_delay(fleet->world, LINK_MS, LINK_MS);
     fleet_run(fleet, 1000);
     return fleet;
 }
@@ -41,7 +41,7 @@
 
 static int ask(Fleet *fleet, int entry_point, const char *method)
 {
-    return fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, DRAIN, NULL).code;
+    return fleet_request(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, DRAIN, NULL).code;
 }
 
 enum { CUT_TO_CONTROLLERS = 1, CUT_FROM_CONTROLLERS = 2 };
@@ -52,9 +52,9 @@
     for (int i = 0; i < 3; i++) {
         const int controller = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
         if (leader_route & CUT_TO_CONTROLLERS)
-            sim_cut(fleet->world, machine, controller, cut);
+            sim_link_cut(fleet->world, machine, controller, cut);
         if (leader_route & CUT_FROM_CONTROLLERS)
-            sim_cut(fleet->world, controller, machine, cut);
+            sim_link_cut(fleet->world, controller, machine, cut);
     }
 }
 
@@ -193,12 +193,12 @@
     (void)state;
     Fleet *fleet = begin(46);
     static const char NAMED[] = DRAIN "?order=mine";
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", NAMED, NULL).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", NAMED, NULL).code, 200);
     assert_int_equal(ask(fleet, 1, "DELETE"), 200);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", NAMED, NULL).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", NAMED, NULL).code, 200);
     assert_false(drained(fleet));
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?after=0", NULL).code, 409);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?order=a%20b", NULL).code, 422);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?after=0", NULL).code, 409);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?order=a%20b", NULL).code, 422);
     case_end(fleet);
 }
 
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -25,14 +25,16 @@
 static Fleet *begin(uint64_t seed)
 {
     Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 0});
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1", ENTRIES).code,
+                     200);
     return fleet;
 }
 
 static int ask(Fleet *fleet, int entry_point, const char *method, const char *path, const char *body, const char **text)
 {
     const HttpHeader host = {"host", HOST ":8080"};
-    const HttpCall call = fleet_ask_as(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, path, body, &host, 1);
+    const HttpCall call =
+        fleet_request_with_headers(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, path, body, &host, 1);
     if (text != NULL)
         *text = (const char *)call.response_body.data;
     return call.code;
@@ -62,7 +64,8 @@
     assert_int_equal(ask(fleet, 1, "POST", "/v1/entry/sweeps/one", BODY(4000), NULL), 200);
     assert_int_equal(ask(fleet, 2, "POST", "/v1/entry/sweeps/now/one", BODY(4000), NULL), 200);
     assert_int_equal(
-        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/entry/sweeps/one?host=" HOST, BODY(4000)).code, 200);
+        fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/entry/sweeps/one?host=" HOST, BODY(4000)).code,
+        200);
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/one", BODY(4001), NULL), 409);
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 200);
     ASSERT_CONTAINS(text, "\"waiting\":1");
@@ -132,23 +135,25 @@
     }
     assert_null(fleet_job(fleet, "x"));
     /* another host */
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code, 404);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code,
+                     404);
     /* its queue is full: certainly not taken, and when to come back */
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
-                               "{\"cells\":{\"imagery\":{\"limit\":1}}}")
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
+                                   "{\"cells\":{\"imagery\":{\"limit\":1}}}")
                          .code,
                      200);
     const HttpHeader host = {"host", HOST};
-    const HttpCall full =
-        fleet_ask_as(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x",
-                     "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
+    const HttpCall full = fleet_request_with_headers(
+        fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x",
+        "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
     assert_int_equal(full.code, 503);
     assert_true(full.retry_after_s > 0);
     /* its entry is gone */
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=3",
-                               "{\"cells\":{\"imagery\":{\"queues\":{\"urgent\":null,\"sweeps\":{\"entry\":null}}}}}")
-                         .code,
-                     200);
+    assert_int_equal(
+        fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=3",
+                      "{\"cells\":{\"imagery\":{\"queues\":{\"urgent\":null,\"sweeps\":{\"entry\":null}}}}}")
+            .code,
+        200);
     for (int entry_point = 0; entry_point < 3; entry_point++)
         assert_int_equal(ask(fleet, entry_point, "POST", "/v1/entry/sweeps/x", BODY(1), NULL), 404);
     case_end(fleet);
@@ -161,7 +166,7 @@
     (void)state;
     Fleet *fleet = begin(25);
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/kept", BODY(30000), NULL), 201);
     case_power_cycle(fleet);
     int code = 0, refused = 0;
@@ -185,7 +190,7 @@
     (void)state;
     Fleet *fleet = fleet_new(NULL, 24, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0});
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_wait_ready(fleet, 30000));
     const char *text;
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/x", BODY(1), &text), 503);
     ASSERT_CONTAINS(text, "no-config");
--- a/packages/sim/test/first.c
+++ b/packages/sim/test/first.c
@@ -15,21 +15,22 @@
     (void)state;
     Fleet *fleet = fleet_new(NULL, 1, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     fleet_start(fleet);
-    const bool settled = fleet_settle(fleet, 20000);
+    const bool settled = fleet_wait_ready(fleet, 20000);
     printf("settled %d at %ld leader %d\n", settled, (long)sim_now_ms(fleet->world), fleet_leader(fleet));
     if (!settled)
         fleet_dump(fleet);
     assert_true(settled);
     assert_true(fleet_configure(fleet));
-    fleet_call(fleet, "c", 10000, 20000);
+    fleet_submit_jobs(fleet, "c", 10000, 20000);
     fleet_run(fleet, 5000);
-    const bool done = fleet_finish(fleet, 60000);
+    const bool done = fleet_wait_jobs_ended(fleet, 60000);
     printf("done %d at %ld starts %zu broken %zu %s\n", done, (long)sim_now_ms(fleet->world),
-           checker_starts(fleet->checker), checker_broken_all(fleet->checker), checker_first(fleet->checker));
+           checker_starts(fleet->checker), checker_violations_total(fleet->checker),
+           checker_first_violation(fleet->checker));
     if (!done)
         fleet_dump(fleet);
     assert_true(done);
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
+    assert_int_equal(checker_violations_total(fleet->checker), 0);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/fleet_fixture.h
+++ b/packages/sim/test/fleet_fixture.h
@@ -16,7 +16,7 @@
 {
     Fleet *fleet = fleet_new(NULL, seed, shape);
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_wait_ready(fleet, 30000));
     assert_true(fleet_configure(fleet));
     return fleet;
 }
@@ -26,8 +26,8 @@
 {
     Fleet *fleet = fleet_new(NULL, seed, shape);
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", config);
+    assert_true(fleet_wait_ready(fleet, 30000));
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", config);
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.response_body.data);
     fleet_run(fleet, 1000);
@@ -40,7 +40,7 @@
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         fleet_power_off(fleet, FLEET_CONTROLLER, i);
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
         fleet_start_node(fleet, FLEET_CONTROLLER, i);
     }
 }
@@ -48,8 +48,8 @@
 /* No safety property broke; frees the fleet. */
 static inline void case_end(Fleet *fleet)
 {
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
+    if (checker_violations_total(fleet->checker) > 0)
+        fail_msg("%s", checker_first_violation(fleet->checker));
     talloc_free(fleet);
 }
 
@@ -68,7 +68,7 @@
     const char *body =
         talloc_asprintf(fleet, "{\"id\":\"%s\",\"cell\":\"c\",\"tenant\":\"t\",\"queue\":\"%s\"%s,\"steps\":[%s]}", id,
                         queue, more, steps);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
         fail_msg("%s: %d %s", id, call.code, (const char *)call.response_body.data);
     checker_accepted(fleet->checker, id);
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -22,7 +22,7 @@
 /* Clusters known to the controllers; they must be one. */
 static int clusters(Fleet *fleet)
 {
-    uint64_t known[FLEET_EACH_MAX];
+    uint64_t known[FLEET_ROLE_NODES_MAX];
     int count = 0;
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
         const Replication *replication = replication_of(fleet, i);
@@ -72,7 +72,7 @@
 {
     for (uint64_t seed = 1; seed <= 12; seed++) {
         site.stagger_ms = 1 + (int64_t)(seed % 4) * 400;
-        Fleet *fleet = fleet_new_at(NULL, seed, shape, &site);
+        Fleet *fleet = fleet_new_with_site(NULL, seed, shape, &site);
         fleet_start(fleet);
         fleet_run(fleet, site.stagger_ms + SERVES_MS);
         if (fleet_leader(fleet) < 0)
@@ -87,7 +87,7 @@
         assert_int_equal(in_view(fleet), wanted);
         assert_true(fleet_configure(fleet));
         assert_int_equal(clusters(fleet), 1);
-        assert_int_equal(checker_broken_all(fleet->checker), 0);
+        assert_int_equal(checker_violations_total(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -95,47 +95,47 @@
 static void three_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true}, 3);
+    founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .founded_by_votes = true}, 3);
 }
 
 static void six_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){6, 4, 6, MIX_ATLAS, 0}, (FleetSite){.zones = 3, .losses = 2, .votes = true}, 5);
+    founds((FleetShape){6, 4, 6, MIX_ATLAS, 0}, (FleetSite){.zones = 3, .losses = 2, .founded_by_votes = true}, 5);
 }
 
 static void eight_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){8, 5, 8, MIX_TRENTVALE, 0}, (FleetSite){.zones = 4, .losses = 2, .votes = true}, 5);
+    founds((FleetShape){8, 5, 8, MIX_TRENTVALE, 0}, (FleetSite){.zones = 4, .losses = 2, .founded_by_votes = true}, 5);
 }
 
 /* Beyond what losses ask for, disks stand ready. */
 static void four_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true}, 3);
+    founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .founded_by_votes = true}, 3);
 }
 
 /* Four voters bear no more losses than three. */
 static void four_of_five(void **state)
 {
     (void)state;
-    founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 2, .votes = true}, 3);
+    founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 2, .founded_by_votes = true}, 3);
 }
 
 static void diskless_seed(void **state)
 {
     (void)state;
     founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 1, .votes = true, .entry_point_set_seeds = 1}, 3);
+           (FleetSite){.zones = 3, .losses = 1, .founded_by_votes = true, .entry_point_seeds = 1}, 3);
 }
 
 static void diskless_seeds(void **state)
 {
     (void)state;
     founds((FleetShape){6, 4, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 2, .votes = true, .entry_point_set_seeds = 3}, 5);
+           (FleetSite){.zones = 3, .losses = 2, .founded_by_votes = true, .entry_point_seeds = 3}, 5);
 }
 
 /* Controllers that do not hear of each other, and seeds of which each hears only some:
@@ -144,17 +144,18 @@
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 30; seed++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .entry_point_set_seeds = 3, .stagger_ms = 800};
-        Fleet *fleet = fleet_new_at(NULL, seed, (FleetShape){4, 3, 2, MIX_TRENTVALE, 0}, &site);
+        const FleetSite site = {
+            .zones = 3, .losses = 1, .founded_by_votes = true, .entry_point_seeds = 3, .stagger_ms = 800};
+        Fleet *fleet = fleet_new_with_site(NULL, seed, (FleetShape){4, 3, 2, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
         for (int a = 0; a < 4; a++) {
             for (int b = 0; b < 4; b++)
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
-                        fleet_node(fleet, FLEET_CONTROLLER, b)->machine, sim_random(fleet->world) % 2 == 0);
+                sim_link_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
+                             fleet_node(fleet, FLEET_CONTROLLER, b)->machine, sim_random(fleet->world) % 2 == 0);
             for (int g = 0; g < 3; g++) {
                 const bool cut = sim_random(fleet->world) % 3 == 0;
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
-                        fleet_node(fleet, FLEET_ENTRY_POINT, g)->machine, cut);
+                sim_link_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
+                             fleet_node(fleet, FLEET_ENTRY_POINT, g)->machine, cut);
             }
         }
         for (int i = 0; i < 60; i++) {
@@ -163,11 +164,11 @@
         }
         for (int a = 0; a < 4; a++) {
             for (int b = 0; b < 4; b++)
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
-                        fleet_node(fleet, FLEET_CONTROLLER, b)->machine, false);
+                sim_link_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
+                             fleet_node(fleet, FLEET_CONTROLLER, b)->machine, false);
             for (int g = 0; g < 3; g++)
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
-                        fleet_node(fleet, FLEET_ENTRY_POINT, g)->machine, false);
+                sim_link_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
+                             fleet_node(fleet, FLEET_ENTRY_POINT, g)->machine, false);
         }
         fleet_run(fleet, 8000);
         assert_int_equal(clusters(fleet), 1);
@@ -185,8 +186,8 @@
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 30; seed++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .votes = true};
-        Fleet *fleet = fleet_new_at(NULL, 7, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0}, &site);
+        const FleetSite site = {.zones = 3, .losses = 1, .founded_by_votes = true};
+        Fleet *fleet = fleet_new_with_site(NULL, 7, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
         int founder = -1;
         for (int i = 0; i < 300 && founder < 0; i++) {
@@ -197,8 +198,8 @@
         }
         assert_true(founder >= 0);
         for (uint64_t i = 0; i < seed * 3; i++)
-            sim_turn(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, founder)->machine,
-                     sim_now_ms(fleet->world) + 1000);
+            sim_run_turn(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, founder)->machine,
+                         sim_now_ms(fleet->world) + 1000);
         fleet_kill(fleet, FLEET_CONTROLLER, founder);
         fleet_run(fleet, 500);
         fleet_start_node(fleet, FLEET_CONTROLLER, founder);
@@ -209,7 +210,7 @@
         assert_true(fleet_leader(fleet) >= 0);
         assert_int_equal(voters(fleet, &most), 3);
         assert_int_equal(clusters(fleet), 1);
-        assert_int_equal(checker_broken_all(fleet->checker), 0);
+        assert_int_equal(checker_violations_total(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -219,7 +220,7 @@
 {
     (void)state;
     Fleet *fleet =
-        fleet_new_at(NULL, 5, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0}, &(FleetSite){.zones = 3, .losses = 1});
+        fleet_new_with_site(NULL, 5, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0}, &(FleetSite){.zones = 3, .losses = 1});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
             fleet_node(fleet, (FleetRole)role, i)->settings.cluster_settings.founds = 0;
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -211,11 +211,11 @@
         if (draw(6) == 0)
             path = talloc_asprintf(mem, "%s%s", path, PARTS[9 + draw(6)]);
         const char *body = spoil(mem, report ? REPORT : mix_job(mem, MIX_TRENTVALE, CLASS_SWEEP, "j", 0), &count);
-        const HttpCall call = fleet_ask(fleet, mem,
-                                        report    ? FLEET_AGENT
-                                        : draw(2) ? FLEET_ENTRY_POINT
-                                                  : FLEET_CONTROLLER,
-                                        report ? 3 : (int)draw(3), report ? "POST" : METHODS[draw(6)], path, body);
+        const HttpCall call = fleet_request(fleet, mem,
+                                            report    ? FLEET_AGENT
+                                            : draw(2) ? FLEET_ENTRY_POINT
+                                                      : FLEET_CONTROLLER,
+                                            report ? 3 : (int)draw(3), report ? "POST" : METHODS[draw(6)], path, body);
         assert_in_range(call.code, 200, 504);
         assert_true(call.code != 500);
         codes[call.code]++;
@@ -225,10 +225,10 @@
                   codes[422]);
     assert_true(codes[400] > 50 && codes[422] > 20);
     fleet_start_node(fleet, FLEET_WORKER, 3);
-    fleet_call(fleet, "after", 10000, 2000);
-    assert_true(fleet_finish(fleet, 60000));
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
+    fleet_submit_jobs(fleet, "after", 10000, 2000);
+    assert_true(fleet_wait_jobs_ended(fleet, 60000));
+    if (checker_violations_total(fleet->checker) > 0)
+        fail_msg("%s", checker_first_violation(fleet->checker));
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/job_fixture.h
+++ b/packages/sim/test/job_fixture.h
@@ -14,7 +14,7 @@
 /* Asks the first entry point; text receives the result unless it is null. return: the HTTP status. */
 static inline int ask(Fleet *fleet, const char *method, const char *path, const char *body, const char **text)
 {
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, method, path, body);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, method, path, body);
     if (text != NULL)
         *text = (const char *)call.response_body.data;
     return call.code;
--- a/packages/sim/test/job_runs.c
+++ b/packages/sim/test/job_runs.c
@@ -14,7 +14,7 @@
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
     /* one voter's wall clock jumps by an hour: the median does not */
-    sim_jump(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine, 3600000);
+    sim_clock_jump(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine, 3600000);
     fleet_run(fleet, 4200);
     assert_int_equal(checker_starts(fleet->checker), 0);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/due", NULL, &text), 200);
@@ -125,10 +125,10 @@
     assert_true(on >= 0);
     /* it ends a second later, within the lease; the restart elsewhere begins after
      * three seconds and is still running when the finish arrives */
-    fleet_isolate(fleet, FLEET_AGENT, on, true);
+    fleet_node_cut(fleet, FLEET_AGENT, on, true);
     fleet_run(fleet, 4500);
     assert_int_equal(checker_starts(fleet->checker), 2);
-    fleet_isolate(fleet, FLEET_AGENT, on, false);
+    fleet_node_cut(fleet, FLEET_AGENT, on, false);
     fleet_run(fleet, 1500);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/l", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"done\""));
@@ -155,7 +155,7 @@
     }
     fleet_run(fleet, 2000);
     assert_int_equal(checker_starts(fleet->checker), 22);
-    fleet_isolate(fleet, FLEET_AGENT, 0, true);
+    fleet_node_cut(fleet, FLEET_AGENT, 0, true);
     fleet_run(fleet, 2400);
     size_t may = 0, not = 0;
     for (size_t t = 0; t < 11; t++) {
@@ -168,7 +168,7 @@
     for (size_t t = 0; t < 11; t++)
         not += fleet_job(fleet, "not")->tasks[t].attempt == 2;
     assert_true(not > 0);
-    fleet_isolate(fleet, FLEET_AGENT, 0, false);
+    fleet_node_cut(fleet, FLEET_AGENT, 0, false);
     fleet_run(fleet, 15000);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/may", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"done\""));
@@ -183,7 +183,7 @@
     for (int i = 0; i < 10; i++)
         fleet_node(fleet, FLEET_WORKER, i)->worker_settings.others = (Resources){60000, 0, 0};
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_wait_ready(fleet, 30000));
     assert_true(fleet_configure(fleet));
     fleet_run(fleet, 2000);
     const char *text;
--- a/packages/sim/test/last_block.c
+++ b/packages/sim/test/last_block.c
@@ -49,8 +49,8 @@
     assert_true(fleet_leader(fleet) >= 0);
     assert_true(replication_of(fleet, fleet_leader(fleet))->commit_index > index);
     assert_true(journal_counts(replication_of(fleet, damaged)->journal)->recreated);
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
+    if (checker_violations_total(fleet->checker) > 0)
+        fail_msg("%s", checker_first_violation(fleet->checker));
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/leader_found.c
+++ b/packages/sim/test/leader_found.c
@@ -23,9 +23,9 @@
 
 static HttpCall submit(Fleet *fleet)
 {
-    return fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs",
-                     "{\"id\":\"early\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":["
-                     "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":64}}]}");
+    return fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs",
+                         "{\"id\":\"early\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":["
+                         "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":64}}]}");
 }
 
 /* The next leader is found well before the longest grant of a lease would have ended, and callers who are refused
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -138,8 +138,8 @@
     const int leader = fleet_leader(fleet);
     const int a = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine,
               b = fleet_node(fleet, FLEET_CONTROLLER, leader)->machine;
-    sim_cut(fleet->world, a, b, true);
-    sim_cut(fleet->world, b, a, true);
+    sim_link_cut(fleet->world, a, b, true);
+    sim_link_cut(fleet->world, b, a, true);
     int64_t took_ms;
     const HttpExchange *task =
         inside_request_send(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", job_of(fleet, "round-0"), 3000, &took_ms);
@@ -150,11 +150,11 @@
         assert_int_equal(task->code, 201);
         assert_true(took_ms < 200);
         fleet_run(fleet, 200);
-        assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL).code, 200);
+        assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL).code, 200);
     }
     assert_int_equal(fleet_leader(fleet), leader);
-    sim_cut(fleet->world, a, b, false);
-    sim_cut(fleet->world, b, a, false);
+    sim_link_cut(fleet->world, a, b, false);
+    sim_link_cut(fleet->world, b, a, false);
     case_end(fleet);
 }
 
@@ -186,7 +186,7 @@
     for (int role = FLEET_CONTROLLER; role <= FLEET_ENTRY_POINT; role++)
         for (int i = 0; i < 3; i++) {
             const FleetNode *node = fleet_node(fleet, (FleetRole)role, i);
-            if (sim_alive(fleet->world, node->machine) && node->up)
+            if (sim_running(fleet->world, node->machine) && node->up)
                 ready += node->controller != NULL ? controller_ready(node->controller)
                                                   : entry_point_ready(node->entry_point);
         }
@@ -201,7 +201,7 @@
     fleet_run(fleet, 3000);
     assert_int_equal(ready_count(fleet), 6);
     const int leader = fleet_leader(fleet);
-    fleet_roll(fleet, FLEET_CONTROLLER, leader);
+    fleet_restart_gracefully(fleet, FLEET_CONTROLLER, leader);
     fleet_run(fleet, 10);
     for (int i = 0; i < 40; i++) {
         assert_true(ready_count(fleet) >= 5); /* all but the one that leaves */
@@ -248,7 +248,7 @@
         .mem = one, .address = sending->node->settings.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
     const char *body = job_of(one, id);
     bytes_add(one, &call.body, body, strlen(body));
-    const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
+    const Status status = loop_call(sim_loop(fleet->world, fleet->caller_machine), &call);
     sending->good += status == STATUS_OK && call.code == 201;
     sending->again += status == STATUS_OK && call.code >= 500;
     sending->cut += status != STATUS_OK;
@@ -260,7 +260,7 @@
 static void sending_main(void *arg)
 {
     Sending *sending = arg;
-    Loop *loop = sim_loop(sending->fleet->world, sending->fleet->caller);
+    Loop *loop = sim_loop(sending->fleet->world, sending->fleet->caller_machine);
     int64_t ready_ms = loop_now_ms(loop);
     while (!sending->stop && loop_now_ms(loop) - ready_ms <= 300) {
         FleetNode *node = sending->node;
@@ -283,9 +283,9 @@
         Fleet *fleet = begin(36);
         const int number = role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0;
         Sending sending = {.fleet = fleet, .node = fleet_node(fleet, (FleetRole)role, number)};
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "sending", sending_main, &sending);
+        loop_spawn(sim_loop(fleet->world, fleet->caller_machine), "sending", sending_main, &sending);
         fleet_run(fleet, 500);
-        fleet_roll(fleet, (FleetRole)role, number);
+        fleet_restart_gracefully(fleet, (FleetRole)role, number);
         fleet_run(fleet, 4000);
         sending.stop = true;
         fleet_run(fleet, 1000);
@@ -331,7 +331,7 @@
 {
     (void)state;
     SimWorld *world = sim_world_new(NULL, 1);
-    const int machine = sim_machine(world);
+    const int machine = sim_machine_new(world);
     sim_start(world, machine, nothing, NULL);
     Loop *loop = sim_loop(world, machine);
     Keeping keeping = {repair_buffer_new(world, loop, 30000), loop, world, 100, 1000};
--- a/packages/sim/test/learners.c
+++ b/packages/sim/test/learners.c
@@ -57,7 +57,7 @@
             fleet_power_off(fleet, FLEET_CONTROLLER, chosen);
             fleet_run(fleet, 2 * SYNC_MS);
             must_lead(fleet, "after a voter and the learner that was to replace it are lost");
-            assert_int_equal(fleet_voters(fleet), 3);
+            assert_int_equal(fleet_healthy_voters(fleet), 3);
             finish(fleet);
         }
     }
@@ -81,16 +81,16 @@
 {
     const int leader = fleet_leader(fleet);
     const uint64_t promised = replication_at(fleet, leader)->lock.promised;
-    fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, leader, true);
     int candidate = -1;
     while (candidate < 0 && (fleet_leader(fleet) < 0 || fleet_leader(fleet) == leader)) {
         fleet_run(fleet, 1);
         candidate = only_promised(fleet, promised);
     }
-    fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, leader, false);
     if (candidate < 0)
         return -1;
-    fleet_isolate(fleet, FLEET_CONTROLLER, candidate, true);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, candidate, true);
     fleet_run(fleet, PROMISED_MS);
     fleet_power_off(fleet, FLEET_CONTROLLER, candidate);
     return candidate;
@@ -108,7 +108,7 @@
         if (candidate >= 0) {
             fleet_run(fleet, 2 * SYNC_MS);
             must_lead(fleet, "after the candidate is lost");
-            fleet_isolate(fleet, FLEET_CONTROLLER, candidate, false);
+            fleet_node_cut(fleet, FLEET_CONTROLLER, candidate, false);
             fleet_start_node(fleet, FLEET_CONTROLLER, candidate);
             fleet_run(fleet, READ_MS);
             above += replication_at(fleet, candidate)->lock.promised > replication_at(fleet, fleet_leader(fleet))->term;
--- a/packages/sim/test/leaving.c
+++ b/packages/sim/test/leaving.c
@@ -5,7 +5,7 @@
 /* SIGTERM; until the process has ended. */
 static void leave_to_the_end(Fleet *fleet, int controller)
 {
-    fleet_leave(fleet, FLEET_CONTROLLER, controller);
+    fleet_shut_down(fleet, FLEET_CONTROLLER, controller);
     while (fleet_node(fleet, FLEET_CONTROLLER, controller)->up)
         fleet_run(fleet, 10);
 }
@@ -63,7 +63,7 @@
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         const int gone = voter_drawn(fleet, seed % 2 == 0);
-        fleet_leave(fleet, FLEET_CONTROLLER, gone);
+        fleet_shut_down(fleet, FLEET_CONTROLLER, gone);
         fleet_run(fleet, 3000);
         assert_false(fleet_node(fleet, FLEET_CONTROLLER, gone)->up);
         fleet_start_node(fleet, FLEET_CONTROLLER, gone);
@@ -82,10 +82,10 @@
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         for (int controller = 0; controller < 4; controller++) {
-            fleet_roll(fleet, FLEET_CONTROLLER, controller);
+            fleet_restart_gracefully(fleet, FLEET_CONTROLLER, controller);
             fleet_run(fleet, SYNC_MS);
             must_lead(fleet, "while all are restarted");
-            assert_int_equal(fleet_voters(fleet), 3);
+            assert_int_equal(fleet_healthy_voters(fleet), 3);
         }
         finish(fleet);
     }
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -15,7 +15,7 @@
 static size_t bytes_of(const Fleet *fleet, FleetRole role, int number)
 {
     const FleetNode *node = &fleet->nodes[role][number];
-    return sim_alive(fleet->world, node->machine) ? talloc_total_size(sim_loop(fleet->world, node->machine)) : 0;
+    return sim_running(fleet->world, node->machine) ? talloc_total_size(sim_loop(fleet->world, node->machine)) : 0;
 }
 
 static void hour(void **state)
@@ -27,7 +27,7 @@
     const int64_t minutes = 75;
 #endif
     Fleet *fleet = case_begin(3, (FleetShape){3, 3, 4, MIX_ATLAS, 0});
-    fleet_call(fleet, "h", 9000, minutes * 60000);
+    fleet_submit_jobs(fleet, "h", 9000, minutes * 60000);
     fleet_run(fleet, 60000);
     /* one controller is away while the others rewrite their journals */
     const int away = (fleet_leader(fleet) + 1) % 3;
@@ -63,9 +63,9 @@
                   (size_t)reach.journal.rewrites, checker_starts(fleet->checker));
     for (int i = 0; i < 3 && minutes > 70; i++)
         assert_true(worst[i] < settled[i] + settled[i] / 4);
-    assert_true(fleet_finish(fleet, 60000));
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
+    assert_true(fleet_wait_jobs_ended(fleet, 60000));
+    if (checker_violations_total(fleet->checker) > 0)
+        fail_msg("%s", checker_first_violation(fleet->checker));
     if (minutes > 70) {
         /* one of the first is forgotten, one of the last half hour is not */
         const Job *const old = fleet_job(fleet, "h-urgent-0");
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -82,8 +82,8 @@
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
         const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, i);
         if (!node->up || node->controller == NULL || sim_frozen(fleet->world, node->machine) ||
-            sim_is_cut(fleet->world, first->machine, node->machine) ||
-            sim_is_cut(fleet->world, node->machine, first->machine))
+            sim_link_is_cut(fleet->world, first->machine, node->machine) ||
+            sim_link_is_cut(fleet->world, node->machine, first->machine))
             continue;
         for (size_t k = 0; k < count; k++)
             good += disks[k] == replication_disk(controller_replication(node->controller));
@@ -121,7 +121,7 @@
         fleet_kill(fleet, FLEET_CONTROLLER, lost->controller);
         break;
     case LOSS_REPLACE_TERM:
-        fleet_leave(fleet, FLEET_CONTROLLER, lost->controller);
+        fleet_shut_down(fleet, FLEET_CONTROLLER, lost->controller);
         break;
     case LOSS_POWER:
     case LOSS_REPLACE:
@@ -135,7 +135,7 @@
         fleet_freeze(fleet, FLEET_CONTROLLER, lost->controller, out_ms);
         break;
     case LOSS_CUT:
-        fleet_isolate(fleet, FLEET_CONTROLLER, lost->controller, true);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, lost->controller, true);
         break;
     case LOSS_CUT_IN:
     case LOSS_CUT_OUT:
@@ -143,8 +143,8 @@
             for (int i = 0; i < fleet->node_count[role]; i++) {
                 const int other = fleet_node(fleet, (FleetRole)role, i)->machine;
                 if (other != node->machine)
-                    sim_cut(fleet->world, lost->kind == LOSS_CUT_IN ? other : node->machine,
-                            lost->kind == LOSS_CUT_IN ? node->machine : other, true);
+                    sim_link_cut(fleet->world, lost->kind == LOSS_CUT_IN ? other : node->machine,
+                                 lost->kind == LOSS_CUT_IN ? node->machine : other, true);
             }
         break;
     case LOSS_DISK_SLOW:
@@ -175,7 +175,7 @@
     case LOSS_CUT:
     case LOSS_CUT_IN:
     case LOSS_CUT_OUT:
-        fleet_isolate(fleet, FLEET_CONTROLLER, lost->controller, false);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, lost->controller, false);
         break;
     case LOSS_DISK_SLOW:
     case LOSS_DISK_HANG:
@@ -195,7 +195,7 @@
 {
     CallerJob *const *jobs;
     const size_t count = caller_jobs(fleet->callers[0], &jobs);
-    const int64_t offset_ms = loop_now_ms(sim_loop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
+    const int64_t offset_ms = loop_now_ms(sim_loop(fleet->world, fleet->caller_machine)) - sim_now_ms(fleet->world);
     int64_t worst = 0;
     for (int64_t at_ms = since_ms, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
         next_ms = sim_now_ms(fleet->world);
@@ -282,11 +282,12 @@
         trial->worst_ms = took_ms;
         snprintf(trial->worst, sizeof(trial->worst), "%s%s", with_leader ? "leader " : "", WORDS[kind]);
     }
-    if (!whole || checker_broken_all(fleet->checker) > 0) {
+    if (!whole || checker_violations_total(fleet->checker) > 0) {
         fleet_dump(fleet);
         voters_show(fleet);
         fail_msg("seed %u: %s after %s of %s: %zu of %zu seats in the view", (unsigned)trial->seed,
-                 checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "not whole in time",
+                 checker_violations_total(fleet->checker) > 0 ? checker_first_violation(fleet->checker)
+                                                              : "not whole in time",
                  WORDS[kind], with_leader ? "the leader" : "a follower", in_view(fleet), trial->wanted);
     }
 }
@@ -294,12 +295,12 @@
 static void one(uint64_t seed, FleetShape shape, const FleetSite *site, size_t wanted, int attempts)
 {
     Trial trial = {.seed = seed, .wanted = wanted, .losses = site->losses, .next_spare = shape.controllers};
-    Fleet *fleet = trial.fleet = fleet_new_at(NULL, seed, shape, site);
+    Fleet *fleet = trial.fleet = fleet_new_with_site(NULL, seed, shape, site);
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
-    checker_config_set(fleet->checker, 1);
+    assert_true(fleet_wait_ready(fleet, 20000) && fleet_configure(fleet));
+    checker_config_acknowledged(fleet->checker, 1);
     fleet_run(fleet, 3000);
-    fleet_call(fleet, "c", 12000, 1000000);
+    fleet_submit_jobs(fleet, "c", 12000, 1000000);
     fleet_run(fleet, 1000);
     for (int i = 0; i < attempts; i++) {
         const LossKind kind = (LossKind)((seed * 5 + (uint64_t)i) % LOSS_COUNT);
@@ -309,18 +310,19 @@
            trial.worst);
     for (int i = 0; i < fleet->caller_count; i++)
         caller_stop(fleet->callers[i]);
-    const bool finished = fleet_finish(fleet, 60000);
-    if (!finished || checker_broken_all(fleet->checker) > 0)
+    const bool finished = fleet_wait_jobs_ended(fleet, 60000);
+    if (!finished || checker_violations_total(fleet->checker) > 0)
         fleet_dump(fleet);
     assert_true(finished);
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
+    assert_int_equal(checker_violations_total(fleet->checker), 0);
     talloc_free(fleet);
 }
 
 static void three_voters(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = 4000};
+    const FleetSite site = {
+        .zones = 3, .losses = 1, .founded_by_votes = true, .disks_keep = true, .voter_back_ms = 4000};
     for (uint64_t seed = 1; seed <= 4; seed++)
         one(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 12}, &site, 3, 2 * LOSS_COUNT);
 }
@@ -328,7 +330,8 @@
 static void five_voters_of_six(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 3, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000};
+    const FleetSite site = {
+        .zones = 3, .losses = 2, .founded_by_votes = true, .disks_keep = true, .voter_back_ms = 6000};
     for (uint64_t seed = 1; seed <= 3; seed++)
         one(seed, (FleetShape){6, 4, 6, MIX_ATLAS, 20}, &site, 5, LOSS_COUNT);
 }
@@ -336,7 +339,8 @@
 static void five_voters_of_eight(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000};
+    const FleetSite site = {
+        .zones = 4, .losses = 2, .founded_by_votes = true, .disks_keep = true, .voter_back_ms = 6000};
     for (uint64_t seed = 4; seed <= 6; seed++)
         one(seed, (FleetShape){8, 4, 6, MIX_TRENTVALE, 20}, &site, 5, LOSS_COUNT);
 }
--- a/packages/sim/test/member_bounds.c
+++ b/packages/sim/test/member_bounds.c
@@ -46,7 +46,7 @@
 {
     Asker *asker = talloc_zero(crowd, Asker);
     asker->crowd = crowd;
-    asker->machine = sim_machine(crowd->world);
+    asker->machine = sim_machine_new(crowd->world);
     asker->ask.self =
         (MemberRecord){.id = "asker",
                        .name = "asker",
@@ -182,7 +182,7 @@
         Crowd *crowd = begin();
         sim_kill(crowd->world, crowd->nodes[number].machine);
         crowd_run(crowd, HELLO_MS);
-        sim_jump(crowd->world, crowd->nodes[number].machine, -3600 * 1000);
+        sim_clock_jump(crowd->world, crowd->nodes[number].machine, -3600 * 1000);
         crowd_node_start_now(&crowd->nodes[number]);
         const uint64_t low = members_self(crowd->nodes[number].members)->incarnation;
         crowd_run(crowd, MEMBER_SILENT_MS * 2);
--- a/packages/sim/test/member_exchange.c
+++ b/packages/sim/test/member_exchange.c
@@ -82,7 +82,7 @@
             Crowd *crowd = crowd_new(1, size);
             crowd_start(crowd, size - 1);
             crowd_run(crowd, SETTLE_MS);
-            sim_frames(crowd->world, LOST_MILLI[k], 0, 0);
+            sim_frame_faults(crowd->world, LOST_MILLI[k], 0, 0);
             crowd_node_start_now(&crowd->nodes[newcomer]);
             const int64_t joined_ms = crowd_join_ms(crowd, newcomer, 3 * JOIN_LOSS_MS);
             sim_kill(crowd->world, crowd->nodes[newcomer].machine);
@@ -168,7 +168,7 @@
             Crowd *crowd = crowd_new(1, SIZES[i]);
             crowd_start(crowd, SIZES[i]);
             crowd_run(crowd, SETTLE_MS);
-            sim_frames(crowd->world, LOST_MILLI[k], 0, 0);
+            sim_frame_faults(crowd->world, LOST_MILLI[k], 0, 0);
             const int count = suspicions(crowd, MEASURED_MS);
             print_message("%d members, %u of 1,000 frames lost: %d suspicions in %d s\n", SIZES[i], LOST_MILLI[k],
                           count, MEASURED_MS / 1000);
--- a/packages/sim/test/member_fixture.h
+++ b/packages/sim/test/member_fixture.h
@@ -75,7 +75,7 @@
     for (int i = 0; i < size; i++) {
         CrowdNode *node = &crowd->nodes[i];
         node->crowd = crowd;
-        node->machine = sim_machine(crowd->world);
+        node->machine = sim_machine_new(crowd->world);
         node->role = i < CROWD_CONTROLLERS                             ? ROLE_CONTROLLER
                      : i < CROWD_CONTROLLERS + size / CROWD_ENTRY_PART ? ROLE_ENTRY_POINT
                                                                        : ROLE_AGENT;
@@ -94,7 +94,7 @@
 static inline void crowd_move(Crowd *crowd, int number)
 {
     CrowdNode *node = &crowd->nodes[number];
-    node->machine = sim_machine(crowd->world);
+    node->machine = sim_machine_new(crowd->world);
     node->address = talloc_asprintf(crowd, "%s:7000", sim_address(crowd->world, node->machine));
     crowd_node_start_now(node);
 }
@@ -103,8 +103,8 @@
 static inline void crowd_start(Crowd *crowd, int count)
 {
     for (int i = 0; i < count; i++)
-        sim_at(crowd->world, sim_now_ms(crowd->world) + (int64_t)(sim_random(crowd->world) % CROWD_START_MS),
-               crowd_node_start_now, &crowd->nodes[i]);
+        sim_schedule(crowd->world, sim_now_ms(crowd->world) + (int64_t)(sim_random(crowd->world) % CROWD_START_MS),
+                     crowd_node_start_now, &crowd->nodes[i]);
     crowd_run(crowd, CROWD_START_MS);
 }
 
--- a/packages/sim/test/narrow_links.c
+++ b/packages/sim/test/narrow_links.c
@@ -63,9 +63,9 @@
 #undef X
     };
     void *mem = talloc_new(fleet);
-    const HttpCall before = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, entry_point, "GET", "/metrics", NULL);
+    const HttpCall before = fleet_request(fleet, mem, FLEET_ENTRY_POINT, entry_point, "GET", "/metrics", NULL);
     fleet_run(fleet, MEASURE_MS);
-    const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, entry_point, "GET", "/metrics", NULL);
+    const HttpCall after = fleet_request(fleet, mem, FLEET_ENTRY_POINT, entry_point, "GET", "/metrics", NULL);
     assert_int_equal(before.code, 200);
     assert_int_equal(after.code, 200);
     BothWays control = {0};
@@ -94,7 +94,7 @@
 {
     Fleet *fleet = case_begin(SEED, (FleetShape){3, entry_points, agents, MIX_TRENTVALE, 0});
     *members = 3 + entry_points + agents;
-    fleet_call(fleet, "u", 10000, 40000);
+    fleet_submit_jobs(fleet, "u", 10000, 40000);
     links_narrow(fleet, LINK_BYTES_PER_MS);
     fleet_run(fleet, 10000);
     return fleet;
@@ -140,7 +140,7 @@
 static void read_main(void *arg)
 {
     Readers *readers = arg;
-    Loop *loop = sim_loop(readers->fleet->world, readers->fleet->caller);
+    Loop *loop = sim_loop(readers->fleet->world, readers->fleet->caller_machine);
     void *mem = talloc_new(loop);
     const int64_t from_ms = loop_now_ms(loop);
     HttpCall call = {
@@ -159,7 +159,7 @@
 static void read_many(Readers *readers, int count, int64_t gap_ms)
 {
     for (; readers->begun < count; readers->begun++) {
-        loop_spawn(sim_loop(readers->fleet->world, readers->fleet->caller), "read", read_main, readers);
+        loop_spawn(sim_loop(readers->fleet->world, readers->fleet->caller_machine), "read", read_main, readers);
         fleet_run(readers->fleet, gap_ms);
     }
     fleet_run(readers->fleet, READ_WAIT_MS + 1000);
@@ -189,13 +189,13 @@
     Fleet *fleet = case_begin(SEED, (FleetShape){3, 10, 4, MIX_TRENTVALE, 0});
     links_narrow(fleet, LINK_BYTES_PER_MS);
     void *mem = talloc_new(fleet);
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_CONTROLLER, fleet_leader(fleet), "PUT",
-                                    "/v1/config?base=1&revision=2", large_config(mem, 900 * 1024));
+    const HttpCall call = fleet_request(fleet, mem, FLEET_CONTROLLER, fleet_leader(fleet), "PUT",
+                                        "/v1/config?base=1&revision=2", large_config(mem, 900 * 1024));
     assert_int_equal(call.code, 200);
     Readers readers = {
         .fleet = fleet, .address = fleet_node(fleet, FLEET_ENTRY_POINT, 1)->settings.http, .path = "/v1/jobs/none"};
     read_many(&readers, READS_MAX, READ_GAP_MS);
-    const HttpCall page = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/metrics", NULL);
+    const HttpCall page = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/metrics", NULL);
     assert_true(kind_bytes(&page, "feed").received > 900 * 1024); /* it has passed meanwhile */
     assert_int_equal(readers.silent, 0);
     assert_true(readers.longest_ms < 400);
@@ -209,8 +209,8 @@
     (void)state;
     Fleet *fleet = case_begin(SEED, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     void *mem = talloc_new(fleet);
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_CONTROLLER, fleet_leader(fleet), "PUT",
-                                    "/v1/config?base=1&revision=2", large_config(mem, 25 * 1024));
+    const HttpCall call = fleet_request(fleet, mem, FLEET_CONTROLLER, fleet_leader(fleet), "PUT",
+                                        "/v1/config?base=1&revision=2", large_config(mem, 25 * 1024));
     assert_int_equal(call.code, 200);
     fleet_run(fleet, 2000);
     links_narrow(fleet, LINK_BYTES_PER_MS);
@@ -234,8 +234,8 @@
     if (bytes_per_ms > 0)
         sim_link_rate(fleet->world, node->machine, bytes_per_ms);
     else
-        fleet_isolate(fleet, role, number, true);
-    fleet_leave(fleet, role, number);
+        fleet_node_cut(fleet, role, number, true);
+    fleet_shut_down(fleet, role, number);
     const int64_t from_ms = sim_now_ms(fleet->world);
     while (node->up && sim_now_ms(fleet->world) < from_ms + 20000)
         fleet_run(fleet, 1);
@@ -250,7 +250,7 @@
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++)
         for (size_t rate = 0; rate < sizeof(RATES) / sizeof(RATES[0]); rate++) {
             Fleet *fleet = case_begin(SEED, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-            fleet_call(fleet, "u", 20000, 20000);
+            fleet_submit_jobs(fleet, "u", 20000, 20000);
             fleet_run(fleet, 3000);
             const int number = role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0;
             const int64_t grace_ms = fleet_node(fleet, (FleetRole)role, number)->settings.cluster_settings.grace_ms;
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -18,7 +18,7 @@
 static Fleet *begin(uint64_t seed)
 {
     Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", LONG_WORK).code, 201);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", LONG_WORK).code, 201);
     fleet_run(fleet, 2000);
     return fleet;
 }
@@ -41,8 +41,8 @@
         assert_int_equal(case_running(fleet), 11);
         for (int i = 0; i < 3; i++)
             sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
-                  "{\"r\":0}"); /* shows the failure */
+        fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
+                      "{\"r\":0}"); /* shows the failure */
         fleet_run(fleet, 8000);
         assert_int_equal(fleet_leader(fleet), -1);
         assert_int_equal(case_running(fleet), 11);
@@ -50,7 +50,7 @@
             taken(fleet, 1, "another");
         fleet_run(fleet, 6000);
         assert_int_equal(case_running(fleet), with ? 0 : 11);
-        assert_int_equal(checker_broken_all(fleet->checker), 0);
+        assert_int_equal(checker_violations_total(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -63,13 +63,13 @@
     taken(fleet, 1, "another");
     fleet_run(fleet, 2000);
     for (int i = 0; i < 3; i++) {
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, i, "GET", "/v1/jobs/l", NULL);
+        const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, i, "GET", "/v1/jobs/l", NULL);
         assert_int_equal(call.code, 200);
     }
-    const HttpCall status = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/status", NULL);
+    const HttpCall status = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/status", NULL);
     assert_non_null(strstr((const char *)status.response_body.data, "\"refusedFrames\""));
     fleet_run(fleet, 8000);
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
+    assert_int_equal(checker_violations_total(fleet->checker), 0);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -254,7 +254,7 @@
             "{\"name\":\"a\",\"count\":6,\"room\":{\"cpu\":2,\"memMb\":64},\"estMs\":1500,\"payload\":{\"runMs\":1500}}");
     }
     fleet_run(fleet, 500);
-    fleet_isolate(fleet, FLEET_AGENT, 0, true);
+    fleet_node_cut(fleet, FLEET_AGENT, 0, true);
     fleet_run(fleet, 2500);
     int in_time = 0;
     for (int i = 0; i < JOBS; i++)
@@ -291,12 +291,12 @@
         assert_int_equal(case_in_phase(fleet, "before", TASK_DONE), 24);
         const size_t starts = checker_starts_on(fleet->checker, "worker1");
         assert_true(starts > 0);
-        fleet_isolate(fleet, FLEET_AGENT, 0, true);
+        fleet_node_cut(fleet, FLEET_AGENT, 0, true);
         fleet_run(fleet, HEARTBEAT_WAIT_MS + HEARTBEAT_OVERDUE_MIN_MS + 2 * PLANNER_PASS_INTERVAL_MS);
         case_submit(fleet, "while", "urgent", "", STEP);
         fleet_run(fleet, 200);
         assert_int_equal(on_worker(fleet, "while", "worker1"), 0);
-        fleet_isolate(fleet, FLEET_AGENT, 0, false);
+        fleet_node_cut(fleet, FLEET_AGENT, 0, false);
         fleet_run(fleet, 2000);
         case_submit(fleet, "after", "urgent", "", STEP);
         fleet_run(fleet, 3000);
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -23,7 +23,7 @@
         "{\"id\":\"%s\",\"cell\":\"%s\",\"tenant\":\"%s\",\"queue\":\"%s\",\"protection\":\"best-effort\",\"steps\":[{\"name\":"
         "\"a\",\"count\":%d,\"room\":{\"cpu\":%d,\"memMb\":64},\"payload\":{\"runMs\":%d}}]}",
         id, cell, tenant, queue, count, cpu, run_ms);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
         fail_msg("%s: %d %s", id, call.code, (const char *)call.response_body.data);
     checker_accepted(fleet->checker, id);
@@ -104,17 +104,17 @@
     assert_true(in_phase(fleet, "bulk", TASK_WAITING) > 50);
     /* what another policy would make of the queue, without doing it */
     inside_request_send(fleet, "later", "c", "u", "bulk", 1, 8, 200);
-    HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=c&limit=1", NULL);
+    HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=c&limit=1", NULL);
     assert_int_equal(call.code, 200);
-    call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c&limit=1",
-                     "function rank(t) return t.id == 'later' and 1 or 0 end");
+    call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c&limit=1",
+                         "function rank(t) return t.id == 'later' and 1 or 0 end");
     assert_int_equal(call.code, 200);
     assert_non_null(strstr((const char *)call.response_body.data, "\"order\":[{\"job\":\"later\""));
     assert_int_equal(
-        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code, 422);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
+        fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code, 422);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++) {
-        call = fleet_ask(fleet, fleet, (FleetRole)role, 0, "GET", "/metrics", NULL);
+        call = fleet_request(fleet, fleet, (FleetRole)role, 0, "GET", "/metrics", NULL);
         assert_int_equal(call.code, 200);
         assert_non_null(strstr((const char *)call.response_body.data, "\nspancart_bad_frames 0\n"));
     }
@@ -133,11 +133,11 @@
     fleet_run(fleet, 4000);
     assert_int_equal(in_phase(fleet, "x", TASK_DONE), 5);
     assert_int_equal(in_phase(fleet, "y", TASK_DONE), 5);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/status", NULL);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/status", NULL);
     assert_null(strstr((const char *)call.response_body.data, "\"policyFailures\":0"));
     assert_non_null(strstr((const char *)call.response_body.data, "more than"));
-    const HttpCall bad = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
-                                   "{\"policies\":{\"q\":\"function rank(t)\\n while true do end\\nend\"}}");
+    const HttpCall bad = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
+                                       "{\"policies\":{\"q\":\"function rank(t)\\n while true do end\\nend\"}}");
     assert_int_equal(bad.code, 422);
     assert_non_null(strstr((const char *)bad.response_body.data, "policies.q"));
     assert_non_null(strstr((const char *)bad.response_body.data, ":2: more than"));
@@ -160,7 +160,7 @@
         if (i == 8)
             inside_request_send(fleet, "big", "c", "u", "bulk", 1, 64, 1000);
         if (i == 40) {
-            const HttpCall call = fleet_ask(
+            const HttpCall call = fleet_request(
                 fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs",
                 "{\"id\":\"gang\",\"cell\":\"c\",\"tenant\":\"u\",\"queue\":\"bulk\",\"steps\":[{\"name\":\"g\",\"gang\":true,"
                 "\"count\":2,\"room\":{\"cpu\":60,\"memMb\":64},\"payload\":{\"runMs\":1000}}]}");
@@ -189,7 +189,7 @@
     FleetNode *worker = fleet_node(fleet, FLEET_WORKER, 0);
     worker->worker_settings.slow_times = 5;
     stand_worker_slow(worker->worker, 5);
-    fleet_call(fleet, "c", 15000, 60000);
+    fleet_submit_jobs(fleet, "c", 15000, 60000);
     fleet_run(fleet, 60000);
     const size_t slow = checker_starts_on(fleet->checker, "worker1"), all = checker_starts(fleet->checker);
     print_message("starts on the slow one %zu, on each other %zu\n", slow, (all - slow) / 10);
@@ -207,15 +207,15 @@
         inside_request_send(fleet, "long", "c", "t", "bulk", 11, 4, 60000);
         fleet_run(fleet, 2000);
         assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
-        assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST",
-                                   move ? "/v1/zones/west/drain?move=1" : "/v1/zones/west/drain", NULL)
+        assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST",
+                                       move ? "/v1/zones/west/drain?move=1" : "/v1/zones/west/drain", NULL)
                              .code,
                          200);
         assert_int_equal(
-            fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/zones/west/drain?move=2", NULL).code, 422);
-        checker_zone(fleet->checker, "west", true);
+            fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/zones/west/drain?move=2", NULL).code, 422);
+        checker_zone_drained(fleet->checker, "west", true);
         fleet_run(fleet, 12000);
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/zones/west/drain", NULL);
+        const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/zones/west/drain", NULL);
         assert_non_null(strstr((const char *)call.response_body.data, move ? "\"tasksLeft\":0" : "\"tasksLeft\":3"));
         assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
         case_end(fleet);
@@ -228,7 +228,7 @@
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
-    HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
+    HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.response_body.data, "[]\n");
     inside_request_send(fleet, "work", "c", "t", "bulk", 11, 4, 30000);
     fleet_run(fleet, 1000);
@@ -237,7 +237,7 @@
     const int second = (fleet_leader(fleet) + 1) % 3;
     fleet_kill(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 6000);
-    call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
+    call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     const char *lost =
         strstr((const char *)call.response_body.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker2\"");
     assert_non_null(lost);
@@ -248,11 +248,11 @@
     lost = strstr((const char *)call.response_body.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker3\"");
     assert_non_null(lost);
     assert_non_null(strstr(lost, "\"todo\":\"its agent's lease has lapsed: look at the machine and its agent\""));
-    call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/metrics", NULL);
+    call = fleet_request(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/metrics", NULL);
     assert_non_null(strstr((const char *)call.response_body.data, "\nspancart_alert_worker_lost 2\n"));
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++) {
-        call = fleet_ask(fleet, fleet, (FleetRole)role, role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0, "GET",
-                         "/v1/ring", NULL);
+        call = fleet_request(fleet, fleet, (FleetRole)role, role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0, "GET",
+                             "/v1/ring", NULL);
         assert_int_equal(call.code, 200);
         assert_true(role != FLEET_CONTROLLER ||
                     strstr((const char *)call.response_body.data,
@@ -262,7 +262,7 @@
     fleet_start_node(fleet, FLEET_AGENT, 2);
     fleet_start_node(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 8000);
-    call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
+    call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.response_body.data, "[]\n");
     case_end(fleet);
 }
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -73,7 +73,7 @@
 static Pair pair_start(void *mem, Asker *asker, Server *server)
 {
     SimWorld *world = sim_world_new(mem, 1);
-    const int client = sim_machine(world), machine = sim_machine(world);
+    const int client = sim_machine_new(world), machine = sim_machine_new(world);
     sim_start(world, machine, server_start, server);
     sim_start(world, client, asker_start, asker);
     return (Pair){world, client, machine};
@@ -186,13 +186,13 @@
         RpcSendState sending = {0};
         const Pair pair = pair_start(mem, &asker, &server);
         SimWorld *world = pair.world;
-        sim_cut(world, pair.client, pair.machine, true);
+        sim_link_cut(world, pair.client, pair.machine, true);
         Ask *ask = begin(&asker, (PeerIdentity){0}, 7, 3000);
         ask->sending = &sending;
         run_for(world, 300);
         assert_false(sending.sent);
         sending.cancelled = cancel == 1;
-        sim_cut(world, pair.client, pair.machine, false);
+        sim_link_cut(world, pair.client, pair.machine, false);
         run_for(world, 3000);
         assert_int_equal(ask->status, cancel ? STATUS_UNREACHABLE : STATUS_OK);
         assert_int_equal(server.served, !cancel);
--- a/packages/sim/test/quota.c
+++ b/packages/sim/test/quota.c
@@ -24,12 +24,12 @@
 
 static void configure(Fleet *fleet, const char *config)
 {
-    const HttpCall read = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    const HttpCall read = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(read.code, 200);
     const char *version = strstr((const char *)read.response_body.data, "\"revision\":");
     assert_non_null(version);
     const char *path = talloc_asprintf(fleet, "/v1/config?base=%llu", strtoull(strchr(version, ':') + 1, NULL, 10));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", path, config);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", path, config);
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.response_body.data);
 }
@@ -39,12 +39,12 @@
 {
     Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 1, 6, MIX_TRENTVALE, 0});
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_wait_ready(fleet, 30000));
     const HttpCall call =
-        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", bounded(fleet, QUOTA_CPU));
+        fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", bounded(fleet, QUOTA_CPU));
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.response_body.data);
-    checker_quota(fleet->checker, "t", (Resources){QUOTA_CPU * 1000, 0, 0}, TENANT_IN);
+    checker_quota_changed(fleet->checker, "t", (Resources){QUOTA_CPU * 1000, 0, 0}, TENANT_PRESENT);
     fleet_run(fleet, 1000);
     return fleet;
 }
@@ -82,7 +82,7 @@
         submit(fleet, "after", STEP(16, 64, 700, ""), "");
         fleet_run(fleet, 1000);
         for (int i = 1; i < 6; i += 2) /* the slow ones hear of no stop */
-            fleet_isolate(fleet, FLEET_AGENT, i, true);
+            fleet_node_cut(fleet, FLEET_AGENT, i, true);
         fleet_run(fleet, 20000);
         assert_int_equal(case_in_phase(fleet, "after", TASK_DONE), 16);
         case_end(fleet);
@@ -99,7 +99,7 @@
         fleet_run(fleet, 800);
         const int at = worker_of(fleet, "copied");
         assert_true(at >= 0);
-        fleet_isolate(fleet, FLEET_AGENT, at, true);
+        fleet_node_cut(fleet, FLEET_AGENT, at, true);
         fleet_run(fleet, 15000);
         assert_int_equal(case_in_phase(fleet, "copied", TASK_DONE), 4); /* what the lost worker ran counts no longer */
         case_end(fleet);
@@ -117,12 +117,12 @@
         fleet_run(fleet, 800);
         const int at = worker_of(fleet, "copied");
         assert_true(at >= 0);
-        fleet_isolate(fleet, FLEET_AGENT, at, true);
+        fleet_node_cut(fleet, FLEET_AGENT, at, true);
         fleet_run(fleet, 1500 + 30 * (int64_t)seed);
         if (seed % 2 == 0)
             fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
         else
-            fleet_roll(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
+            fleet_restart_gracefully(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
         fleet_run(fleet, 20000);
         case_end(fleet);
     }
@@ -139,9 +139,9 @@
         submit(fleet, "gang", STEP(4, 100000, 1500, ",\"gang\":true"), "");
         fleet_run(fleet, 1200);
         for (int i = 1; i < 6; i += 2)
-            fleet_isolate(fleet, FLEET_AGENT, i, true);
+            fleet_node_cut(fleet, FLEET_AGENT, i, true);
         fleet_run(fleet, 300 + 30 * (int64_t)seed);
-        fleet_roll(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
+        fleet_restart_gracefully(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
         submit(fleet, "after", STEP(16, 64, 700, ""), "");
         fleet_run(fleet, 20000);
         assert_int_equal(case_in_phase(fleet, "after", TASK_DONE), 16);
@@ -160,8 +160,8 @@
         fleet_run(fleet, 1000);
         const int at = worker_of(fleet, "first");
         assert_true(at >= 0);
-        fleet_isolate(fleet, FLEET_AGENT, at, true);
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "DELETE", "/v1/jobs/first", NULL);
+        fleet_node_cut(fleet, FLEET_AGENT, at, true);
+        const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "DELETE", "/v1/jobs/first", NULL);
         assert_in_range(call.code, 200, 202);
         checker_cancelled(fleet->checker, "first");
         fleet_run(fleet, 12000);
@@ -178,7 +178,7 @@
         Fleet *fleet = begin(seed);
         submit(fleet, "a", STEP(12, 64, 2500, ""), "");
         fleet_run(fleet, 1000);
-        fleet_isolate(fleet, FLEET_AGENT, worker_of(fleet, "a"), true);
+        fleet_node_cut(fleet, FLEET_AGENT, worker_of(fleet, "a"), true);
         fleet_run(fleet, 1000);
         fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
         fleet_run(fleet, 25000);
@@ -195,9 +195,9 @@
         Fleet *fleet = begin(seed);
         submit(fleet, "a", STEP(30, 64, 700, ""), "");
         fleet_run(fleet, 1200 + 37 * (int64_t)seed);
-        checker_quota(fleet->checker, "t", (Resources){4000, 0, 0}, TENANT_ASKED);
+        checker_quota_changed(fleet->checker, "t", (Resources){4000, 0, 0}, TENANT_CHANGE_SENT);
         configure(fleet, bounded(fleet, 4));
-        checker_quota(fleet->checker, "t", (Resources){4000, 0, 0}, TENANT_IN);
+        checker_quota_changed(fleet->checker, "t", (Resources){4000, 0, 0}, TENANT_PRESENT);
         fleet_run(fleet, 20000);
         assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 30);
         case_end(fleet);
@@ -228,7 +228,7 @@
 static const char *waits_for(Fleet *fleet, const char *id)
 {
     const char *path = talloc_asprintf(fleet, "/v1/jobs/%s", id);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
     assert_int_equal(call.code, 200);
     const char *at = strstr((const char *)call.response_body.data, "\"waitsFor\":\"");
     assert_non_null(at);
@@ -247,7 +247,7 @@
     assert_string_equal(waits_for(fleet, "a"), "quota");
     assert_string_equal(waits_for(fleet, "gang"), "quota");
     configure(fleet, bounded(fleet, 1000));
-    checker_quota(fleet->checker, "t", (Resources){1000000, 0, 0}, TENANT_IN);
+    checker_quota_changed(fleet->checker, "t", (Resources){1000000, 0, 0}, TENANT_PRESENT);
     fleet_run(fleet, 5000);
     assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 6);
     assert_int_equal(case_in_phase(fleet, "gang", TASK_DONE), 3);
--- a/packages/sim/test/repair_copies.c
+++ b/packages/sim/test/repair_copies.c
@@ -9,7 +9,7 @@
 {
     for (int i = zone; i < ENTRY_POINTS; i += 3) {
         if (cut) {
-            fleet_isolate(fleet, FLEET_ENTRY_POINT, i, true);
+            fleet_node_cut(fleet, FLEET_ENTRY_POINT, i, true);
         } else {
             fleet_kill(fleet, FLEET_ENTRY_POINT, i);
             fleet_start_node(fleet, FLEET_ENTRY_POINT, i);
@@ -29,7 +29,7 @@
     fleet_run(fleet, 12000);
     jobs_known(fleet, (lost + 1) % 3);
     for (int i = lost; i < ENTRY_POINTS && cut; i += 3)
-        fleet_isolate(fleet, FLEET_ENTRY_POINT, i, false);
+        fleet_node_cut(fleet, FLEET_ENTRY_POINT, i, false);
     fleet_run(fleet, 4000);
     jobs_known(fleet, lost);
     case_end(fleet);
--- a/packages/sim/test/repair_fixture.h
+++ b/packages/sim/test/repair_fixture.h
@@ -22,7 +22,7 @@
     Fleet *fleet = case_configured(seed, (FleetShape){3, entry_points, 4, MIX_TRENTVALE, 0},
                                    "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{\"q\":{}}}}}");
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     fleet_run(fleet, 1000);
     return fleet;
 }
@@ -41,7 +41,7 @@
                             "{\"id\":\"kept-%d\",\"cell\":\"c\",\"tenant\":\"t\",\"queue\":\"q\",\"steps\":[{"
                             "\"name\":\"s\",\"count\":1,\"room\":{\"cpu\":0.1,\"memMb\":64}}]}",
                             job);
-        const HttpCall call = fleet_ask(fleet, fleet, role, number, "POST", "/v1/jobs", body);
+        const HttpCall call = fleet_request(fleet, fleet, role, number, "POST", "/v1/jobs", body);
         if (call.code != 201)
             fail_msg("%d %s", call.code, (const char *)call.response_body.data);
     }
@@ -51,7 +51,8 @@
 static inline void jobs_known(Fleet *fleet, int entry_point)
 {
     for (int job = 0; job < JOBS; job++) {
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, "GET", path_of(fleet, job), NULL);
+        const HttpCall call =
+            fleet_request(fleet, fleet, FLEET_ENTRY_POINT, entry_point, "GET", path_of(fleet, job), NULL);
         if (call.code != 200)
             fail_msg("job %d: %d %s", job, call.code, (const char *)call.response_body.data);
     }
--- a/packages/sim/test/repair_transfer.c
+++ b/packages/sim/test/repair_transfer.c
@@ -16,7 +16,7 @@
         fleet_start_node(fleet, FLEET_ENTRY_POINT, i);
         fleet_run(fleet, 1000);
     }
-    fleet_leave(fleet, role, carrier);
+    fleet_shut_down(fleet, role, carrier);
     fleet_run(fleet, 8000);
     assert_false(fleet_node(fleet, role, carrier)->up);
     fleet_start_node(fleet, role, carrier); /* it has forgotten it too */
@@ -56,8 +56,8 @@
         fleet_run(fleet, 1000);
         jobs_submit(fleet, FLEET_ENTRY_POINT, 0);
         checker_fault(fleet->checker);
-        fleet_leave(fleet, FLEET_ENTRY_POINT, 0);
-        fleet_isolate(fleet, FLEET_ENTRY_POINT, 0, true);
+        fleet_shut_down(fleet, FLEET_ENTRY_POINT, 0);
+        fleet_node_cut(fleet, FLEET_ENTRY_POINT, 0, true);
         const int64_t from_ms = sim_now_ms(fleet->world);
         while (carrier->up && sim_now_ms(fleet->world) < from_ms + 10000)
             fleet_run(fleet, 1);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -51,10 +51,11 @@
 {
     Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     fleet_run(fleet, 1000);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "PATCH", "/v1/config?base=1", ENTRIES).code,
+                     200);
     const char *body = JOB("known");
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/jobs", body).code, 201);
-    sim_delay(fleet->world, LINK_MS, LINK_MS);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/jobs", body).code, 201);
+    sim_link_delay(fleet->world, LINK_MS, LINK_MS);
     fleet_run(fleet, 1000);
     return fleet;
 }
@@ -62,7 +63,7 @@
 /* The state as far as these requests change it: equal texts, equal states. */
 static char *state_of(void *mem, Fleet *fleet)
 {
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/v1/config/history", NULL);
+    const HttpCall call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/v1/config/history", NULL);
     assert_int_equal(call.code, 200);
     const char *history = (const char *)call.response_body.data;
     const int leader = fleet_leader(fleet);
@@ -94,7 +95,7 @@
         fleet_run(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int entry_point = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine;
         const int leader = fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine;
-        sim_cut(fleet->world, leader, entry_point, true);
+        sim_link_cut(fleet->world, leader, entry_point, true);
         const int64_t from_ms = sim_now_ms(fleet->world);
         fleet_run(fleet, COMMITTED_MS);
         assert_false(inside_request->done);
@@ -109,10 +110,10 @@
         assert_true(took_ms < 4000);
         if (row->code == 504)
             assert_true(inside_request->task->retry_after_s > 0);
-        sim_cut(fleet->world, leader, entry_point, false);
+        sim_link_cut(fleet->world, leader, entry_point, false);
         fleet_run(fleet, 3000);
         assert_string_equal(state_of(fleet, fleet), first); /* applied once */
-        assert_int_equal(checker_broken_all(fleet->checker), 0);
+        assert_int_equal(checker_violations_total(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -126,17 +127,17 @@
     const Row row = {"POST", "/v1/jobs", "", JOB("one"), 201};
     Fleet *fleet = begin(71);
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     const InsideRequest *inside_request = request(fleet, &row);
     while (fleet_job(fleet, "one") == NULL)
         fleet_run(fleet, 1);
     assert_false(inside_request->done);
     const int lost = fleet_leader(fleet); /* its answer never comes */
-    sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine,
-            fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine, true);
+    sim_link_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine,
+                 fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine, true);
     for (int i = 0; i < 3; i++) {
         fleet_power_off(fleet, FLEET_CONTROLLER, i);
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
     }
     fleet_run(fleet, 200);
     for (int i = 0; i < 3; i++)
@@ -148,7 +149,7 @@
     assert_int_equal(inside_request->task->code, row.code);
     fleet_run(fleet, 5000);
     assert_non_null(fleet_job(fleet, "one"));
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
+    assert_int_equal(checker_violations_total(fleet->checker), 0);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -10,7 +10,7 @@
     const int fresh = 3;
     fleet_start_node(fleet, FLEET_CONTROLLER, fresh);
     fleet_run(fleet, FOLLOWED_MS);
-    fleet_leave(fleet, FLEET_CONTROLLER, drawn(fleet, fresh, leader_goes));
+    fleet_shut_down(fleet, FLEET_CONTROLLER, drawn(fleet, fresh, leader_goes));
     fleet_run(fleet, SYNC_MS);
     must_lead(fleet, "after a planned replacement");
     fleet_power_off(fleet, FLEET_CONTROLLER, drawn(fleet, fresh, leader_lost));
@@ -68,7 +68,7 @@
 
 static void status_has(Fleet *fleet, const char *text)
 {
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/status", NULL);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/status", NULL);
     assert_int_equal(call.code, 200);
     const char *body = talloc_strndup(fleet, (const char *)call.response_body.data, call.response_body.count);
     if (strstr(body, text) == NULL)
@@ -103,7 +103,7 @@
 
 typedef struct Trial {
     Fleet *fleet;
-    int64_t disk_since_ms[FLEET_EACH_MAX]; /* of each controller's present disk */
+    int64_t disk_since_ms[FLEET_ROLE_NODES_MAX]; /* of each controller's present disk */
     int next_spare;
 } Trial;
 
@@ -137,7 +137,7 @@
 static void strike(Trial *trial, int controller, LossKind kind)
 {
     if (kind == LOSS_PLANNED) {
-        fleet_leave(trial->fleet, FLEET_CONTROLLER, controller);
+        fleet_shut_down(trial->fleet, FLEET_CONTROLLER, controller);
         return;
     }
     fleet_power_off(trial->fleet, FLEET_CONTROLLER, controller);
@@ -180,7 +180,7 @@
             back(&trial, lost[i], kind);
         fleet_run(fleet, site->voter_back_ms);
         must_lead(fleet, "after a loss");
-        assert_int_equal(fleet_voters(fleet), 2 * site->losses + 1);
+        assert_int_equal(fleet_healthy_voters(fleet), 2 * site->losses + 1);
     }
     finish(fleet);
 }
@@ -218,8 +218,12 @@
 static void attempts_two_at_once(void **state)
 {
     (void)state;
-    const FleetSite site = {
-        .zones = 3, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500};
+    const FleetSite site = {.zones = 3,
+                            .losses = 2,
+                            .founded_by_votes = true,
+                            .disks_keep = true,
+                            .voter_back_ms = 6000,
+                            .stagger_ms = 500};
     for (uint64_t seed = 1; seed <= 6; seed++)
         loss_attempts(seed, (FleetShape){6, 3, 2, MIX_TRENTVALE, 2 * ATTEMPTS}, &site, (Target)(seed % TARGETS), false);
 }
--- a/packages/sim/test/replaced_fixture.h
+++ b/packages/sim/test/replaced_fixture.h
@@ -19,26 +19,26 @@
 #define SERVED_MS 6000   /* ms; after a loss another controller leads within this */
 
 static const FleetSite ONE_LOSS = {
-    .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = SYNC_MS, .stagger_ms = 500};
+    .zones = 3, .losses = 1, .founded_by_votes = true, .disks_keep = true, .voter_back_ms = SYNC_MS, .stagger_ms = 500};
 
 static inline Fleet *begin(uint64_t seed, FleetShape shape, const FleetSite *site)
 {
-    Fleet *fleet = fleet_new_at(NULL, seed, shape, site);
+    Fleet *fleet = fleet_new_with_site(NULL, seed, shape, site);
     /* one that is told to end does so as soon as it may */
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         fleet_node(fleet, FLEET_CONTROLLER, i)->settings.cluster_settings.unready_ms = 0;
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
-    checker_config_set(fleet->checker, 1);
+    assert_true(fleet_wait_ready(fleet, 20000) && fleet_configure(fleet));
+    checker_config_acknowledged(fleet->checker, 1);
     fleet_run(fleet, SYNC_MS);
     return fleet;
 }
 
 static inline void finish(Fleet *fleet)
 {
-    if (checker_broken_all(fleet->checker) > 0)
+    if (checker_violations_total(fleet->checker) > 0)
         fleet_dump(fleet);
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
+    assert_int_equal(checker_violations_total(fleet->checker), 0);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -139,20 +139,20 @@
         "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"ended\":[{\"job\":\"j\",\"task\":1,\"round\":1,\"word\":\"running\"}]}",
     };
     for (size_t i = 0; i < sizeof(BAD) / sizeof(BAD[0]); i++) {
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", BAD[i]);
+        const HttpCall call = fleet_request(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", BAD[i]);
         if (call.code < 400 || call.code >= 500)
             fail_msg("%s: %d", BAD[i], call.code);
     }
     static const char GOOD[] = "{\"boot\":\"other\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1}}";
     /* a second process of the same name while the first one's lease runs */
     fleet_run(fleet, 2000);
-    HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
+    HttpCall call = fleet_request(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
     if (call.code != 409)
         fail_msg("%d %s", call.code, (const char *)call.response_body.data);
-    call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker2/report", GOOD);
+    call = fleet_request(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker2/report", GOOD);
     assert_int_equal(call.code, 404);
     fleet_run(fleet, 2000);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_AGENT, 0, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_AGENT, 0, "GET", "/readyz", NULL).code, 200);
     case_end(fleet);
 }
 
@@ -161,7 +161,7 @@
 {
     (void)state;
     Fleet *fleet = begin();
-    Loop *loop = sim_loop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     CallerSettings settings = {
         .name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
@@ -289,7 +289,7 @@
         fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 9000);
         const int64_t from_ms = sim_now_ms(fleet->world);
         const HttpCall call =
-            fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
+            fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
         print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)took_ms,
                       call.code >= 400 ? 120 : 0, (const char *)call.response_body.data);
@@ -298,7 +298,7 @@
         else
             assert_int_equal(call.code, ASKED[i].code);
         assert_true(took_ms < 5000);
-        assert_int_equal(checker_broken_all(fleet->checker), 0);
+        assert_int_equal(checker_violations_total(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -309,18 +309,18 @@
     (void)state;
     Fleet *fleet = case_begin(8, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     for (int i = 0; i < 3; i++)
-        assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, i, "GET", "/readyz", NULL).code, 200);
+        assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, i, "GET", "/readyz", NULL).code, 200);
     fleet_zone_cut(fleet, "north", true);
     fleet_run(fleet, 8000);
-    const HttpCall cut = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL);
+    const HttpCall cut = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL);
     assert_int_equal(cut.code, 503);
     assert_true(cut.retry_after_s > 0);
-    assert_int_not_equal(fleet_ask(fleet, fleet, FLEET_CONTROLLER, 0, "GET", "/readyz", NULL).code, 200);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/readyz", NULL).code, 200);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "GET", "/readyz", NULL).code, 200);
+    assert_int_not_equal(fleet_request(fleet, fleet, FLEET_CONTROLLER, 0, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 2, "GET", "/readyz", NULL).code, 200);
     fleet_zone_cut(fleet, "north", false);
     fleet_run(fleet, 5000);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL).code, 200);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -62,7 +62,7 @@
 /* 0: no clear answer. */
 static int send_once(const Call *call, int node)
 {
-    Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
+    Loop *loop = sim_loop(call->fleet->world, call->fleet->caller_machine);
     void *mem = talloc_new(loop);
     HttpCall sent = {.mem = mem,
                      .address = node_at(call->fleet, node)->settings.http,
@@ -78,7 +78,7 @@
 static void call_main(void *arg)
 {
     Call *call = arg;
-    Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
+    Loop *loop = sim_loop(call->fleet->world, call->fleet->caller_machine);
     for (int i = 0; i < TRIES_MOST && call->code == 0; i++) {
         call->code = send_once(call, call->node + i);
         loop_sleep(loop, 20);
@@ -88,7 +88,7 @@
 
 static void call_start(Call *call)
 {
-    loop_spawn(sim_loop(call->fleet->world, call->fleet->caller), "call", call_main, call);
+    loop_spawn(sim_loop(call->fleet->world, call->fleet->caller_machine), "call", call_main, call);
 }
 
 static void calls_wait(Fleet *fleet, const Call *calls, size_t count)
@@ -104,7 +104,7 @@
     void *mem = talloc_new(NULL);
     const FleetNode *at = node_at(call->fleet, node);
     const int code =
-        fleet_ask(call->fleet, mem, at->role, at->number, call->method, path_of(mem, call), call->body).code;
+        fleet_request(call->fleet, mem, at->role, at->number, call->method, path_of(mem, call), call->body).code;
     talloc_free(mem);
     return code;
 }
@@ -118,7 +118,7 @@
 static uint64_t newest(Fleet *fleet)
 {
     void *mem = talloc_new(NULL);
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    const HttpCall call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(call.code, 200);
     const char *at = strstr((const char *)call.response_body.data, "\"revision\":");
     const uint64_t version = strtoull(at + strlen("\"revision\":"), NULL, 10);
@@ -178,7 +178,7 @@
     else if (how == UPSET_FREEZE && begins)
         fleet_freeze(fleet, FLEET_CONTROLLER, leader, 3000);
     else if (how == UPSET_CUT)
-        fleet_isolate(fleet, FLEET_CONTROLLER, leader, begins);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, leader, begins);
 }
 
 /* Two calls on one base at the same moment; the leader is lost some ms after they were sent. */
@@ -226,8 +226,8 @@
                 again_everywhere(&pair[k], pair[k].code);
         }
     print_message("%s against %s: the first won %d of %d\n", method_a, method_b, firsts, attempts);
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
+    if (checker_violations_total(fleet->checker) > 0)
+        fail_msg("%s", checker_first_violation(fleet->checker));
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/rpc.c
+++ b/packages/sim/test/rpc.c
@@ -90,13 +90,13 @@
     void *mem = talloc_new(NULL);
     SimWorld *world = sim_world_new(mem, 1);
     Seen seen = {0};
-    const int client = sim_machine(world), server = sim_machine(world);
+    const int client = sim_machine_new(world), server = sim_machine_new(world);
     sim_start(world, server, server_start, &seen);
     sim_start(world, client, client_start, &seen);
     sim_run_until(world, 1300);
-    sim_cut(world, client, server, true);
+    sim_link_cut(world, client, server, true);
     sim_run_until(world, 2400);
-    sim_cut(world, client, server, false);
+    sim_link_cut(world, client, server, false);
     sim_run_until(world, 3500);
     sim_freeze(world, server, 6000);
     sim_run_until(world, 6300);
@@ -163,7 +163,7 @@
     SimWorld *world = sim_world_new(mem, 1);
     Seen seen = {0};
     Spoiler spoiler = {0};
-    const int client = sim_machine(world), server = sim_machine(world), other = sim_machine(world);
+    const int client = sim_machine_new(world), server = sim_machine_new(world), other = sim_machine_new(world);
     sim_start(world, server, server_start, &seen);
     sim_start(world, other, spoil_start, &spoiler);
     sim_run_until(world, 6000);
@@ -182,7 +182,7 @@
     void *mem = talloc_new(NULL);
     SimWorld *world = sim_world_new(mem, 1);
     Seen seen = {0};
-    const int client = sim_machine(world), server = sim_machine(world);
+    const int client = sim_machine_new(world), server = sim_machine_new(world);
     sim_link_rate(world, client, 1); /* a frame of 13 bytes takes 13 ms */
     sim_start(world, server, server_start, &seen);
     sim_start(world, client, client_start, &seen);
@@ -272,8 +272,8 @@
     void *mem = talloc_new(NULL);
     SimWorld *world = sim_world_new(mem, 1);
     Seen seen = {0};
-    const int client = sim_machine(world), server = sim_machine(world);
-    sim_far(world, server, 200); /* there and back: 400 ms and a little */
+    const int client = sim_machine_new(world), server = sim_machine_new(world);
+    sim_machine_delay(world, server, 200); /* there and back: 400 ms and a little */
     sim_start(world, server, late_server_start, &seen);
     sim_start(world, client, slow_link_start, &seen);
     sim_run_until(world, sim_now_ms(world) + 6000);
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -24,9 +24,9 @@
         for (int i = 0; i < fleet->node_count[role]; i++)
             fleet_node(fleet, (FleetRole)role, i)->settings.cluster_settings.lease_ms = LEASE_MS;
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 20000));
+    assert_true(fleet_wait_ready(fleet, 20000));
     assert_true(fleet_configure(fleet));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", JOB);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", JOB);
     assert_int_equal(call.code / 100, 2);
     return fleet;
 }
@@ -63,7 +63,7 @@
     /* the lease, and what was left of the work: not all of it again */
     assert_in_range(ended_ms(fleet) - off_ms, 1, LEASE_MS + 4500);
     assert_int_equal(checker_resumes(fleet->checker), 1);
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
+    assert_int_equal(checker_violations_total(fleet->checker), 0);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -104,7 +104,7 @@
 {
     const Reader *reader = arg;
     Watched *watched = reader->watched;
-    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
+    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller_machine);
     while (!watched->stop) {
         void *mem = talloc_new(loop);
         read_config(reader, loop, mem);
@@ -119,7 +119,7 @@
 static void operator_main(void *arg)
 {
     Watched *watched = arg;
-    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
+    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller_machine);
     uint64_t base = watched->acknowledged;
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
@@ -140,7 +140,7 @@
 static void sender_main(void *arg)
 {
     Watched *watched = arg;
-    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
+    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller_machine);
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
         const char *address = fleet_node(watched->fleet, FLEET_CONTROLLER, (int)(turn % CONTROLLERS))->settings.http;
@@ -161,7 +161,7 @@
     Watched *watched = talloc_zero(fleet, Watched);
     watched->fleet = fleet;
     watched->acknowledged = 1;
-    Loop *loop = sim_loop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     for (int i = 0; i < CONTROLLERS + ENTRY_POINTS; i++) {
         const FleetNode *node = i < CONTROLLERS ? fleet_node(fleet, FLEET_CONTROLLER, i)
                                                 : fleet_node(fleet, FLEET_ENTRY_POINT, i - CONTROLLERS);
@@ -182,7 +182,7 @@
         return;
     }
     if (kind == CUT_ALL) {
-        fleet_isolate(fleet, FLEET_CONTROLLER, victim, cut);
+        fleet_node_cut(fleet, FLEET_CONTROLLER, victim, cut);
         return;
     }
     const int machine = fleet_node(fleet, FLEET_CONTROLLER, victim)->machine;
@@ -190,12 +190,12 @@
         const int other = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
         if (i == victim)
             continue;
-        sim_refuse(fleet->world, other, machine, kind == CUT_REFUSED);
-        sim_refuse(fleet->world, machine, other, kind == CUT_REFUSED);
+        sim_link_refuse(fleet->world, other, machine, kind == CUT_REFUSED);
+        sim_link_refuse(fleet->world, machine, other, kind == CUT_REFUSED);
         if (kind != CUT_OUT)
-            sim_cut(fleet->world, other, machine, cut);
+            sim_link_cut(fleet->world, other, machine, cut);
         if (kind != CUT_IN)
-            sim_cut(fleet->world, machine, other, cut);
+            sim_link_cut(fleet->world, machine, other, cut);
     }
 }
 
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -45,10 +45,10 @@
             fleet->nodes[role][i].settings.cluster_settings.lease_ms =
                 fleet->nodes[role][i].settings.cluster_settings.worker_lease_ms = LEASE_MS;
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    assert_true(fleet_wait_ready(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", BODY).code, 201);
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", BODY).code, 201);
     checker_accepted(fleet->checker, "g");
     for (int i = 0; i < 50 && running(fleet) < 2; i++)
         fleet_run(fleet, 100);
@@ -72,8 +72,8 @@
     fleet_run(fleet, 30000);
     assert_int_equal(fleet_job(fleet, "g")->phase, JOB_DONE);
     /* claims are longer than the checker's bound for them, by the lease above */
-    if (checker_broken_all(fleet->checker) > checker_broken(fleet->checker, INVARIANT_EARLY_RESTART))
-        fail_msg("%s", checker_first(fleet->checker));
+    if (checker_violations_total(fleet->checker) > checker_violations(fleet->checker, INVARIANT_EARLY_RESTART))
+        fail_msg("%s", checker_first_violation(fleet->checker));
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/state_full.c
+++ b/packages/sim/test/state_full.c
@@ -19,14 +19,14 @@
                                        "{\"id\":\"%s\",\"cell\":\"c\",\"tenant\":\"t\",\"queue\":\"q\",\"steps\":[{"
                                        "\"name\":\"s\",\"count\":1,\"room\":{\"cpu\":0.1,\"memMb\":64}}]}",
                                        id);
-    return fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
+    return fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
 }
 
 static Fleet *begin_configured(uint64_t seed)
 {
     Fleet *fleet = begin(seed);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=1",
-                                    "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{\"q\":{}}}}}");
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=1",
+                                        "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{\"q\":{}}}}}");
     assert_int_equal(call.code, 200);
     fleet_run(fleet, 1000);
     return fleet;
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -63,9 +63,9 @@
 {
     Fleet *fleet = case_begin(11, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     for (int i = 0; i < 3 && walk->trigger == ON_POWER_LOST; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-    checker_config_set(fleet->checker, 1);
-    fleet_call(fleet, "c", 20000, 600); /* a dozen jobs about the strike */
+        sim_disk_false_syncs(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+    checker_config_acknowledged(fleet->checker, 1);
+    fleet_submit_jobs(fleet, "c", 20000, 600); /* a dozen jobs about the strike */
     fleet_run(fleet, 200);
     const int leader = fleet_leader(fleet);
     FleetNode *node = victim(fleet, walk, leader, step);
@@ -73,7 +73,7 @@
     const int64_t until_ms = sim_now_ms(fleet->world) + 6000;
     bool reached = true;
     for (int i = 0; i <= step && reached; i++)
-        reached = sim_turn(fleet->world, node->machine, until_ms);
+        reached = sim_run_turn(fleet->world, node->machine, until_ms);
     if (reached && walk->freeze_ms > 0)
         fleet_freeze(fleet, node->role, node->number, walk->freeze_ms);
     else if (reached)
@@ -83,10 +83,11 @@
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
             fleet_start_node(fleet, (FleetRole)role, i);
-    const bool finished = fleet_finish(fleet, 60000);
-    if (checker_broken_all(fleet->checker) > 0 || !finished)
+    const bool finished = fleet_wait_jobs_ended(fleet, 60000);
+    if (checker_violations_total(fleet->checker) > 0 || !finished)
         fail_msg("trigger %d, role %d, turn %d: %s", (int)walk->trigger, (int)walk->role, step,
-                 checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "jobs have not ended");
+                 checker_violations_total(fleet->checker) > 0 ? checker_first_violation(fleet->checker)
+                                                              : "jobs have not ended");
     talloc_free(fleet);
     return reached;
 }
--- a/packages/sim/test/tenant_storm.c
+++ b/packages/sim/test/tenant_storm.c
@@ -33,7 +33,7 @@
                      .request_headers = heads,
                      .request_header_count = key >= 0 ? 2 : 1};
     bytes_add(mem, &call.body, body, strlen(body));
-    if (loop_call(sim_loop(fleet->world, fleet->caller), &call) != STATUS_OK)
+    if (loop_call(sim_loop(fleet->world, fleet->caller_machine), &call) != STATUS_OK)
         call.code = 0;
     return call;
 }
@@ -42,7 +42,7 @@
 static void storm_operator(void *arg)
 {
     Storm *storm = arg;
-    Loop *loop = sim_loop(storm->fleet->world, storm->fleet->caller);
+    Loop *loop = sim_loop(storm->fleet->world, storm->fleet->caller_machine);
     for (int i = 1; i <= STORM_CHANGES; i++) {
         void *mem = talloc_new(loop);
         const char *path = talloc_asprintf(mem, "/v1/config?base=%d&revision=%d", i, i + 1);
@@ -72,7 +72,7 @@
 static void storm_caller(void *arg)
 {
     Storm *storm = arg;
-    Loop *loop = sim_loop(storm->fleet->world, storm->fleet->caller);
+    Loop *loop = sim_loop(storm->fleet->world, storm->fleet->caller_machine);
     while (!storm->over) {
         void *mem = talloc_new(loop);
         const int key = storm->newest + 1 - (int)(loop_random(loop) % 5);
@@ -102,7 +102,7 @@
         storm->fleet = fleet;
         for (int i = 0; i < STORM_CHANGES + 2; i++)
             storm->keys[i] = (StormKey){INT64_MAX, INT64_MAX, INT64_MAX};
-        Loop *loop = sim_loop(fleet->world, fleet->caller);
+        Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
         loop_spawn(loop, "operator", storm_operator, storm);
         for (int i = 0; i < STORM_CALLERS; i++)
             loop_spawn(loop, "caller", storm_caller, storm);
@@ -115,14 +115,14 @@
             if (turn % 8 == 1)
                 fleet_kill(fleet, FLEET_CONTROLLER, leader);
             else
-                fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
-            fleet_isolate(fleet, FLEET_ENTRY_POINT, turn % ENTRY_POINTS, true);
+                fleet_node_cut(fleet, FLEET_CONTROLLER, leader, true);
+            fleet_node_cut(fleet, FLEET_ENTRY_POINT, turn % ENTRY_POINTS, true);
             fleet_run(fleet, 4000);
-            fleet_isolate(fleet, FLEET_ENTRY_POINT, turn % ENTRY_POINTS, false);
+            fleet_node_cut(fleet, FLEET_ENTRY_POINT, turn % ENTRY_POINTS, false);
             if (turn % 8 == 1)
                 fleet_start_node(fleet, FLEET_CONTROLLER, leader);
             else
-                fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
+                fleet_node_cut(fleet, FLEET_CONTROLLER, leader, false);
         }
         assert_true(storm->over);
         fleet_run(fleet, 5000);
--- a/packages/sim/test/tenants.c
+++ b/packages/sim/test/tenants.c
@@ -6,7 +6,7 @@
 {
     const char *path = talloc_asprintf(fleet, "/v1/config?base=%d&revision=%d", (int)base, (int)base + 1);
     const char *body = talloc_asprintf(fleet, "{\"cells\":{\"c\":{\"tenants\":%s}}}", tenants);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, "PATCH", path, body).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, entry_point, "PATCH", path, body).code, 200);
 }
 
 #define ASSERT_CODE(want, code)                             \
@@ -95,7 +95,7 @@
     ASSERT_CODE(200, ask(fleet, FLEET_ENTRY_POINT, 0, "DELETE", "/v1/entry/open/nobody", "key-1a", NULL));
     /* it is public no more */
     const char *shut = "{\"cells\":{\"c\":{\"queues\":{\"open\":{\"public\":false}}}}}";
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1", shut).code, 200);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1", shut).code, 200);
     for (int at = 0; at < ENTRY_POINTS; at++)
         ASSERT_CODE(401, post(fleet, at, "/v1/entry/open/late", NULL));
     case_end(fleet);
@@ -108,7 +108,7 @@
     (void)state;
     Fleet *fleet = tenants_begin(64);
     ASSERT_CODE(201, post(fleet, 0, "/v1/entry/q/before", "key-1a"));
-    fleet_isolate(fleet, FLEET_ENTRY_POINT, 2, true);
+    fleet_node_cut(fleet, FLEET_ENTRY_POINT, 2, true);
     fleet_kill(fleet, FLEET_ENTRY_POINT, 1);
     change(fleet, 0, 1, "{\"one\":{\"keys\":[\"key-1b\"]}}");
     ASSERT_CODE(401, post(fleet, 0, "/v1/entry/q/old", "key-1a"));
@@ -123,7 +123,7 @@
     fleet_run(fleet, 3000);
     ASSERT_CODE(503, post(fleet, 2, "/v1/entry/q/cut", "key-1b"));
     ASSERT_CODE(503, post(fleet, 2, "/v1/entry/q/cut", "key-1a"));
-    fleet_isolate(fleet, FLEET_ENTRY_POINT, 2, false);
+    fleet_node_cut(fleet, FLEET_ENTRY_POINT, 2, false);
     fleet_start_node(fleet, FLEET_ENTRY_POINT, 1);
     for (int i = 0; i < 40; i++) {
         const int at = 1 + i % 2;
@@ -134,7 +134,7 @@
         fleet_run(fleet, 100);
     }
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
-    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_wait_ready(fleet, 30000));
     for (int at = 0; at < ENTRY_POINTS; at++) {
         ASSERT_CODE(401, post(fleet, at, "/v1/entry/q/old", "key-1a"));
         ASSERT_CODE(200, post(fleet, at, "/v1/entry/q/new", "key-1b"));
@@ -154,7 +154,7 @@
     for (size_t i = 0; i < sizeof(TENANTS) / sizeof(TENANTS[0]); i++) {
         const char *body = talloc_asprintf(fleet, "{\"cells\":{\"c\":{\"tenants\":%s}}}", TENANTS[i]);
         const HttpCall call =
-            fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, (int)i % ENTRY_POINTS, "PATCH", "/v1/config?base=1", body);
+            fleet_request(fleet, fleet, FLEET_ENTRY_POINT, (int)i % ENTRY_POINTS, "PATCH", "/v1/config?base=1", body);
         assert_int_equal(call.code, 422);
         const char *text = (const char *)call.response_body.data;
         assert_non_null(strstr(text, "cells.c.tenants."));
@@ -162,7 +162,7 @@
         ASSERT_CODE(200 + (i == 0), post(fleet, 0, "/v1/entry/q/one", "key-1a"));
         ASSERT_CODE(200 + (i == 0), post(fleet, 1, "/v1/entry/q/two", "key-2a"));
     }
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(number_in(&call, fleet, "\"revision\":"), 1);
     assert_string_equal(fleet_job(fleet, "one")->spec.tenant, "one");
     case_end(fleet);
@@ -207,7 +207,7 @@
                      .request_headers = heads,
                      .request_header_count = 2};
     bytes_add(posting, &call.body, BODY(10), strlen(BODY(10)));
-    loop_call(sim_loop(fleet->world, fleet->caller), &call);
+    loop_call(sim_loop(fleet->world, fleet->caller_machine), &call);
     posting->code = call.code;
 }
 
@@ -217,17 +217,17 @@
 {
     Posting *posting = talloc_zero(fleet, Posting);
     posting->fleet = fleet;
-    loop_spawn(sim_loop(fleet->world, fleet->caller), "posting", posting_main, posting);
+    loop_spawn(sim_loop(fleet->world, fleet->caller_machine), "posting", posting_main, posting);
     for (int i = 0; i < 200 && fleet_job(fleet, "taken") == NULL; i++)
         fleet_run(fleet, 1);
     assert_non_null(fleet_job(fleet, "taken"));
     assert_int_equal(posting->code, 0);
-    fleet_isolate(fleet, FLEET_ENTRY_POINT, 0, true);
+    fleet_node_cut(fleet, FLEET_ENTRY_POINT, 0, true);
     checker_fault(fleet->checker);
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 2500);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "PATCH", "/v1/config?base=1", patch).code, 200);
-    fleet_isolate(fleet, FLEET_ENTRY_POINT, 0, false);
+    assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "PATCH", "/v1/config?base=1", patch).code, 200);
+    fleet_node_cut(fleet, FLEET_ENTRY_POINT, 0, false);
     for (int i = 0; i < 2000 && posting->code == 0; i++)
         fleet_run(fleet, 10);
     return posting->code;
--- a/packages/sim/test/traces.c
+++ b/packages/sim/test/traces.c
@@ -13,7 +13,7 @@
     assert_true(AGENTS > PARTIAL_VIEW_MAX);
     for (int i = 0; i < AGENTS; i++)
         fleet_power_off(fleet, FLEET_AGENT, i);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/trace?key=config:1", NULL);
+    const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/trace?key=config:1", NULL);
     assert_int_equal(call.code, 200);
     const char *silent = strstr((const char *)call.response_body.data, "\"silent\"");
     assert_non_null(silent);
--- a/packages/sim/test/without_features.c
+++ b/packages/sim/test/without_features.c
@@ -10,8 +10,8 @@
         for (int i = 0; i < fleet->node_count[role]; i++)
             fleet_node(fleet, (FleetRole)role, i)->settings.cluster_settings.features_off = features_off;
     fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
-    fleet_call(fleet, "features", 15000, 15000);
+    assert_true(fleet_wait_ready(fleet, 30000) && fleet_configure(fleet));
+    fleet_submit_jobs(fleet, "features", 15000, 15000);
     fleet_run(fleet, 4000);
     checker_fault(fleet->checker);
     fleet_kill(fleet, FLEET_WORKER, 1);
--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -251,12 +251,12 @@
 static void write_trimmed(void)
 {
     const int leader = fleet_leader(fleet);
-    fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, leader, true);
     offer_plain("never", 1);
     fleet_run(fleet, 200);
     write_file(talloc_asprintf(fleet, "cut-core%d", leader + 1), journal_of(leader));
     fleet_run(fleet, 15000);
-    fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
+    fleet_node_cut(fleet, FLEET_CONTROLLER, leader, false);
     fleet_run(fleet, 10000);
     write_all("trimmed");
 }
@@ -268,10 +268,11 @@
         return 2;
     }
     folder = argv[1];
-    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = true, .disks_keep = true};
-    fleet = fleet_new_at(NULL, 1, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
+    const FleetSite site = {
+        .zones = 3, .losses = 1, .entry_point_seeds = 1, .founded_by_votes = true, .disks_keep = true};
+    fleet = fleet_new_with_site(NULL, 1, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
     fleet_start(fleet);
-    if (!fleet_settle(fleet, 30000))
+    if (!fleet_wait_ready(fleet, 30000))
         return 1;
     fleet_run(fleet, 10000); /* the learner catches up */
     offer_all();
