--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -1,7 +1,8 @@
 #ifndef SIM_TEST_ASKER_H
 #define SIM_TEST_ASKER_H
 
-/* One who asks by an RPC endpoint, and the frames of its questions as they stand on the wire. */
+/* A test client that sends requests through an RPC endpoint, and the frames of its requests as they appear on the wire.
+ * Included by one test program each. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,11 +15,12 @@
 #include "sim/world.h"
 #include "wire/rpc.h"
 
+/* Request and response of the test's echo service. */
 #define ECHO_FIELDS(X) X(U64, number, 0)
 SHAPE(Echo, ECHO_FIELDS)
 SHAPE_TABLE(Echo, ECHO_FIELDS)
 
-/* A frame as the release before sends it. */
+/* A frame as the previous release sends it: without the identity of the peer. */
 #define OLD_FRAME_FIELDS(X) \
     X(U64, version, 0)      \
     X(U64, cluster, 0)      \
@@ -30,22 +32,24 @@
 SHAPE(OldFrame, OLD_FRAME_FIELDS)
 SHAPE_TABLE(OldFrame, OLD_FRAME_FIELDS)
 
-/* The same with what this release adds at the end. */
+/* A frame of this release, which adds the identity of the peer at the end. */
 #define FRAME_FIELDS(X) \
     OLD_FRAME_FIELDS(X) \
     X(U64, peer, 0)     \
     X(U64, peer_life, 0)
-SHAPE(NowFrame, FRAME_FIELDS)
-SHAPE_TABLE(NowFrame, FRAME_FIELDS)
+SHAPE(CurrentFrame, FRAME_FIELDS)
+SHAPE_TABLE(CurrentFrame, FRAME_FIELDS)
 
-#define CLUSTER 7
-#define ADDRESS "10.0.0.2:7000"
+#define CLUSTER 7               /* identifier of the cluster that client and server belong to */
+#define ADDRESS "10.0.0.2:7000" /* the server's: the second machine of a world */
 
+/* The process that sends the requests. */
 typedef struct Asker {
     Loop *loop;
     Rpc *rpc;
 } Asker;
 
+/* A SimStart; arg is the Asker. */
 static inline void asker_start(void *arg, Loop *loop)
 {
     Asker *asker = arg;
@@ -54,15 +58,16 @@
     rpc_set_cluster(asker->rpc, CLUSTER);
 }
 
+/* One request and its outcome. */
 typedef struct Ask {
     Asker *asker;
-    PeerIdentity meant;
-    RpcSending *sending;
-    uint64_t number;
-    int64_t wait_ms;
-    bool done;
+    PeerIdentity meant;  /* the peer that the request is meant for; id 0: any */
+    RpcSending *sending; /* the sending that the request belongs to; null: none */
+    uint64_t number;     /* payload of the request */
+    int64_t wait_ms;     /* time-out */
+    bool done;           /* the request has ended; status and answer are valid from then on */
     Status status;
-    Echo answer;
+    Echo answer; /* valid when status is STATUS_OK */
 } Ask;
 
 static inline void ask_main(void *arg)
@@ -74,6 +79,7 @@
     ask->done = true;
 }
 
+/* Starts a request in a task of its own and returns at once. The result belongs to the client's loop. */
 static inline Ask *begin(Asker *asker, PeerIdentity meant, uint64_t number, int64_t wait_ms)
 {
     Ask *ask = talloc_zero(asker->loop, Ask);
@@ -82,6 +88,7 @@
     return ask;
 }
 
+/* Runs the world for so many milliseconds of virtual time. */
 static inline void run_for(SimWorld *world, int64_t for_ms)
 {
     sim_run_until(world, sim_now_ms(world) + for_ms);
--- a/packages/sim/test/bad_disks.c
+++ b/packages/sim/test/bad_disks.c
@@ -1,4 +1,4 @@
-/* Disks that are slow, stall, are full or refuse writes, while their controller catches up or votes. */
+/* Disks that are slow, stall, are full or refuse writes while their controller catches up with the log or votes. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,16 +10,17 @@
 
 #include "controller_set.h"
 
-#define MISSED 3000        /* count; changes that were made while the controller was away */
-#define CHANGE_BYTES 200   /* bytes */
-#define SYNC_MS 4000       /* ms; a loss counts for so long after the machine's return */
-#define CAUGHT_UP_MS 12000 /* ms; after the end of the fault the controller has everything within this */
+#define MISSED 3000        /* count; changes that were committed while the controller was away */
+#define CHANGE_BYTES 200   /* bytes; payload of a change */
+#define SYNC_MS 4000       /* ms; a lost voter has been replaced, or is back, within this */
+#define CAUGHT_UP_MS 12000 /* ms; the controller has caught up within this after the end of the fault */
 
 static int machine_of(Fleet *fleet, int controller)
 {
     return fleet_node(fleet, FLEET_CONTROLLER, controller)->machine;
 }
 
+/* Whether the controller has delivered everything that the leader has committed, but for the two latest entries. */
 static bool caught_up(Fleet *fleet, int controller)
 {
     const int leader = fleet_leader(fleet);
@@ -27,7 +28,7 @@
            replication_of(fleet, controller)->delivered_index + 2 >= replication_of(fleet, leader)->commit_index;
 }
 
-/* A follower that was without power while MISSED changes were made; it is started by the caller. */
+/* Powers off a follower and commits MISSED changes without it. Returns the follower, which the caller starts again. */
 static int follower_away(Fleet *fleet)
 {
     const int away = (fleet_leader(fleet) + 1) % 3;
@@ -41,8 +42,8 @@
     return away;
 }
 
-/* Changes go on meanwhile, and are committed: the others do not wait for the bad disk. */
-static void changes_go_on(Fleet *fleet, int64_t for_ms)
+/* Submits changes for the span and asserts that they are committed: the other voters must not wait for the bad disk. */
+static void assert_changes_committed(Fleet *fleet, int64_t for_ms)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + for_ms;
     const int leader = fleet_leader(fleet);
@@ -57,7 +58,7 @@
     assert_true(replication_of(fleet, fleet_leader(fleet))->commit_index > before + (uint64_t)for_ms / 100 * 4);
 }
 
-static void must_catch_up(Fleet *fleet, int controller)
+static void assert_catches_up(Fleet *fleet, int controller)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + CAUGHT_UP_MS;
     while (!caught_up(fleet, controller) && sim_now_ms(fleet->world) < until_ms)
@@ -82,17 +83,17 @@
         sim_disk_capacity(fleet->world, machine, on ? sim_disk_used(fleet->world, machine) + 4096 : 0);
 }
 
-static void catches_up_through(DiskFault fault)
+static void assert_catches_up_during(DiskFault fault)
 {
     for (uint64_t seed = 1; seed <= 3; seed++) {
         Fleet *fleet = begin(seed);
         const int away = follower_away(fleet);
         fleet_start_node(fleet, FLEET_CONTROLLER, away);
-        fleet_run(fleet, 30); /* its process has read the journal */
+        fleet_run(fleet, 30); /* by now its process has read the journal */
         disk_fault_set(fleet, away, fault, true);
-        changes_go_on(fleet, 4000);
+        assert_changes_committed(fleet, 4000);
         disk_fault_set(fleet, away, fault, false);
-        must_catch_up(fleet, away);
+        assert_catches_up(fleet, away);
         talloc_free(fleet);
     }
 }
@@ -100,29 +101,29 @@
 static void slow_while_catching_up(void **state)
 {
     (void)state;
-    catches_up_through(DISK_FAULT_SLOW);
+    assert_catches_up_during(DISK_FAULT_SLOW);
 }
 
 static void stalled_while_catching_up(void **state)
 {
     (void)state;
-    catches_up_through(DISK_FAULT_STALLED);
+    assert_catches_up_during(DISK_FAULT_STALLED);
 }
 
 static void refused_while_catching_up(void **state)
 {
     (void)state;
-    catches_up_through(DISK_FAULT_REFUSED);
+    assert_catches_up_during(DISK_FAULT_REFUSED);
 }
 
 static void full_while_catching_up(void **state)
 {
     (void)state;
-    catches_up_through(DISK_FAULT_FULL);
+    assert_catches_up_during(DISK_FAULT_FULL);
 }
 
-/* A disk that is full, or has room for a rewrite but not for much more: its journal is not rewritten again and again,
- * and the controller has everything once there is room. */
+/* Guards against a journal being rewritten in an endless loop on a disk that is full, or that has space for the rewrite
+ * but not for much more. The controller catches up once there is space. */
 static void nearly_full_does_not_go_in_circles(void **state)
 {
     (void)state;
@@ -135,17 +136,17 @@
         const uint64_t rewrites = journal_counts(replication_of(fleet, full)->journal)->rewrites;
         sim_disk_capacity(fleet->world, machine_of(fleet, full),
                           sim_disk_used(fleet->world, machine_of(fleet, full)) + SPARE_BYTES[i]);
-        changes_go_on(fleet, 60000);
-        /* some 200 before; at the most one in DISK_RETRY_MOST_MS, and some at first */
+        assert_changes_committed(fleet, 60000);
+        /* the fault gave about 200; now at most one each DISK_RETRY_MOST_MS, and a few more at first */
         assert_in_range(journal_counts(replication_of(fleet, full)->journal)->rewrites - rewrites, 1, 30);
         sim_disk_capacity(fleet->world, machine_of(fleet, full), 0);
-        must_catch_up(fleet, full);
+        assert_catches_up(fleet, full);
         talloc_free(fleet);
     }
 }
 
-/* A follower whose disk refuses writes still grants leases, so it is not silent. It is replaced all the same, so that
- * the next loss may follow; on-call is told. */
+/* A follower whose disk refuses writes still grants leases, so it does not look lost. It must be replaced all the same,
+ * so that the cluster survives the next loss, and the alert disk-refuses must name it. */
 static void refusing_follower_is_replaced(void **state)
 {
     (void)state;
@@ -167,14 +168,14 @@
                 bad = i;
         checker_fault(fleet->checker);
         sim_disk_fail(fleet->world, machine_of(fleet, bad), true);
-        changes_go_on(fleet, 1500);
+        assert_changes_committed(fleet, 1500);
         const HttpCall call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/alerts", NULL);
         const char *name = fleet_node(fleet, FLEET_CONTROLLER, bad)->settings.name;
         const char *alert = talloc_asprintf(fleet, "{\"alert\":\"disk-refuses\",\"subject\":\"%s\"", name);
         const char *body = talloc_strndup(fleet, (const char *)call.result.data, call.result.count);
         if (strstr(body, alert) == NULL)
             fail_msg("%s is not in %s", alert, body);
-        changes_go_on(fleet, SYNC_MS - 2500);
+        assert_changes_committed(fleet, SYNC_MS - 2500);
         assert_false(is_voter(fleet, bad));
         int lost = -1;
         for (int i = 0; i < 4; i++)
@@ -183,7 +184,7 @@
         fleet_power_off(fleet, FLEET_CONTROLLER, lost);
         fleet_run(fleet, 5000);
         assert_true(fleet_leader(fleet) >= 0);
-        changes_go_on(fleet, 1000);
+        assert_changes_committed(fleet, 1000);
         talloc_free(fleet);
     }
 }
--- a/packages/sim/test/catch_up.c
+++ b/packages/sim/test/catch_up.c
@@ -1,5 +1,6 @@
-/* A controller that was away has all again, however much has changed meanwhile: time and bytes
- * against the changes that it missed, in virtual time, and what memory and disk hold. */
+/* A controller that was away catches up, however much has changed meanwhile. Measures, by the number of missed changes,
+ * how long that takes in virtual time, how many bytes the leader sends, and how much memory and disk controllers use.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,6 +13,7 @@
 #include "controller_set.h"
 #include "large_state.h"
 
+/* The request that carries count bytes of the snapshot from offset from on. */
 static InstallSnapshotAsk piece_of(Bytes whole, size_t from, size_t count)
 {
     return (InstallSnapshotAsk){.snapshot = {.kind = RECORD_SNAPSHOT,
@@ -24,8 +26,8 @@
                                 .checksum = bytes_crc(whole.data, whole.count)};
 }
 
-/* Pieces out of their order, given twice, of another snapshot, spoilt, or beyond the whole:
- * nothing is put together but the very bytes whose checksum was told. */
+/* Snapshot pieces that are out of order, repeated, of another snapshot, corrupted, or beyond the total size are
+ * rejected: a snapshot is accepted only when its bytes match the checksum that was announced. */
 static void pieces_refused(void **state)
 {
     (void)state;
@@ -44,7 +46,7 @@
     ask = piece_of(whole, 400, 600);
     ask.snapshot.payload.count = 700;
     assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BAD_FRAME);
-    whole.data[500] = 8; /* on its way */
+    whole.data[500] = 8; /* corrupted in transit */
     ask = piece_of(whole, 400, 600);
     whole.data[500] = 7;
     ask.checksum = bytes_crc(whole.data, whole.count);
@@ -55,7 +57,7 @@
     ask = piece_of(whole, 0, 400);
     assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BUSY);
     ask = piece_of(whole, 400, 600);
-    ask.snapshot.index++; /* of another snapshot: what was there counts for nothing */
+    ask.snapshot.index++; /* of another snapshot: the pieces received before are discarded */
     assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_LOG_GAP);
     ask = piece_of(whole, 0, 400);
     assert_int_equal(snapshot_piece_accept(replication, &ask, &record), STATUS_BUSY);
@@ -70,17 +72,18 @@
 
 /* --- after many changes ------------------------------------------------------------ */
 
-#define LINK_BYTES_MS 25000              /* bytes a ms: 200 Mbit/s, the slowest link of a disk machine */
-#define DISK_BYTES (128 * 1024 * 1024)   /* bytes; the smallest disk of one */
-#define MEMORY_BYTES (130 * 1024 * 1024) /* bytes; half of the smallest memory: the other half is work's */
-#define BIG_BYTES (300 * 1024)           /* bytes; a whole configuration of a large site */
+#define LINK_BYTES_MS 25000              /* bytes/ms; 200 Mbit/s, the slowest link of a controller's machine */
+#define DISK_BYTES (128 * 1024 * 1024)   /* bytes; the smallest disk of a controller's machine */
+#define MEMORY_BYTES (130 * 1024 * 1024) /* bytes; half of the smallest memory: the other half is for tasks */
+#define BIG_BYTES (300 * 1024)           /* bytes; the complete configuration of a large site */
 
+/* Bytes that the controller's process has allocated. */
 static size_t memory_of(Fleet *fleet, int controller)
 {
     return talloc_total_size(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine));
 }
 
-/* Has all that the leader has committed. */
+/* Whether the controller has delivered everything that the leader has committed, but for the two latest entries. */
 static bool caught_up(Fleet *fleet, int controller)
 {
     const int leader = fleet_leader(fleet);
@@ -89,12 +92,13 @@
 }
 
 typedef struct CatchUp {
-    int64_t took_ms;     /* from the start of its process */
-    uint64_t bytes;      /* that the leader sent meanwhile, to all */
-    size_t memory, disk; /* the most of any controller */
+    int64_t took_ms;     /* from the start of the controller's process until it has caught up */
+    uint64_t bytes;      /* sent by the leader to all others meanwhile */
+    size_t memory, disk; /* bytes; the highest use of any controller */
 } CatchUp;
 
-static void most_take(Fleet *fleet, CatchUp *catch_up)
+/* Raises the peaks of memory and disk use to what the controllers use now. */
+static void record_peaks(Fleet *fleet, CatchUp *catch_up)
 {
     for (int i = 0; i < 3; i++) {
         const size_t disk = sim_disk_used(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine);
@@ -104,8 +108,8 @@
     }
 }
 
-/* A controller is away while so many changes of so many bytes are made, a few at a time. */
-static CatchUp away_for(uint64_t seed, int changes, size_t bytes, int at_once)
+/* Measures how a controller catches up that was away while changes of this size were submitted, at_once at a time. */
+static CatchUp measure_catch_up(uint64_t seed, int changes, size_t bytes, int at_once)
 {
     Fleet *fleet = begin(seed);
     CatchUp catch_up = {0};
@@ -120,7 +124,7 @@
     for (int made = 0; made < changes; made += at_once) {
         offer(fleet, at_once, bytes);
         fleet_run(fleet, 200);
-        most_take(fleet, &catch_up);
+        record_peaks(fleet, &catch_up);
     }
     fleet_run(fleet, 2000);
     const int leader = fleet_leader(fleet);
@@ -130,7 +134,7 @@
     fleet_start_node(fleet, FLEET_CONTROLLER, away);
     for (int i = 0; i < 3000 && !caught_up(fleet, away); i++) {
         fleet_run(fleet, 10);
-        most_take(fleet, &catch_up);
+        record_peaks(fleet, &catch_up);
     }
     assert_true(caught_up(fleet, away));
     catch_up.took_ms = sim_now_ms(fleet->world) - from_ms;
@@ -146,22 +150,21 @@
     return catch_up;
 }
 
-/* Time and bytes grow with what was missed, up to a snapshot, and no further. */
+/* Time and bytes of catching up grow with the number of missed changes, but are bounded by the size of a snapshot. */
 static void away_for_many(void **state)
 {
     (void)state;
-    const CatchUp few = away_for(1, 10, 200, 10);
-    const CatchUp some = away_for(1, 300, 200, 10);
-    const CatchUp many = away_for(1, 3000, 200, 20);
-    const CatchUp most = away_for(1, 9000, 200, 50); /* beyond a snapshot */
+    const CatchUp few = measure_catch_up(1, 10, 200, 10);
+    const CatchUp some = measure_catch_up(1, 300, 200, 10);
+    const CatchUp many = measure_catch_up(1, 3000, 200, 20);
+    const CatchUp most = measure_catch_up(1, 9000, 200, 50); /* more than a snapshot replaces */
     assert_true(few.bytes < some.bytes && some.bytes < many.bytes);
     assert_true(most.bytes < many.bytes * 2);
     assert_true(most.took_ms < few.took_ms + 1500);
 }
 
-/* A state that no single frame holds, to an empty disk, over a narrow link that breaks in
- * the middle; whoever leads goes on leading, and the one that catches up loses nothing
- * that it already has of it. */
+/* A snapshot larger than a frame is sent to an empty disk over a narrow link that is cut in the middle. The leader must
+ * not change, and the receiver must keep the pieces that it already has. */
 static void large_state(void **state)
 {
     (void)state;
@@ -171,7 +174,7 @@
     replication_compact_if_due(replication_of(fleet, leader), true);
     fleet_run(fleet, 500);
     assert_true(replication_of(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
-    for (int i = 0; i < 3; i++) /* 34 MB take over eight seconds: more than any deadline */
+    for (int i = 0; i < 3; i++) /* 34 MB take more than eight seconds, longer than any deadline */
         sim_link_rate(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, 4 * 1024);
     checker_fault(fleet->checker);
     fleet_power_off(fleet, FLEET_CONTROLLER, away);
@@ -192,16 +195,17 @@
     }
     assert_true(caught_up(fleet, away) && is_voter(fleet, away));
     assert_int_equal(fleet_leader(fleet), leader);
-    print_message("34 MB over 4 MB/s, cut for 3 s: %d ms\n", (int)(sim_now_ms(fleet->world) - from_ms));
+    print_message("snapshot of 34 MB over a link of 4 MB/s that is cut for 3 s: caught up in %d ms\n",
+                  (int)(sim_now_ms(fleet->world) - from_ms));
     assert_true(most > FRAME_MAX_BYTES);
     talloc_free(fleet);
 }
 
-/* Hundreds of whole configurations: neither the disk nor the memory grows with them. */
+/* Hundreds of complete configurations must not make disk or memory use grow with their number. */
 static void away_for_big(void **state)
 {
     (void)state;
-    const CatchUp big = away_for(1, 400, BIG_BYTES, 2);
+    const CatchUp big = measure_catch_up(1, 400, BIG_BYTES, 2);
     assert_true(big.disk < DISK_BYTES / 2);
     assert_true(big.memory < MEMORY_BYTES);
 }
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -1,5 +1,5 @@
-/* The checkers tested: each safety property is broken on purpose and must be caught, first by events told by hand, then
- * by fleets whose clocks break what the safety rests on. */
+/* Tests of the checker: each safety property is violated on purpose and must be reported, first by events that the test
+ * passes to the checker itself, then by fleets whose clocks violate the assumptions that safety rests on. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,9 +11,10 @@
 
 #include "sim/timeline.h"
 
+/* What the checker's callbacks below return. */
 static int64_t now_ms;
-static bool stands_still;
-static Job job;
+static bool w1_frozen; /* the machine of worker w1 is frozen */
+static Job job;        /* the only job that is known, with id "j" */
 
 static int64_t test_now(void *arg)
 {
@@ -24,7 +25,7 @@
 static bool test_frozen(void *arg, const char *worker)
 {
     (void)arg;
-    return stands_still && strcmp(worker, "w1") == 0;
+    return w1_frozen && strcmp(worker, "w1") == 0;
 }
 
 static const Job *test_job(void *arg, const char *id)
@@ -39,10 +40,12 @@
     return 500000 + now_ms;
 }
 
-/* The numbers of the gang's members, the second step's tasks. */
+/* Task numbers of the gang's two members, which are the tasks of the second step. */
 #define FIRST TASK_NUMBER(0, 1, 0)
 #define SECOND TASK_NUMBER(0, 1, 1)
 
+/* A checker that knows job j (step one: one task of kind std; step two, after it: a gang of two) and the workers w1 and
+ * w2 of kind std and gpu of kind gpu. */
 static Checker *begin(void)
 {
     const CheckerSettings settings = {NULL, test_now, test_frozen, test_job, test_wall};
@@ -65,7 +68,7 @@
                 .tasks = tasks,
                 .tasks_count = 3};
     now_ms = 1000;
-    stands_still = false;
+    w1_frozen = false;
     for (int i = 1; i <= 3; i++) {
         const Worker worker = {.name = i == 1   ? "w1"
                                        : i == 2 ? "w2"
@@ -81,7 +84,8 @@
 
 static const Resources ONE = {1000, 10, 0};
 
-static void only(Checker *checker, Invariant invariant)
+/* Asserts that the invariant was violated and no other, and frees the checker. */
+static void broke_only(Checker *checker, Invariant invariant)
 {
     assert_true(checker_broken(checker, invariant) > 0);
     assert_int_equal(checker_broken_all(checker), checker_broken(checker, invariant));
@@ -89,93 +93,94 @@
     talloc_free(checker);
 }
 
-static void good(Checker *checker)
+/* Asserts that no invariant has been violated so far. */
+static void none_broke(Checker *checker)
 {
     assert_int_equal(checker_broken_all(checker), 0);
 }
 
-/* --- events told by hand: each safety property broken, and what is near to it and does not break --- */
+/* --- events passed by the test: violations of each property, and the nearest permitted sequences --- */
 
-/* Two leaders; forgetful disks, on which a lower term may follow. */
+/* Two leaders at once. On disks that lose synced data, a lower term may follow a higher one. */
 static void leaders(void **state)
 {
     (void)state;
     Checker *checker = begin();
-    checker_plans(checker, "a", 5), checker_plans(checker, "b", 6), checker_plans(checker, "b", 6), good(checker);
-    checker_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
+    checker_plans(checker, "a", 5), checker_plans(checker, "b", 6), checker_plans(checker, "b", 6), none_broke(checker);
+    checker_plans(checker, "a", 5), broke_only(checker, INVARIANT_TWO_LEADERS);
 
     checker = begin(), checker_plans(checker, "a", 5), checker_plans(checker, "b", 5),
-    only(checker, INVARIANT_TWO_LEADERS);
+    broke_only(checker, INVARIANT_TWO_LEADERS);
 
-    /* forgotten by the disks: a new lower term after the end of the higher one is
-     * no second leader, an old one that wakes is */
+    /* after disks lost data, a new lower term that begins once the process of the higher one has ended is no second
+     * leader; an old leader that resumes is */
     checker = begin(), checker_plans(checker, "a", 5), checker_plans(checker, "b", 7),
     checker_leader_gone(checker, "b"), checker_plans(checker, "c", 6);
-    good(checker), checker_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
+    none_broke(checker), checker_plans(checker, "a", 5), broke_only(checker, INVARIANT_TWO_LEADERS);
     checker = begin(), checker_plans(checker, "b", 7), checker_leader_gone(checker, "a"),
-    checker_plans(checker, "c", 6), only(checker, INVARIANT_TWO_LEADERS);
+    checker_plans(checker, "c", 6), broke_only(checker, INVARIANT_TWO_LEADERS);
 }
 
 static void running_twice(void **state)
 {
     (void)state;
     Checker *checker;
-    checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE), good(checker);
-    checker_started(checker, "w2", "j", 0, 2, ONE), only(checker, INVARIANT_TWICE);
+    checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE), none_broke(checker);
+    checker_started(checker, "w2", "j", 0, 2, ONE), broke_only(checker, INVARIANT_TWICE);
 
-    checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE), stands_still = true;
-    checker_started(checker, "w2", "j", 0, 2, ONE), good(checker);
-    stands_still = false, checker_worker_restarted(checker, "w1"), only(checker, INVARIANT_TWICE);
+    checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE), w1_frozen = true;
+    checker_started(checker, "w2", "j", 0, 2, ONE), none_broke(checker);
+    w1_frozen = false, checker_worker_restarted(checker, "w1"), broke_only(checker, INVARIANT_TWICE);
 
     checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE),
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE);
-    checker_known(checker, "w1", "j", 0, 1, ATTEMPT_DONE), good(checker);
-    checker_started(checker, "w2", "j", 0, 2, ONE), only(checker, INVARIANT_AFTER_FINISH);
+    checker_known(checker, "w1", "j", 0, 1, ATTEMPT_DONE), none_broke(checker);
+    checker_started(checker, "w2", "j", 0, 2, ONE), broke_only(checker, INVARIANT_AFTER_FINISH);
 }
 
 static void ends_of_jobs(void **state)
 {
     (void)state;
     Checker *checker;
-    checker = begin(), checker_accepted(checker, "j"), good(checker), checker_end(checker),
-    only(checker, INVARIANT_FORGOTTEN);
+    checker = begin(), checker_accepted(checker, "j"), none_broke(checker), checker_end(checker),
+    broke_only(checker, INVARIANT_FORGOTTEN);
     checker = begin(), checker_accepted(checker, "j"), checker_unknown(checker, "j"),
-    only(checker, INVARIANT_FORGOTTEN);
+    broke_only(checker, INVARIANT_FORGOTTEN);
     checker = begin(), checker_accepted(checker, "j"), checker_job_ended(checker, "j", "done"),
-    only(checker, INVARIANT_FORGOTTEN);
+    broke_only(checker, INVARIANT_FORGOTTEN);
 
-    /* one end of a gang stands for all of it; of other tasks for itself alone */
+    /* the end of one gang member counts for the whole gang, that of any other task only for itself */
     checker = begin(), checker_accepted(checker, "j"), checker_started(checker, "w1", "j", 0, 1, ONE),
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE);
     checker_started(checker, "w1", "j", FIRST, 1, ONE), checker_started(checker, "w2", "j", SECOND, 1, ONE);
     checker_ended(checker, "w1", "j", FIRST, 1, ATTEMPT_DONE),
         checker_ended(checker, "w2", "j", SECOND, 1, ATTEMPT_STOPPED);
-    checker_job_ended(checker, "j", "done"), good(checker);
+    checker_job_ended(checker, "j", "done"), none_broke(checker);
 
-    /* lasting work ends by a cancel alone */
+    /* a lasting job ends only by being cancelled */
     checker = begin(), job.spec.lasting = true, checker_accepted(checker, "j"),
-    checker_job_ended(checker, "j", "cancelled"), good(checker);
+    checker_job_ended(checker, "j", "cancelled"), none_broke(checker);
     checker = begin(), job.spec.lasting = true, checker_accepted(checker, "j"),
-    checker_job_ended(checker, "j", "failed"), only(checker, INVARIANT_FORGOTTEN);
+    checker_job_ended(checker, "j", "failed"), broke_only(checker, INVARIANT_FORGOTTEN);
 
     checker = begin(), checker_refused(checker, "x"), checker_started(checker, "w1", "x", 0, 1, ONE),
-    only(checker, INVARIANT_REFUSED_RAN);
+    broke_only(checker, INVARIANT_REFUSED_RAN);
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_refused(checker, "x"),
-    only(checker, INVARIANT_REFUSED_RAN);
+    broke_only(checker, INVARIANT_REFUSED_RAN);
 }
 
 static void fits_its_worker(void **state)
 {
     (void)state;
     Checker *checker;
-    checker = begin(), checker_started(checker, "w1", "j", FIRST, 1, ONE), only(checker, INVARIANT_TOO_EARLY);
+    checker = begin(), checker_started(checker, "w1", "j", FIRST, 1, ONE), broke_only(checker, INVARIANT_TOO_EARLY);
 
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, (Resources){2001, 1, 0}),
-    only(checker, INVARIANT_OVERPACKED);
+    broke_only(checker, INVARIANT_OVERPACKED);
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE),
     checker_started(checker, "w1", "x", 1, 1, (Resources){500, 95, 0});
-    only(checker, INVARIANT_OVERPACKED);
-    checker = begin(), checker_started(checker, "gpu", "j", 0, 1, ONE), only(checker, INVARIANT_OVERPACKED);
+    broke_only(checker, INVARIANT_OVERPACKED);
+    checker = begin(), checker_started(checker, "gpu", "j", 0, 1, ONE), broke_only(checker, INVARIANT_OVERPACKED);
 }
 
 static void stops(void **state)
@@ -183,128 +188,130 @@
     (void)state;
     Checker *checker;
     checker = begin(), checker_cancelled(checker, "x"), now_ms += 2900, checker_started(checker, "w1", "x", 0, 1, ONE),
-    good(checker);
-    now_ms += 200, checker_started(checker, "w1", "x", 1, 1, ONE), only(checker, INVARIANT_CANCELLED_RAN);
+    none_broke(checker);
+    now_ms += 200, checker_started(checker, "w1", "x", 1, 1, ONE), broke_only(checker, INVARIANT_CANCELLED_RAN);
 
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_cancelled(checker, "x"), now_ms += 3000,
-    checker_inspect(checker), good(checker);
-    now_ms += 1100, checker_inspect(checker), only(checker, INVARIANT_STOPPED_RAN);
-    /* a failure meanwhile: from when service must be back */
+    checker_inspect(checker), none_broke(checker);
+    now_ms += 1100, checker_inspect(checker), broke_only(checker, INVARIANT_STOPPED_RAN);
+    /* after a fault, the time limit starts when service must be restored */
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_cancelled(checker, "x"),
     checker_fault(checker), now_ms += 15000;
-    checker_inspect(checker), good(checker), now_ms += 1100, checker_inspect(checker),
-        only(checker, INVARIANT_STOPPED_RAN);
+    checker_inspect(checker), none_broke(checker), now_ms += 1100, checker_inspect(checker),
+        broke_only(checker, INVARIANT_STOPPED_RAN);
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_notified(checker, "w1", "x", 0, 1),
     now_ms += 400, checker_inspect(checker);
-    good(checker), now_ms += 200, checker_inspect(checker), only(checker, INVARIANT_STOPPED_RAN);
+    none_broke(checker), now_ms += 200, checker_inspect(checker), broke_only(checker, INVARIANT_STOPPED_RAN);
 }
 
 static void claims(void **state)
 {
     (void)state;
     Checker *checker;
-    /* claims: they outlive their worker, and end by a word of it or by lapsing */
+    /* a claim outlives its worker's process; it ends when the worker reports, or when it lapses */
     checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
     checker_worker_gone(checker, "w1");
-    now_ms += 3000, checker_started(checker, "w2", "x", 0, 2, ONE), good(checker);
+    now_ms += 3000, checker_started(checker, "w2", "x", 0, 2, ONE), none_broke(checker);
     checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
     checker_worker_gone(checker, "w1");
-    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), good(checker); /* a new boot */
+    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE),
+        none_broke(checker); /* a new process of the worker has reported */
     checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
     checker_worker_gone(checker, "w1");
     const Worker again = {.name = "w1", .zone = "z", .rack = "", .kind = "std", .resources = {2000, 100, 0}};
-    checker_worker(checker, &again); /* ... that says what it is */
-    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), good(checker);
+    checker_worker(checker, &again); /* a new process that describes itself before it reports */
+    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), none_broke(checker);
     checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
     checker_worker_gone(checker, "w1");
-    now_ms += 2900, checker_started(checker, "w2", "x", 0, 2, ONE), only(checker, INVARIANT_EARLY_RESTART);
+    now_ms += 2900, checker_started(checker, "w2", "x", 0, 2, ONE), broke_only(checker, INVARIANT_EARLY_RESTART);
     checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE);
     checker_ended(checker, "w1", "x", 0, 1, ATTEMPT_FAILED), checker_started(checker, "w2", "x", 0, 2, ONE),
-        good(checker);
-    checker = begin(), checker_held(checker, "w1", now_ms + 4100), only(checker, INVARIANT_EARLY_RESTART);
+        none_broke(checker);
+    checker = begin(), checker_held(checker, "w1", now_ms + 4100), broke_only(checker, INVARIANT_EARLY_RESTART);
 }
 
 static void due_times(void **state)
 {
     (void)state;
     Checker *checker;
-    /* due times and delays */
+    /* due times and delays of jobs */
     checker = begin(), checker_sent(checker, "j"), job.spec.delay_ms = 500, now_ms += 400,
     checker_started(checker, "w1", "j", 0, 1, ONE);
-    only(checker, INVARIANT_TOO_EARLY);
+    broke_only(checker, INVARIANT_TOO_EARLY);
     checker = begin(), checker_sent(checker, "j"), job.spec.delay_ms = 500, now_ms += 500,
-    checker_started(checker, "w1", "j", 0, 1, ONE), good(checker);
+    checker_started(checker, "w1", "j", 0, 1, ONE), none_broke(checker);
     checker = begin(), job.spec.due_wall_ms = 502000, checker_started(checker, "w1", "j", 0, 1, ONE),
-    only(checker, INVARIANT_TOO_EARLY);
+    broke_only(checker, INVARIANT_TOO_EARLY);
     checker = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checker_started(checker, "w1", "j", 0, 1, ONE),
-    good(checker);
+    none_broke(checker);
 
-    /* turns by their own due times */
+    /* due times of a job's turns */
     checker = begin(), job.spec.first_wall_ms = 502000, checker_started(checker, "w1", "j", 0, 1, ONE),
-    only(checker, INVARIANT_TOO_EARLY);
+    broke_only(checker, INVARIANT_TOO_EARLY);
     checker = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checker_started(checker, "w1", "j", 0, 1, ONE),
-    good(checker);
+    none_broke(checker);
 }
 
 static void configurations(void **state)
 {
     (void)state;
     Checker *checker;
-    /* configurations by their effect */
+    /* configurations are judged by their effect on tenants and quotas */
     checker = begin(), checker_tenant(checker, "g", TENANT_IN), now_ms += 2000,
-    checker_probe(checker, "g", now_ms, true), good(checker);
-    checker_probe(checker, "g", now_ms, false), only(checker, INVARIANT_CONFIG_LOST);
+    checker_probe(checker, "g", now_ms, true), none_broke(checker);
+    checker_probe(checker, "g", now_ms, false), broke_only(checker, INVARIANT_CONFIG_LOST);
     checker = begin(), checker_tenant(checker, "g", TENANT_IN), checker_tenant(checker, "g", TENANT_OUT),
     checker_probe(checker, "g", now_ms, true);
-    good(checker), now_ms += 2000, checker_probe(checker, "g", now_ms, true), only(checker, INVARIANT_CONFIG_LOST);
+    none_broke(checker), now_ms += 2000, checker_probe(checker, "g", now_ms, true),
+        broke_only(checker, INVARIANT_CONFIG_LOST);
     checker = begin(), checker_tenant(checker, "g", TENANT_IN), checker_tenant(checker, "g", TENANT_ASKED),
     now_ms += 2000;
-    checker_probe(checker, "g", now_ms, false), good(checker), checker_tenant(checker, "g", TENANT_REFUSED),
+    checker_probe(checker, "g", now_ms, false), none_broke(checker), checker_tenant(checker, "g", TENANT_REFUSED),
         checker_probe(checker, "g", now_ms, false);
-    only(checker, INVARIANT_CONFIG_LOST);
+    broke_only(checker, INVARIANT_CONFIG_LOST);
     checker = begin(), checker_tenant(checker, "n", TENANT_ASKED), checker_tenant(checker, "n", TENANT_REFUSED),
     checker_probe(checker, "n", now_ms, true);
-    only(checker, INVARIANT_REFUSED_CONFIG);
-    checker = begin(), checker_config_both(checker, 3), only(checker, INVARIANT_CONFIG_LOST);
+    broke_only(checker, INVARIANT_REFUSED_CONFIG);
+    checker = begin(), checker_config_both(checker, 3), broke_only(checker, INVARIANT_CONFIG_LOST);
     checker = begin(), checker_quota(checker, "t", (Resources){1000, 0, 0}, TENANT_IN),
     checker_started(checker, "w1", "j", 0, 1, ONE);
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE),
-        good(checker);
-    checker_started(checker, "w1", "j", SECOND, 1, ONE), only(checker, INVARIANT_OVER_QUOTA);
+        none_broke(checker);
+    checker_started(checker, "w1", "j", SECOND, 1, ONE), broke_only(checker, INVARIANT_OVER_QUOTA);
     checker = begin(), checker_quota(checker, "t", (Resources){2000, 0, 0}, TENANT_IN),
     checker_started(checker, "w1", "j", 0, 1, ONE);
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE);
     checker_quota(checker, "t", (Resources){1000, 0, 0}, TENANT_IN), now_ms += 1900,
-        checker_started(checker, "w1", "j", SECOND, 1, ONE), good(checker);
+        checker_started(checker, "w1", "j", SECOND, 1, ONE), none_broke(checker);
     checker_ended(checker, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200,
         checker_started(checker, "w1", "j", SECOND, 2, ONE);
-    only(checker, INVARIANT_OVER_QUOTA);
+    broke_only(checker, INVARIANT_OVER_QUOTA);
 
-    checker = begin(), checker_config_set(checker, 3), checker_config_read(checker, 3), good(checker),
+    checker = begin(), checker_config_set(checker, 3), checker_config_read(checker, 3), none_broke(checker),
     checker_config_read(checker, 2);
-    only(checker, INVARIANT_CONFIG_LOST);
+    broke_only(checker, INVARIANT_CONFIG_LOST);
     checker = begin(), checker_config_set(checker, 3), checker_config_set(checker, 3),
-    only(checker, INVARIANT_CONFIG_LOST);
+    broke_only(checker, INVARIANT_CONFIG_LOST);
 }
 
 static void service(void **state)
 {
     (void)state;
     Checker *checker;
-    /* service, at each entry by itself */
+    /* service must be restored at each entry point separately */
     checker = begin(), checker_served(checker, "g1", SERVE_ACCEPT), checker_served(checker, "g1", SERVE_STATUS),
     checker_fault(checker), now_ms += 12000;
     checker_served(checker, "g1", SERVE_ACCEPT), checker_served(checker, "g1", SERVE_STATUS),
-        checker_must_serve(checker, "g1"), good(checker);
+        checker_must_serve(checker, "g1"), none_broke(checker);
     assert_int_equal(checker_worst_ms(checker, SERVE_ACCEPT), 12000);
     checker_served(checker, "g2", SERVE_ACCEPT), checker_must_serve(checker, "g2"),
-        only(checker, INVARIANT_NOT_SERVING);
+        broke_only(checker, INVARIANT_NOT_SERVING);
     checker = begin(), checker_fault(checker), now_ms += 12001, checker_served(checker, "g1", SERVE_ACCEPT),
     checker_served(checker, "g1", SERVE_STATUS);
-    checker_must_serve(checker, "g1"), only(checker, INVARIANT_NOT_SERVING);
+    checker_must_serve(checker, "g1"), broke_only(checker, INVARIANT_NOT_SERVING);
     checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_fault(checker), now_ms += 12001,
     checker_must_start(checker);
-    only(checker, INVARIANT_NOT_SERVING);
+    broke_only(checker, INVARIANT_NOT_SERVING);
 }
 
 static void drains_and_gangs(void **state)
@@ -313,20 +320,22 @@
     Checker *checker;
     checker = begin(), checker_leaving(checker, "w1", true), now_ms += 2100,
     checker_started(checker, "w1", "x", 0, 1, ONE);
-    only(checker, INVARIANT_LEAVING_GIVEN);
+    broke_only(checker, INVARIANT_LEAVING_GIVEN);
     checker = begin(), checker_zone(checker, "z", true), now_ms += 5100, checker_started(checker, "w1", "x", 0, 1, ONE);
-    only(checker, INVARIANT_LEAVING_GIVEN);
+    broke_only(checker, INVARIANT_LEAVING_GIVEN);
 
     checker = begin(), checker_accepted(checker, "j"), checker_started(checker, "w1", "j", 0, 1, ONE);
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE);
-    now_ms += 5000, checker_inspect(checker), good(checker), now_ms += 20000, checker_inspect(checker),
-        only(checker, INVARIANT_GANG_SPLIT);
+    now_ms += 5000, checker_inspect(checker), none_broke(checker), now_ms += 20000, checker_inspect(checker),
+        broke_only(checker, INVARIANT_GANG_SPLIT);
 }
 
+/* The fleet of the timelines below. */
 static const FleetShape SHAPE
 = {3, 3, 11, MIX_TRENTVALE, 0};
 
-static void caught(const char *text, const char *words)
+/* Plays the timeline under several seeds; asserts that in one of them a property breaks whose message has words. */
+static void assert_caught(const char *text, const char *words)
 {
     char why[512];
     for (uint64_t seed = 1; seed <= 6; seed++)
@@ -337,28 +346,30 @@
     fail_msg("not caught: %s; last: %s", words, why);
 }
 
-/* A worker whose clock runs at a tenth of the true speed outlives its lease. */
+/* A worker whose clock runs at a tenth of the true speed keeps running tasks after its lease has lapsed, which the
+ * checker must report. */
 static void slow_clock_runs_twice(void **state)
 {
     (void)state;
-    caught("ms     worker1              agent1  callers\n"
-           "0      .                    .       call:20\n"
-           "3000   rate:10+cut>agent1   cut     .\n"
-           "15000  rate:100+join>agent1 join    .\n"
-           "20000  .                    .       end\n",
-           "running twice");
+    assert_caught("ms     worker1              agent1  callers\n"
+                  "0      .                    .       call:20\n"
+                  "3000   rate:10+cut>agent1   cut     .\n"
+                  "15000  rate:100+join>agent1 join    .\n"
+                  "20000  .                    .       end\n",
+                  "running twice");
 }
 
-/* Voters whose clocks run ten times too fast let a lease lapse that still runs. */
+/* Voters whose clocks run ten times too fast consider the leader's lease lapsed while the leader still holds it, which
+ * gives a second leader that the checker must report. */
 static void fast_voters_make_two_leaders(void **state)
 {
     (void)state;
-    caught("ms     leader  second     third      callers\n"
-           "0      .       .          .          call:10/1000\n"
-           "12000  rate:10 rate:1000  rate:1000  .\n"
-           "12001  cut     .          .          .\n"
-           "20000  .       .          .          .\n",
-           "two leaders");
+    assert_caught("ms     leader  second     third      callers\n"
+                  "0      .       .          .          call:10/1000\n"
+                  "12000  rate:10 rate:1000  rate:1000  .\n"
+                  "12001  cut     .          .          .\n"
+                  "20000  .       .          .          .\n",
+                  "two leaders");
 }
 
 int main(void)
--- a/packages/sim/test/config_bodies.c
+++ b/packages/sim/test/config_bodies.c
@@ -1,13 +1,14 @@
-/* Documents as operators send them: rejected ones, the largest, and those that entry points tell again. */
+/* Configuration documents as operators send them: rejected ones, the largest one, and one that entry points resend
+ * after the disks lost it. */
 #include <inttypes.h>
 
 #include "config_fixture.h"
 
-/* Requests in this order, each at another entry point, and what each is answered. */
+/* Requests in this order, sent to the entry points in turn, each with the expected status and a part of the body. */
 static const struct {
     const char *method, *path, *body;
     int code;
-    const char *words;
+    const char *expected;
 } CASES[] = {
     {"PATCH", "/v1/config?base=1&revision=7", "{\"note\":\"a\"}", 200, "{\"revision\":7}"},
     {"PATCH", "/v1/config?base=1&revision=7", "{\"note\":\"a\"}", 200, "{\"revision\":7}"},
@@ -46,7 +47,7 @@
     large[CONFIG_BODY_MAX + 1] = '\0';
     assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=9007199254740993", large).code,
                      413);
-    /* many patches that together are too large */
+    /* patches that make the document too large only together */
     int code = 200;
     for (int i = 0; i < CONFIG_BODY_MAX / 60000 + 12 && code == 200; i++) {
         char *note = talloc_size(mem, 60001);
@@ -60,8 +61,8 @@
     assert_int_equal(code, 413);
 }
 
-/* Versions that are not above, bases that are not in force, faults: refused, and
- * what was in force stays. */
+/* A version that is not above its base, a base that is not in force, or a malformed document is rejected, and the
+ * configuration in force stays. */
 static void refused(void **state)
 {
     (void)state;
@@ -71,7 +72,7 @@
         const HttpCall call =
             fleet_ask(fleet, mem, FLEET_ENTRY_POINT, (int)(i % 3), CASES[i].method, CASES[i].path, CASES[i].body);
         const char *text = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
-        if (call.code != CASES[i].code || strstr(text, CASES[i].words) == NULL)
+        if (call.code != CASES[i].code || strstr(text, CASES[i].expected) == NULL)
             fail_msg("%s %s %s: %d %s", CASES[i].method, CASES[i].path, CASES[i].body, call.code, text);
     }
     refused_as_too_large(fleet, mem);
@@ -79,8 +80,8 @@
     talloc_free(fleet);
 }
 
-/* A document of 900 KB and a change of it: taken, on all voters, through the death of
- * the leader and from the disks, as it was sent. */
+/* A document of 900 KB and a patch of it are accepted, and are read back as sent after leaders were killed and after
+ * all controllers lost power. */
 static void largest(void **state)
 {
     (void)state;
@@ -126,7 +127,8 @@
     talloc_free(fleet);
 }
 
-/* A document that an entry point does not take at once comes in a calm moment. */
+/* A large document, which entry points do not copy at once, is copied later, so that they can restore it when the disks
+ * have lost it. */
 static void large_repaired(void **state)
 {
     (void)state;
@@ -141,7 +143,7 @@
     assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1&revision=5", body).code,
                      200);
     fleet_run(fleet, 200);
-    for (int i = 0; i < 3; i++) { /* its number and limits are known at once */
+    for (int i = 0; i < 3; i++) { /* its version and limits are known at once */
         const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, i, "GET", "/metrics", NULL);
         assert_non_null(
             strstr(talloc_strndup(mem, (const char *)call.result.data, call.result.count), "config_revision 5\n"));
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -1,19 +1,20 @@
-/* Operators who name their versions: races, storms, and calls sent again after silence, through kills, freezes and
- * cuts of the leader and a loss of all disks. In virtual time. */
+/* Operators that choose the version numbers of their changes: races, many concurrent changes, and requests that are
+ * sent again after a time-out, while the leader is killed, frozen and cut off, and while all disks lose data. */
 #include <inttypes.h>
 #include <stdio.h>
 
 #include "config_fixture.h"
 #include "document/document.h"
 
-#define CHANGES 60 /* count; of each operator */
+#define CHANGES 60 /* count; changes that each operator sends */
 
-/* One change as its operator sees it. */
+/* A change as its operator sees it. */
 typedef struct Change {
     uint64_t base, version;
     const char *method, *body;
-    char marker[40];
-    int tries, code; /* code: the first clear answer; 0: none */
+    char marker[40]; /* text in the document that identifies the change */
+    int tries;       /* how often it was sent */
+    int code;        /* the first definite HTTP status; 0: none */
 } Change;
 
 typedef struct Operator {
@@ -21,8 +22,9 @@
     int number;
     Change changes[CHANGES];
     size_t count;
-    uint64_t believed; /* the newest version that it knows of */
-    bool stop, done;
+    uint64_t known_version; /* the newest version that it knows of */
+    bool stop;              /* set by the test: sends nothing more */
+    bool done;              /* has ended */
 } Operator;
 
 static const char *path_of(void *mem, const Change *change)
@@ -30,7 +32,7 @@
     return talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, change->base, change->version);
 }
 
-/* Sends until an answer is clear, unchanged, at one entry point after the other. */
+/* Sends the same request to the entry points in turn until the response is definite. */
 static void change_send(Operator *operator, Change * change)
 {
     Fleet *fleet = operator->fleet;
@@ -42,7 +44,7 @@
             .address = fleet_node(fleet, FLEET_ENTRY_POINT, (operator->number + change->tries) % 3)->settings.http,
             .method = change->method,
             .path = path_of(mem, change),
-            .wait_ms = 1000}; /* a second of silence is given up on */
+            .wait_ms = 1000}; /* time-out of one try */
         bytes_add(mem, &call.body, change->body, strlen(change->body));
         const Status status = loop_call(loop, &call);
         const uint64_t reported =
@@ -50,8 +52,8 @@
         change->code = status == STATUS_OK && call.code < 500 ? call.code : 0;
         if (change->code == 200)
             assert_int_equal(reported, change->version);
-        if (change->code != 0 && reported > operator->believed)
-            operator->believed = reported;
+        if (change->code != 0 && reported > operator->known_version)
+            operator->known_version = reported;
         talloc_free(mem);
         if (change->code != 0)
             return;
@@ -59,8 +61,9 @@
     }
 }
 
-/* Every other change is a whole document: the one in force with one thing changed. */
-static const char *whole_body(Operator *operator, const Change * change)
+/* A complete document with the change: the base version, read back, with the marker as its note. Null when it cannot be
+ * read. Half of the changes are sent like this. */
+static const char *full_document(Operator *operator, const Change * change)
 {
     Fleet *fleet = operator->fleet;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
@@ -86,18 +89,19 @@
     return body;
 }
 
-static void operate_main(void *arg)
+/* The task of an operator: sends CHANGES changes, each based on the newest version that it knows of. */
+static void operator_main(void *arg)
 {
     Operator *operator= arg;
     Loop *loop = sim_loop(operator->fleet->world, operator->fleet->caller);
     while (operator->count<CHANGES && !operator->stop) {
         Change *change = &operator->changes[operator->count];
         snprintf(change->marker, sizeof(change->marker), "o%d-%zu", operator->number, operator->count);
-        change->base = operator->believed;
+        change->base = operator->known_version;
         change->version = change->base + 1 + loop_random(loop) % 4;
         change->method = "PATCH";
         change->body = NULL;
-        if (loop_random(loop) % 2 == 0 && (change->body = whole_body(operator, change)) != NULL)
+        if (loop_random(loop) % 2 == 0 && (change->body = full_document(operator, change)) != NULL)
             change->method = "PUT";
         if (change->body == NULL)
             change->body = talloc_asprintf(operator->fleet, "{\"note\":\"%s\"}", change->marker);
@@ -108,19 +112,20 @@
     operator->done = true;
 }
 
-static Operator *operate(Fleet *fleet, int operators)
+/* Starts the operators; the result is an array of them that belongs to the fleet. */
+static Operator *start_operators(Fleet *fleet, int operators)
 {
     Operator *all = talloc_zero_array(fleet, Operator, (unsigned)operators);
     for (int i = 0; i < operators; i++) {
         all[i].fleet = fleet;
         all[i].number = i;
-        all[i].believed = 1;
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operate_main, &all[i]);
+        all[i].known_version = 1;
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operator_main, &all[i]);
     }
     return all;
 }
 
-/* The marker of a version as it is read back; "" when it can't be. */
+/* The marker of a version as it is read back; "" when the version cannot be read. */
 static const char *marker_at(Fleet *fleet, void *mem, uint64_t version)
 {
     const char *path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, version);
@@ -132,13 +137,13 @@
     return at != NULL ? talloc_strndup(mem, at + 8, strcspn(at + 8, "\"")) : "";
 }
 
-/* After the storm: each acknowledged change is in the history under its number
- * and is acknowledged again, no refused one is anywhere, no two that were
- * acknowledged built on one base, none is lost. */
-static void judge(Fleet *fleet, const Operator *all, int operators)
+/* Asserts that each acknowledged change is in the history under its version and is acknowledged again when it is
+ * resent, that no rejected change is in the history, that no two acknowledged changes have the same base, and that the
+ * newest version is not below any acknowledged one. */
+static void assert_history(Fleet *fleet, const Operator *all, int operators)
 {
     void *mem = talloc_new(fleet);
-    size_t taken = 0, refused = 0, silent = 0, again = 0;
+    size_t accepted = 0, rejected = 0, unanswered = 0, again = 0;
     uint64_t highest = 0;
     bool *bases = talloc_zero_array(mem, bool, 100000);
     for (int i = 0; i < operators; i++)
@@ -146,7 +151,7 @@
             const Change *change = &all[i].changes[k];
             again += change->tries > 1;
             if (change->code == 200) {
-                taken++;
+                accepted++;
                 assert_true(change->version < 100000 && !bases[change->base]);
                 bases[change->base] = true;
                 highest = change->version > highest ? change->version : highest;
@@ -157,24 +162,25 @@
                 assert_int_equal(number_in(&call, mem, "\"revision\":"), change->version);
             } else if (change->code != 0) {
                 assert_int_equal(change->code, 409);
-                refused++;
+                rejected++;
                 assert_string_not_equal(marker_at(fleet, mem, change->version), change->marker);
             } else {
-                silent++;
+                unanswered++;
             }
         }
     const HttpCall newest = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
     assert_int_equal(newest.code, 200);
     assert_true(number_in(&newest, mem, "\"revision\":") >= highest);
-    print_message("%zu taken, %zu refused, %zu without an answer; %zu sent more than once\n", taken, refused, silent,
-                  again);
-    assert_true(taken > 20 && refused > 5 && silent <= (size_t)operators);
+    print_message("%zu accepted, %zu rejected, %zu without an answer; %zu sent more than once\n", accepted, rejected,
+                  unanswered, again);
+    assert_true(accepted > 20 && rejected > 5 && unanswered <= (size_t)operators);
     if (checker_broken_all(fleet->checker) > 0)
         fail_msg("%s", checker_first(fleet->checker));
     talloc_free(mem);
 }
 
-static void wait(Fleet *fleet, Operator *all, int operators)
+/* Runs until all operators have ended, then stops those that have not. */
+static void wait_for_operators(Fleet *fleet, Operator *all, int operators)
 {
     for (int i = 0; i < operators; i++)
         for (int turns = 0; !all[i].done && turns < 600; turns++)
@@ -184,13 +190,13 @@
     fleet_run(fleet, 5000);
 }
 
-/* The leader is killed, frozen and cut off in turn while three operators send. */
+/* Three operators send changes while the leader is killed, frozen and cut off in turn. */
 static void storm(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 3; seed++) {
         Fleet *fleet = begin(40 + seed);
-        Operator *all = operate(fleet, 3);
+        Operator *all = start_operators(fleet, 3);
         for (int i = 0; i < 6; i++) {
             fleet_run(fleet, 1500 + (int64_t)seed * 130);
             const int leader = fleet_leader(fleet);
@@ -210,13 +216,14 @@
                 fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
             fleet_run(fleet, 3000);
         }
-        wait(fleet, all, 3);
-        judge(fleet, all, 3);
+        wait_for_operators(fleet, all, 3);
+        assert_history(fleet, all, 3);
         talloc_free(fleet);
     }
 }
 
-static void send_main(void *arg)
+/* The task of an operator that sends its first change only. */
+static void send_one_main(void *arg)
 {
     Operator *operator= arg;
     operator->count = 1;
@@ -224,14 +231,14 @@
     operator->done = true;
 }
 
-/* Two on one base at the same moment, with one and the same number: one wins, and
- * each hears the same when it asks again. */
+/* Two operators send changes of the same base with the same version at the same moment: exactly one is accepted, and
+ * each operator gets the same response when it sends its change again. */
 static void races(void **state)
 {
     (void)state;
     Fleet *fleet = begin(51);
     uint64_t base = 1;
-    size_t firsts = 0;
+    size_t first_wins = 0;
     for (int i = 0; i < 40; i++) {
         Operator *pair = talloc_zero_array(fleet, Operator, 2);
         for (int k = 0; k < 2; k++) {
@@ -241,13 +248,13 @@
             *change = (Change){.base = base, .version = base + 2, .method = "PATCH"};
             snprintf(change->marker, sizeof(change->marker), "r%d-%d", i, k);
             change->body = talloc_asprintf(fleet, "{\"note\":\"%s\"}", change->marker);
-            loop_spawn(sim_loop(fleet->world, fleet->caller), "racer", send_main, &pair[k]);
+            loop_spawn(sim_loop(fleet->world, fleet->caller), "racer", send_one_main, &pair[k]);
         }
         while (!pair[0].done || !pair[1].done)
             fleet_run(fleet, 5);
         const int a = pair[0].changes[0].code, b = pair[1].changes[0].code;
         assert_true((a == 200 && b == 409) || (a == 409 && b == 200));
-        firsts += a == 200;
+        first_wins += a == 200;
         void *mem = talloc_new(fleet);
         assert_string_equal(marker_at(fleet, mem, base + 2), pair[a == 200 ? 0 : 1].changes[0].marker);
         talloc_free(mem);
@@ -259,12 +266,12 @@
         }
         base += 2;
     }
-    print_message("the first of the pair won %zu of 40\n", firsts);
+    print_message("the first of the pair won %zu of 40\n", first_wins);
     talloc_free(fleet);
 }
 
-/* Disks that lose hours of what they acknowledged: the entry points have the document and
- * all that was changed of it since, also what was changed long ago. */
+/* All disks lose what they acknowledged: the entry points restore the document with all changes since, including those
+ * that are older than REPAIR_KEEP_MS. */
 static void repaired_again(void **state)
 {
     (void)state;
@@ -281,7 +288,8 @@
         base += 3;
         fleet_run(fleet, i == 15 ? REPAIR_KEEP_MS + 10000 : 200);
     }
-    fleet_run(fleet, REPAIR_KEEP_MS + 10000); /* the calls themselves are remembered no more */
+    fleet_run(fleet,
+              REPAIR_KEEP_MS + 10000); /* by now the requests themselves have been dropped from the repair buffers */
     const HttpCall before = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     checker_fault(fleet->checker);
     case_power_cycle(fleet);
@@ -289,7 +297,7 @@
     const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(after.code, 200);
     assert_true(bytes_equal(before.result, after.result));
-    /* the last call, sent again, is known from what was told */
+    /* the last request, sent again, is recognized from the restored document */
     const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base - 3, base);
     assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path,
                                "{\"note\":\"t19\",\"cells\":{\"x4\":{\"share\":20}}}")
--- a/packages/sim/test/controller_set.h
+++ b/packages/sim/test/controller_set.h
@@ -1,23 +1,27 @@
 #ifndef SIM_TEST_CONTROLLER_SET_H
 #define SIM_TEST_CONTROLLER_SET_H
 
-/* Three controllers whose disks keep what they have synced, looked at from inside. */
+/* Fixture of tests that read the replication state of controllers directly: a fleet of three controllers whose disks
+ * keep everything that they have synced. */
 #include "inside.h"
 #include "sim/fleet.h"
 
-#define FILLER 60000 /* number of a change that no state knows: it is kept in the log and does nothing */
+#define UNKNOWN_CHANGE \
+    60000 /* number of a change that the state does not know: it is kept in the log and has no effect */
 
 static inline Replication *replication_of(Fleet *fleet, int controller)
 {
     return controller_replication(fleet_node(fleet, FLEET_CONTROLLER, controller)->controller);
 }
 
+/* Whether the controller's process runs and has finished its start. */
 static inline bool runs(Fleet *fleet, int controller)
 {
     const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
     return node->up && node->controller != NULL && sim_alive(fleet->world, node->machine);
 }
 
+/* A fleet with a leader and its configuration. */
 static inline Fleet *begin(uint64_t seed)
 {
     const FleetSite site = {.zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = true, .disks_keep = true};
@@ -27,6 +31,8 @@
     return fleet;
 }
 
+/* Submits count changes of the given payload size to the leader, without waiting for their commit. Does nothing when
+ * there is no leader. */
 static inline void offer(Fleet *fleet, int count, size_t bytes)
 {
     const int leader = fleet_leader(fleet);
@@ -36,10 +42,11 @@
     const Bytes payload = {talloc_zero_size(mem, bytes + 1), bytes, 0};
     for (int i = 0; i < count; i++)
         if (replication_leading(replication_of(fleet, leader)))
-            replication_submit_async(replication_of(fleet, leader), FILLER, payload);
+            replication_submit_async(replication_of(fleet, leader), UNKNOWN_CHANGE, payload);
     talloc_free(mem);
 }
 
+/* Whether the leader's list of voters has the controller's disk. */
 static inline bool is_voter(Fleet *fleet, int controller)
 {
     const int leader = fleet_leader(fleet);
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -1,6 +1,6 @@
-/* Crowds: the urgent class alone and while large, bulk and impossible jobs pour
- * in together; storms of configurations through the leader's death. In virtual
- * time, so that the figures are the same each time. */
+/* Overload: start delays of urgent jobs alone and while bulk jobs and jobs that no worker can run are submitted as
+ * well, and many concurrent configuration changes while the leader is killed. Virtual time makes the figures
+ * reproducible. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,13 +13,14 @@
 
 #include "fleet_fixture.h"
 
-static int order(const void *a, const void *b)
+/* Comparison function of qsort() for int64_t. */
+static int compare_spans(const void *a, const void *b)
 {
     const int64_t one = *(const int64_t *)a, other = *(const int64_t *)b;
     return one < other ? -1 : one > other;
 }
 
-/* p50 and p99 of accepted to started, of the urgent class, in log time. */
+/* Median and 99th percentile of the time from acceptance to start of urgent jobs, in ms of the log's time. */
 static void urgent_spans(const Fleet *fleet, const char *name, int64_t *p50, int64_t *p99)
 {
     int64_t spans[4000];
@@ -32,7 +33,7 @@
         spans[count++] = job->tasks[0].started_ms - job->accepted_ms;
     }
     assert_true(count > 100);
-    qsort(spans, count, sizeof(*spans), order);
+    qsort(spans, count, sizeof(*spans), compare_spans);
     *p50 = spans[count / 2];
     *p99 = spans[count * 99 / 100];
 }
@@ -42,20 +43,24 @@
     return case_begin(21, (FleetShape){3, 3, 11, mix, 0});
 }
 
-typedef struct Pouring {
+/* The background load, and how many of its jobs got which response. */
+typedef struct BackgroundLoad {
     Fleet *fleet;
     bool stop;
-    size_t refused, taken, back, other;
-} Pouring;
+    size_t rejected;           /* invalid: no worker can run them */
+    size_t accepted;           /* 201 */
+    size_t retry_later, other; /* retry_later: 503 with Retry-After */
+} BackgroundLoad;
 
-/* Fifty impossible jobs a second and five of bulk, from the same machine. */
-static void pour_main(void *arg)
+/* The task of the background load: each second about fifty jobs that no worker can run and five bulk jobs, from the
+ * same machine as the urgent ones. */
+static void background_load_main(void *arg)
 {
-    Pouring *pouring = arg;
-    Fleet *fleet = pouring->fleet;
+    BackgroundLoad *load = arg;
+    Fleet *fleet = load->fleet;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     const bool trentvale = fleet->shape.mix == MIX_TRENTVALE;
-    for (int i = 0; !pouring->stop; i++) {
+    for (int i = 0; !load->stop; i++) {
         void *mem = talloc_new(loop);
         const bool bulk = i % 11 == 0;
         HttpCall call = {.mem = mem,
@@ -72,46 +77,47 @@
         bytes_add(mem, &call.body, body, strlen(body));
         const Status status = loop_call(loop, &call);
         if (status == STATUS_OK && call.code == 201)
-            pouring->taken++;
+            load->accepted++;
         else if (status == STATUS_OK && call.code == 422)
-            pouring->refused++;
+            load->rejected++;
         else if (status == STATUS_OK && call.code == 503 && call.retry_after_s > 0)
-            pouring->back++;
+            load->retry_later++;
         else
-            pouring->other++;
+            load->other++;
         talloc_free(mem);
         loop_sleep(loop, 18);
     }
 }
 
-static void crowd_of(Mix mix)
+/* Guards against background load delaying urgent jobs: measures their start delays without it and with it. */
+static void assert_urgent_not_delayed(Mix mix)
 {
     int64_t p50[2], p99[2];
-    for (int with = 0; with < 2; with++) {
+    for (int with_load = 0; with_load < 2; with_load++) {
         Fleet *fleet = begin(mix);
-        Pouring *pouring = talloc_zero(fleet, Pouring);
-        pouring->fleet = fleet;
-        if (with)
-            loop_spawn(sim_loop(fleet->world, fleet->caller), "pour", pour_main, pouring);
-        fleet_run(fleet, with ? 15000 : 1000); /* by now the fleet is full */
+        BackgroundLoad *load = talloc_zero(fleet, BackgroundLoad);
+        load->fleet = fleet;
+        if (with_load)
+            loop_spawn(sim_loop(fleet->world, fleet->caller), "pour", background_load_main, load);
+        fleet_run(fleet, with_load ? 15000 : 1000); /* with the background load the fleet is full by then */
         fleet_call(fleet, "u", 10000, 30000);
         fleet_run(fleet, 40000);
-        pouring->stop = true;
-        if (with) {
-            print_message("%s: poured: %zu taken, %zu refused, %zu told to come back, %zu other; ", mix_word(mix),
-                          pouring->taken, pouring->refused, pouring->back, pouring->other);
-            assert_true(pouring->refused > 1000 && pouring->taken > 50);
-            assert_int_equal(pouring->other, 0);
+        load->stop = true;
+        if (with_load) {
+            print_message("%s: background load: %zu accepted, %zu rejected, %zu told to retry later, %zu other; ",
+                          mix_word(mix), load->accepted, load->rejected, load->retry_later, load->other);
+            assert_true(load->rejected > 1000 && load->accepted > 50);
+            assert_int_equal(load->other, 0);
         }
         fleet_run(fleet, 60000);
-        urgent_spans(fleet, "u", &p50[with], &p99[with]);
+        urgent_spans(fleet, "u", &p50[with_load], &p99[with_load]);
         if (checker_broken_all(fleet->checker) > 0)
             fail_msg("%s", checker_first(fleet->checker));
         talloc_free(fleet);
     }
-    print_message("urgent alone p50 %d p99 %d ms, in the crowd %d and %d ms\n", (int)p50[0], (int)p99[0], (int)p50[1],
-                  (int)p99[1]);
-    /* a place is free soon when several hundred tasks of 3 s run: urgent work takes it first */
+    print_message("urgent jobs alone: p50 %d ms, p99 %d ms; under load: %d and %d ms\n", (int)p50[0], (int)p99[0],
+                  (int)p50[1], (int)p99[1]);
+    /* while several hundred tasks of 3 s run, capacity frees up soon, and urgent jobs take it first */
     assert_true(p50[1] < p50[0] + 100);
     assert_true(p99[1] < p99[0] + 1000);
 }
@@ -119,26 +125,28 @@
 static void trentvale(void **state)
 {
     (void)state;
-    crowd_of(MIX_TRENTVALE);
+    assert_urgent_not_delayed(MIX_TRENTVALE);
 }
 
 static void atlas(void **state)
 {
     (void)state;
-    crowd_of(MIX_ATLAS);
+    assert_urgent_not_delayed(MIX_ATLAS);
 }
 
 /* --- configurations ------------------------------------------------------------------- */
 
+/* An operator, and the versions that were acknowledged to it. */
 typedef struct Operator {
     Fleet *fleet;
     int number;
     uint64_t acknowledged[200];
-    size_t count, stale;
+    size_t count; /* of acknowledged */
+    size_t stale; /* changes that were rejected because their base was no longer in force */
     bool done;
 } Operator;
 
-/* Patches on whatever version it last saw, at one entry point; races with the others. */
+/* The task of an operator: sends patches based on the version that it last saw, always to the same entry point. */
 static void operate_main(void *arg)
 {
     Operator *operator= arg;
@@ -169,6 +177,8 @@
     operator->done = true;
 }
 
+/* Five operators patch the configuration at once while the leader is killed: no version may be acknowledged twice, and
+ * each acknowledged change must be in the history. */
 static void config_storm(void **state)
 {
     (void)state;
@@ -191,16 +201,16 @@
         for (size_t k = 0; k < operators[i].count; k++) {
             const uint64_t version = operators[i].acknowledged[k];
             assert_true(version < 1000);
-            assert_false(seen[version]); /* no two were given the same */
+            assert_false(seen[version]); /* no version is acknowledged twice */
             seen[version] = true;
             highest = version > highest ? version : highest;
         }
     }
-    print_message("%zu acknowledged, %zu refused as stale\n", acknowledged, stale);
+    print_message("%zu acknowledged, %zu rejected as stale\n", acknowledged, stale);
     assert_true(acknowledged > 30 && stale > 20);
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/config", NULL);
     assert_true(strtoull((const char *)call.result.data + strlen("{\"revision\":"), NULL, 10) >= highest);
-    /* each acknowledged one is in the history as it was sent */
+    /* each acknowledged change is in the history */
     for (int i = 0; i < 5; i++)
         for (size_t k = 0; k < operators[i].count; k++) {
             char path[64], cell[24];
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -1,5 +1,5 @@
-/* The state on disk: what a journal held comes back the same, whatever ended the process;
- * what is not whole counts for nothing; what is committed is never dropped. */
+/* The state on disk: a restarted controller has everything that its journal had synced, however its process ended; a
+ * damaged journal counts as an empty disk; committed entries are never dropped. */
 #include <inttypes.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,51 +12,55 @@
 
 #include "controller_set.h"
 
-/* --- what was held comes back ------------------------------------------------------ */
+/* --- synced state is restored ---------------------------------------------------------- */
 
-/* The log as the journal has it, all of it synced. */
-typedef struct Held {
-    bool known;
+/* The log as an idle journal has it: all of it is synced. */
+typedef struct JournalState {
+    bool known; /* false: the journal was not idle, and the other fields are not set */
     uint64_t base_index, last_index;
-    uint64_t *terms; /* of base_index + 1 on */
-    uint64_t promised, list_index;
-} Held;
+    uint64_t *terms;     /* of the entries from base_index + 1 on */
+    uint64_t promised;   /* the highest term that was promised */
+    uint64_t list_index; /* the entry with the latest list of voters; 0: it is not in the journal yet */
+} JournalState;
 
-static Held held_of(Fleet *fleet, int controller)
+static JournalState journal_state_of(Fleet *fleet, int controller)
 {
     const Replication *replication = replication_of(fleet, controller);
-    Held held = {0};
+    JournalState journal_state = {0};
     if (journal_sync_since(replication->journal) != INT64_MAX || journal_failed(replication->journal) ||
         replication->compacting)
-        return held;
-    held.known = true;
-    held.base_index = replication->log->base_index;
-    held.last_index = replication->queued_index;
-    held.promised = replication->lock.promised;
-    held.list_index = replication->list_index <= held.last_index ? replication->list_index : 0;
-    held.terms = talloc_zero_array(fleet, uint64_t, (unsigned)(held.last_index - held.base_index + 1));
-    for (uint64_t i = held.base_index + 1; i <= held.last_index; i++)
-        held.terms[i - held.base_index - 1] = log_at(replication->log, i)->term;
-    return held;
+        return journal_state;
+    journal_state.known = true;
+    journal_state.base_index = replication->log->base_index;
+    journal_state.last_index = replication->queued_index;
+    journal_state.promised = replication->lock.promised;
+    journal_state.list_index = replication->list_index <= journal_state.last_index ? replication->list_index : 0;
+    journal_state.terms =
+        talloc_zero_array(fleet, uint64_t, (unsigned)(journal_state.last_index - journal_state.base_index + 1));
+    for (uint64_t i = journal_state.base_index + 1; i <= journal_state.last_index; i++)
+        journal_state.terms[i - journal_state.base_index - 1] = log_at(replication->log, i)->term;
+    return journal_state;
 }
 
-static void assert_back(Fleet *fleet, int controller, const Held *held)
+/* Asserts that the controller has everything that the state has; later entries may have been added. */
+static void assert_restored(Fleet *fleet, int controller, const JournalState *expected)
 {
     const Replication *replication = replication_of(fleet, controller);
-    if (!held->known)
+    if (!expected->known)
         return;
-    assert_true(log_last_index(replication->log) >= held->last_index);
-    assert_true(replication->lock.promised >= held->promised);
-    assert_true(replication->list_index >= held->list_index);
-    for (uint64_t i = held->base_index + 1; i <= held->last_index; i++)
+    assert_true(log_last_index(replication->log) >= expected->last_index);
+    assert_true(replication->lock.promised >= expected->promised);
+    assert_true(replication->list_index >= expected->list_index);
+    for (uint64_t i = expected->base_index + 1; i <= expected->last_index; i++)
         if (i > replication->log->base_index)
-            assert_int_equal(log_at(replication->log, i)->term, held->terms[i - held->base_index - 1]);
+            assert_int_equal(log_at(replication->log, i)->term, expected->terms[i - expected->base_index - 1]);
 }
 
-/* Ends the controller and starts it again where nobody reaches it: its log is that of its disk. */
+/* Ends the controller's process and starts it again while it is isolated, so that its log comes from its disk alone.
+ * power: by a loss of power instead of a kill. */
 static void restart(Fleet *fleet, int controller, bool power)
 {
-    const Held held = held_of(fleet, controller);
+    const JournalState expected = journal_state_of(fleet, controller);
     if (power)
         fleet_power_off(fleet, FLEET_CONTROLLER, controller);
     else
@@ -67,11 +71,12 @@
     for (int i = 0; i < 100 && !runs(fleet, controller); i++)
         fleet_run(fleet, 10);
     assert_true(runs(fleet, controller));
-    assert_back(fleet, controller, &held);
+    assert_restored(fleet, controller, &expected);
     fleet_isolate(fleet, FLEET_CONTROLLER, controller, false);
 }
 
-static void strike_any(Fleet *fleet, bool *cut)
+/* Injects a random fault into a random controller, or submits changes. cut: which controllers are isolated. */
+static void inject_random_fault(Fleet *fleet, bool *cut)
 {
     SimWorld *world = fleet->world;
     const int controller = (int)(sim_random(world) % 3);
@@ -98,8 +103,8 @@
     }
 }
 
-/* Restarts, losses of power, cuts, slow disks and snapshots at any moment: what an idle
- * journal held is what the next process has. */
+/* Restarts, losses of power, isolation, slow disks and snapshots at random moments: the next process must have
+ * everything that an idle journal had. */
 static void comes_back(void **state)
 {
     (void)state;
@@ -107,7 +112,7 @@
         Fleet *fleet = begin(seed);
         bool cut[3] = {false};
         for (int step = 0; step < 150; step++) {
-            strike_any(fleet, cut);
+            inject_random_fault(fleet, cut);
             fleet_run(fleet, (int64_t)(sim_random(fleet->world) % 300));
         }
         if (checker_broken_all(fleet->checker) > 0)
@@ -116,9 +121,9 @@
     }
 }
 
-/* A leader whose disk is slow orders what its journal has not been given yet, makes a
- * snapshot, and is cut off at once; the others go on without those entries. When it is
- * back and has what they have, its disk must say so too. */
+/* A leader with a slow disk appends entries that its journal has not been given yet, makes a snapshot, and is isolated
+ * at once; the others go on without those entries. After it has rejoined and reported the others' log as its own, its
+ * disk must have that log too. */
 static void snapshot_then_trimmed(void **state)
 {
     (void)state;
@@ -126,7 +131,7 @@
         Fleet *fleet = begin(seed);
         const int leader = fleet_leader(fleet);
         const int machine = fleet_node(fleet, FLEET_CONTROLLER, leader)->machine;
-        sim_disk_slow(fleet->world, machine, 2500); /* longer than the lock is held */
+        sim_disk_slow(fleet->world, machine, 2500); /* longer than the lock's lease */
         offer(fleet, 3, 10);
         fleet_run(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
@@ -147,22 +152,23 @@
     }
 }
 
-/* --- what may never be taken -------------------------------------------------------- */
+/* --- requests that a voter must reject ----------------------------------------------------- */
 
-typedef struct Orders {
+/* Two requests that would drop a committed entry, and their results. */
+typedef struct ConflictingRequests {
     Replication *replication;
     Status replaced, appended;
     bool done;
-} Orders;
+} ConflictingRequests;
 
-/* As some leader would that has not what a majority has committed. */
-static void orders_main(void *arg)
+/* Sends what a leader would that lacks an entry that a majority has committed. */
+static void conflicting_requests_main(void *arg)
 {
-    Orders *orders = arg;
-    Replication *replication = orders->replication;
+    ConflictingRequests *requests = arg;
+    Replication *replication = requests->replication;
     const uint64_t index = replication->commit_index;
     const Record older = {.kind = RECORD_SNAPSHOT, .term = replication->log->base_term, .index = index - 1, .name = ""};
-    orders->replaced = log_replace_all(replication, &older, NULL, 0);
+    requests->replaced = log_replace_all(replication, &older, NULL, 0);
     Record other = *log_at(replication->log, index);
     AppendAsk ask = {.term = replication->lock.promised + 100,
                      .holder = replication->disk + 1,
@@ -171,11 +177,11 @@
                      .entries = &other,
                      .entries_count = 1};
     other.term = ask.term;
-    orders->appended = voter_append(replication, &ask);
-    orders->done = true;
+    requests->appended = voter_append(replication, &ask);
+    requests->done = true;
 }
 
-/* An order to drop what is committed is refused and counted; the log stays. */
+/* A request to drop a committed entry is rejected, counted and recorded; the log does not change. */
 static void committed_stays(void **state)
 {
     (void)state;
@@ -185,14 +191,14 @@
     fleet_run(fleet, 1000);
     Replication *replication = replication_of(fleet, controller);
     const uint64_t index = replication->commit_index, term = log_at(replication->log, index)->term;
-    Orders orders = {.replication = replication};
+    ConflictingRequests requests = {.replication = replication};
     fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
-    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine), "orders", orders_main,
-               &orders);
+    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine), "orders",
+               conflicting_requests_main, &requests);
     fleet_run(fleet, 200);
-    assert_true(orders.done);
-    assert_int_equal(orders.replaced, STATUS_OTHER_HISTORY);
-    assert_int_equal(orders.appended, STATUS_OTHER_HISTORY);
+    assert_true(requests.done);
+    assert_int_equal(requests.replaced, STATUS_OTHER_HISTORY);
+    assert_int_equal(requests.appended, STATUS_OTHER_HISTORY);
     assert_int_equal(replication->commit_index, index);
     assert_int_equal(log_at(replication->log, index)->term, term);
     ReplicationStatus reach;
@@ -203,8 +209,7 @@
     talloc_free(fleet);
 }
 
-/* A log whose list of voters is older than one that is known to be committed: neither
- * votes nor leads, whoever asks. */
+/* A controller whose log has an older list of voters than one that is known to be committed neither votes nor leads. */
 static void old_list_votes_not(void **state)
 {
     (void)state;
@@ -215,8 +220,8 @@
     fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
     fleet_run(fleet, 3000);
     const uint64_t list_index = replication->list_index;
-    for (uint64_t i = list_index; i <= log_last_index(replication->log); i++) /* as a disk would that lost the entry */
-        replication->log->entries[i - replication->log->base_index - 1].change = FILLER;
+    for (uint64_t i = list_index; i <= log_last_index(replication->log); i++) /* as if the disk had lost the entry */
+        replication->log->entries[i - replication->log->base_index - 1].change = UNKNOWN_CHANGE;
     voters_reload(replication);
     assert_true(replication->list_index < list_index && replication_disk_failed(replication));
     fleet_run(fleet, 10000);
@@ -226,18 +231,19 @@
     talloc_free(fleet);
 }
 
-/* --- a disk that is not whole ---------------------------------------------------- */
+/* --- damaged journals ------------------------------------------------------------------- */
 
-static void spoil(Fleet *fleet, int controller)
+/* Flips a bit in the middle of the controller's journal. */
+static void damage_journal(Fleet *fleet, int controller)
 {
     Bytes *journal =
         sim_disk_content(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine, "data/journal");
     assert_true(journal->count > 400);
-    journal->data[100] ^= 4; /* past the identity, long before the end */
+    journal->data[100] ^= 4; /* after the identity, far before the end */
 }
 
-/* A journal that is spoilt before its end: its node comes back by itself as an empty disk
- * with another id, says so, and is a voter again only by the others' change of the list. */
+/* A controller whose journal is damaged before its end restarts as an empty disk with another id and reports that. It
+ * is a voter again only when the others change the list of voters. */
 static void spoilt_is_empty(void **state)
 {
     (void)state;
@@ -248,7 +254,7 @@
         offer(fleet, 50, 100);
         fleet_run(fleet, 1000);
         fleet_kill(fleet, FLEET_CONTROLLER, controller);
-        spoil(fleet, controller);
+        damage_journal(fleet, controller);
         checker_fault(fleet->checker);
         fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
         fleet_start_node(fleet, FLEET_CONTROLLER, controller);
@@ -272,24 +278,25 @@
     }
 }
 
-typedef struct Writing {
+/* A record to be written to the controller's journal. */
+typedef struct RecordWrite {
     Replication *replication;
     Record record;
-} Writing;
+} RecordWrite;
 
 static void write_main(void *arg)
 {
-    const Writing *writing = arg;
-    assert_int_equal(journal_write(writing->replication->journal, &writing->record, 1), STATUS_OK);
+    const RecordWrite *record_write = arg;
+    assert_int_equal(journal_write(record_write->replication->journal, &record_write->record, 1), STATUS_OK);
 }
 
-/* Puts a record into the controller's journal behind its back, and starts the controller again. */
+/* Writes a record to the controller's journal without the controller's knowledge, and restarts the controller. */
 static void record_and_restart(Fleet *fleet, int controller, Record record)
 {
-    Writing *writing = talloc_zero(fleet, Writing);
-    *writing = (Writing){replication_of(fleet, controller), record};
+    RecordWrite *record_write = talloc_zero(fleet, RecordWrite);
+    *record_write = (RecordWrite){replication_of(fleet, controller), record};
     loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine), "write", write_main,
-               writing);
+               record_write);
     fleet_run(fleet, 200);
     fleet_kill(fleet, FLEET_CONTROLLER, controller);
     checker_fault(fleet->checker);
@@ -297,8 +304,8 @@
     fleet_run(fleet, 1000);
 }
 
-/* Each block is good, but a record is of a later release: the node does not start, and
- * its disk stays as it is. */
+/* Every block is valid, but a record is of a later release: the controller does not start and keeps its disk as it is.
+ */
 static void unknown_record(void **state)
 {
     (void)state;
@@ -311,7 +318,7 @@
     talloc_free(fleet);
 }
 
-/* Each block is good, but entries are missing: the log is not whole. */
+/* Every block is valid, but entries are missing: the journal counts as damaged, and the disk as empty. */
 static void entries_missing(void **state)
 {
     (void)state;
@@ -319,17 +326,17 @@
     const int controller = (fleet_leader(fleet) + 1) % 3;
     const Replication *replication = replication_of(fleet, controller);
     const uint64_t before = replication_disk(replication);
-    const Record far = {.kind = RECORD_ENTRY,
-                        .term = log_last_term(replication->log),
-                        .index = log_last_index(replication->log) + 2,
-                        .change = FILLER,
-                        .name = ""};
-    record_and_restart(fleet, controller, far);
+    const Record beyond_end = {.kind = RECORD_ENTRY,
+                               .term = log_last_term(replication->log),
+                               .index = log_last_index(replication->log) + 2,
+                               .change = UNKNOWN_CHANGE,
+                               .name = ""};
+    record_and_restart(fleet, controller, beyond_end);
     assert_true(runs(fleet, controller) && replication_disk(replication_of(fleet, controller)) != before);
     talloc_free(fleet);
 }
 
-/* All of them spoilt: more than can be borne. Nobody founds a second cluster over it. */
+/* All journals are damaged, which is more than the cluster survives: no controller may found a second cluster. */
 static void all_spoilt(void **state)
 {
     (void)state;
@@ -343,9 +350,10 @@
             for (int controller = 0; controller < 3; controller++) {
                 fleet_power_off(fleet, FLEET_CONTROLLER, controller);
                 if (life == 0)
-                    spoil(fleet, controller);
+                    damage_journal(fleet, controller);
             }
-            for (int role = FLEET_ENTRY_POINT; role <= FLEET_AGENT; role++) /* nobody else remembers the cluster */
+            for (int role = FLEET_ENTRY_POINT; role <= FLEET_AGENT;
+                 role++) /* no other process knows the cluster either */
                 fleet_power_off(fleet, (FleetRole)role, 0);
             for (int controller = 0; controller < 3; controller++)
                 fleet_start_node(fleet, FLEET_CONTROLLER, controller);
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -1,4 +1,4 @@
-/* Orders that empty a zone and take it back: sent again, late, and at once. */
+/* Requests that drain a zone and end its drain: repeated, delayed and overtaken ones. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,7 +15,7 @@
 
 #define ZONE "west"
 #define DRAIN "/v1/zones/" ZONE "/drain"
-#define LINK_MS 10 /* ms; each frame's way: a cut falls between two of them */
+#define LINK_MS 10 /* ms; delay of each frame, so that a cut can fall between two of them */
 
 static Fleet *begin(uint64_t seed)
 {
@@ -26,6 +26,7 @@
     return fleet;
 }
 
+/* Whether the zone is drained by the leader's state. */
 static bool drained(const Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
@@ -33,65 +34,68 @@
     return table_drained(controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller), ZONE);
 }
 
-static InsideRequest *order(Fleet *fleet, int entry_point, const char *method)
+/* Starts a request to drain the zone (POST) or to end its drain (DELETE), without waiting. */
+static InsideRequest *send_order(Fleet *fleet, int entry_point, const char *method)
 {
     return inside_request_send(fleet, entry_point,
                                &(HttpTask){.method = method, .path = DRAIN, .query = "", .host = ""}, NULL);
 }
 
+/* Sends the same request over HTTP and returns the status code. */
 static int ask(Fleet *fleet, int entry_point, const char *method)
 {
     return fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, DRAIN, NULL).code;
 }
 
+/* Directions of a cut between an entry point and the controllers; may be combined. */
 enum { CUT_TO_CONTROLLERS = 1, CUT_FROM_CONTROLLERS = 2 };
 
-static void cut_entry_point(Fleet *fleet, int entry_point, int leader_route, bool cut)
+static void cut_entry_point(Fleet *fleet, int entry_point, int direction, bool cut)
 {
     const int machine = fleet_node(fleet, FLEET_ENTRY_POINT, entry_point)->machine;
     for (int i = 0; i < 3; i++) {
         const int controller = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
-        if (leader_route & CUT_TO_CONTROLLERS)
+        if (direction & CUT_TO_CONTROLLERS)
             sim_cut(fleet->world, machine, controller, cut);
-        if (leader_route & CUT_FROM_CONTROLLERS)
+        if (direction & CUT_FROM_CONTROLLERS)
             sim_cut(fleet->world, controller, machine, cut);
     }
 }
 
-/* A start whose answer, or which itself, is held up by a cut; its caller has gone to
- * another entry point, where start and end are acknowledged. When the cut ends, what was
- * held up and what is forwarded again change nothing: each moment and way of the cut. */
+/* A cut delays the start of a drain or its response, while the caller starts and ends the drain at another entry point.
+ * When the cut is over, neither the delayed request nor its repetition may drain the zone again. Tried for several
+ * moments and every direction of the cut. */
 static void late_start(void **state)
 {
     (void)state;
-    int held = 0;
+    int delayed = 0;
     for (int at_ms = 5; at_ms <= 95; at_ms += 10)
-        for (int leader_route = CUT_TO_CONTROLLERS; leader_route <= (CUT_TO_CONTROLLERS | CUT_FROM_CONTROLLERS);
-             leader_route++) {
+        for (int direction = CUT_TO_CONTROLLERS; direction <= (CUT_TO_CONTROLLERS | CUT_FROM_CONTROLLERS);
+             direction++) {
             Fleet *fleet = begin(41);
-            InsideRequest *late = order(fleet, 0, "POST");
+            InsideRequest *late = send_order(fleet, 0, "POST");
             fleet_run(fleet, at_ms);
-            held += !late->done;
-            cut_entry_point(fleet, 0, leader_route, true);
+            delayed += !late->done;
+            cut_entry_point(fleet, 0, direction, true);
             fleet_run(fleet, 1000);
             assert_int_equal(ask(fleet, 1, "POST"), 200);
             assert_true(drained(fleet));
             assert_int_equal(ask(fleet, 1, "DELETE"), 200);
-            cut_entry_point(fleet, 0, leader_route, false);
+            cut_entry_point(fleet, 0, direction, false);
             fleet_run(fleet, 12000);
             assert_true(late->done);
             if (drained(fleet))
-                fail_msg("cut %d after %d ms: a late start emptied the zone again (%d)", leader_route, at_ms,
-                         late->task->code);
-            print_message("cut %d after %d ms: %d\n", leader_route, at_ms, late->task->code);
+                fail_msg("cut in direction %d after %d ms: a delayed start drained the zone again (status %d)",
+                         direction, at_ms, late->task->code);
+            print_message("cut in direction %d after %d ms: status %d\n", direction, at_ms, late->task->code);
             case_end(fleet);
         }
-    assert_true(held >= 9); /* that many cuts fell into the order's way */
+    assert_true(delayed >= 9); /* at least so many cuts came before the response */
 }
 
-/* A start that comes while its entry point is frozen, without a name: its caller goes to another entry point, where
- * start and end are acknowledged. Read when the process goes on, it is refused as certainly not taken, and changes
- * nothing; sent again afterwards, it is taken. */
+/* The start of a drain, without an order name, arrives while its entry point is frozen, and the caller starts and ends
+ * the drain at another entry point. When the frozen process goes on, it must reject the request with 503, which says
+ * that the request had no effect; sent again, the request is accepted. */
 static void late_start_at_a_frozen_entry_point(void **state)
 {
     (void)state;
@@ -100,7 +104,7 @@
         const int64_t until_ms = sim_now_ms(fleet->world) + 3000;
         sim_freeze(fleet->world, fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine, until_ms);
         fleet_run(fleet, 20);
-        InsideRequest *late = order(fleet, 0, "POST");
+        InsideRequest *late = send_order(fleet, 0, "POST");
         fleet_run(fleet, 1000);
         assert_int_equal(ask(fleet, 1, "POST"), 200);
         assert_int_equal(ask(fleet, 1, "DELETE"), 200);
@@ -115,14 +119,14 @@
     }
 }
 
-/* The other way round: a late end does not open a zone that is emptied again. */
+/* The reverse: a delayed end of a drain must not end a drain that was started after it. */
 static void late_end(void **state)
 {
     (void)state;
     for (int at_ms = 25; at_ms <= 75; at_ms += 10) {
         Fleet *fleet = begin(42);
         assert_int_equal(ask(fleet, 1, "POST"), 200);
-        const InsideRequest *late = order(fleet, 0, "DELETE");
+        const InsideRequest *late = send_order(fleet, 0, "DELETE");
         fleet_run(fleet, at_ms);
         cut_entry_point(fleet, 0, CUT_FROM_CONTROLLERS, true);
         fleet_run(fleet, 1000);
@@ -135,13 +139,13 @@
     }
 }
 
-/* An answer lost with the leader: the same order, forwarded to the next leader, is
- * answered as its first was, and what came in between stays. */
+/* The leader is killed after it has carried out the request and before it has answered: the repetition to the next
+ * leader must be acknowledged, and the zone must stay drained. */
 static void leader_lost(void **state)
 {
     (void)state;
     Fleet *fleet = begin(43);
-    InsideRequest *late = order(fleet, 0, "POST");
+    InsideRequest *late = send_order(fleet, 0, "POST");
     while (!drained(fleet))
         fleet_run(fleet, 1);
     assert_false(late->done);
@@ -153,14 +157,15 @@
     case_end(fleet);
 }
 
-/* One that has been overtaken while its caller still waits is refused as certainly not
- * taken, with when to come back; sent again, it is taken. */
+/* A request that others have overtaken while its caller still waits is rejected with 503 and Retry-After, as it had no
+ * effect; sent again, it is accepted. */
 static void overtaken(void **state)
 {
     (void)state;
     Fleet *fleet = begin(44);
-    InsideRequest *late = order(fleet, 0, "POST");
-    fleet_run(fleet, LINK_MS + LINK_MS / 2); /* its base is on the way back */
+    InsideRequest *late = send_order(fleet, 0, "POST");
+    fleet_run(fleet,
+              LINK_MS + LINK_MS / 2); /* the answer with the version that the request is based on is on its way */
     cut_entry_point(fleet, 0, CUT_FROM_CONTROLLERS, true);
     assert_int_equal(ask(fleet, 1, "POST"), 200);
     assert_int_equal(ask(fleet, 1, "DELETE"), 200);
@@ -174,12 +179,12 @@
     case_end(fleet);
 }
 
-/* One whose caller has gone before anything was sent is not taken. */
+/* A request whose caller disconnects before anything was forwarded has no effect. */
 static void caller_gone(void **state)
 {
     (void)state;
     Fleet *fleet = begin(45);
-    InsideRequest *late = order(fleet, 0, "POST");
+    InsideRequest *late = send_order(fleet, 0, "POST");
     fleet_run(fleet, LINK_MS / 2);
     late->task->gone = true;
     fleet_run(fleet, 3000);
@@ -187,7 +192,8 @@
     case_end(fleet);
 }
 
-/* A caller's own name for an order holds at every entry point, whatever came between. */
+/* An order name chosen by the caller identifies the request at every entry point: its repetition is acknowledged
+ * without an effect, even after other requests. */
 static void callers_name(void **state)
 {
     (void)state;
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -1,4 +1,4 @@
-/* Jobs at the address of their queue, and how entry points come and go. */
+/* Jobs that are submitted under the host and path prefix of their queue, and adding and removing these addresses. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,12 +13,14 @@
 
 #define HOST "jobs.example"
 
+/* A patch that gives two queues addresses; one prefix is part of the other. */
 static const char ENTRIES[] =
     "{\"cells\":{\"imagery\":{\"queues\":{"
     "\"sweeps\":{\"entry\":{\"host\":\"" HOST
     "\",\"prefix\":\"/sweeps/\"},\"rounds\":2,\"stretch\":2.5,\"targetMs\":900},"
     "\"urgent\":{\"priority\":5,\"entry\":{\"host\":\"" HOST "\",\"prefix\":\"/sweeps/now/\"}}}}}}";
 
+/* A job of one step that runs for run_ms. */
 #define BODY(run_ms) \
     "{\"steps\":[{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":" #run_ms "}}]}"
 
@@ -29,6 +31,7 @@
     return fleet;
 }
 
+/* Sends a request with the queues' host and returns the status code. text, unless null, receives the response body. */
 static int ask(Fleet *fleet, int entry_point, const char *method, const char *path, const char *body, const char **text)
 {
     const HttpPair host = {"host", HOST ":8080"};
@@ -44,6 +47,7 @@
             fail_msg("%s is not in %s", word, text); \
     } while (0)
 
+/* A job from its submission to its end, read and repeated at several entry points. */
 static void whole_life(void **state)
 {
     (void)state;
@@ -51,14 +55,14 @@
     const char *text;
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/one", BODY(4000), &text), 201);
     ASSERT_CONTAINS(text, "\"phase\":\"queued\"");
-    /* the terms are the queue's */
+    /* the job has the queue's settings */
     const Job *job = fleet_job(fleet, "one");
     assert_non_null(job);
     assert_string_equal(job->spec.queue, "sweeps");
     assert_int_equal(job->terms.attempt_limit, 2);
     assert_int_equal(job->terms.stretch_milli, 2500);
     assert_int_equal(job->terms.target_ms, 900);
-    /* the same again, elsewhere, by ?host=, and under the longer prefix: one job */
+    /* repeated at other entry points, with ?host= and under the longer prefix, it is still one job */
     assert_int_equal(ask(fleet, 1, "POST", "/v1/entry/sweeps/one", BODY(4000), NULL), 200);
     assert_int_equal(ask(fleet, 2, "POST", "/v1/entry/sweeps/now/one", BODY(4000), NULL), 200);
     assert_int_equal(
@@ -76,7 +80,7 @@
     ASSERT_CONTAINS(text, "\"phase\":\"done\"");
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 200);
     ASSERT_CONTAINS(text, "\"waiting\":0");
-    /* what has ended stays as it is */
+    /* the cancellation of an ended job does not change it */
     assert_int_equal(ask(fleet, 0, "DELETE", "/v1/entry/sweeps/one", NULL, &text), 200);
     ASSERT_CONTAINS(text, "\"phase\":\"done\"");
     case_end(fleet);
@@ -128,12 +132,12 @@
         const char *text;
         const int code = ask(fleet, (int)i % 3, ROWS[i].method, ROWS[i].path, ROWS[i].body, &text);
         if (code != ROWS[i].code || strstr(text, ROWS[i].status) == NULL)
-            fail_msg("%s %s: %d, not %d: %s", ROWS[i].method, ROWS[i].path, code, ROWS[i].code, text);
+            fail_msg("%s %s: status %d, expected %d: %s", ROWS[i].method, ROWS[i].path, code, ROWS[i].code, text);
     }
     assert_null(fleet_job(fleet, "x"));
-    /* another host */
+    /* no queue has this host */
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code, 404);
-    /* its queue is full: certainly not taken, and when to come back */
+    /* the queue is full: the job is rejected with Retry-After */
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
                                "{\"cells\":{\"imagery\":{\"limit\":1}}}")
                          .code,
@@ -144,7 +148,7 @@
                      "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
     assert_int_equal(full.code, 503);
     assert_true(full.retry_after_s > 0);
-    /* its entry is gone */
+    /* the queues' addresses are removed */
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=3",
                                "{\"cells\":{\"imagery\":{\"queues\":{\"urgent\":null,\"sweeps\":{\"entry\":null}}}}}")
                          .code,
@@ -154,8 +158,8 @@
     case_end(fleet);
 }
 
-/* All disks lose what they acknowledged: until it has been told again, nobody says
- * that there is no such job, or no such queue. */
+/* All disks lose what they acknowledged: until the entry points have resent it, no response may say that the job or the
+ * queue does not exist. */
 static void forgotten(void **state)
 {
     (void)state;
@@ -169,7 +173,7 @@
     while (code != 200 && sim_now_ms(fleet->world) < until_ms) {
         code = ask(fleet, refused % 3, "GET", "/v1/entry/sweeps/kept", NULL, NULL);
         if (code != 200 && code != 503 && code != 504 && code != 0)
-            fail_msg("told %d", code);
+            fail_msg("unexpected status %d", code);
         refused += code != 200;
         fleet_run(fleet, 20);
     }
@@ -179,7 +183,7 @@
     case_end(fleet);
 }
 
-/* Nobody has sent a document: callers are to come back, not to give up. */
+/* While there is no configuration, callers are told to retry later. */
 static void no_document(void **state)
 {
     (void)state;
--- a/packages/sim/test/first.c
+++ b/packages/sim/test/first.c
@@ -1,4 +1,4 @@
-/* The whole path on a simulated fleet. */
+/* The shortest test of a whole simulated fleet: it starts, is configured, and runs all jobs that callers submit. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -16,7 +16,7 @@
     Fleet *fleet = fleet_new(NULL, 1, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     const bool settled = fleet_settle(fleet, 20000);
-    printf("settled %d at %ld leader %d\n", settled, (long)sim_now_ms(fleet->world), fleet_leader(fleet));
+    printf("settled: %d at %ld ms, leader %d\n", settled, (long)sim_now_ms(fleet->world), fleet_leader(fleet));
     if (!settled)
         fleet_dump(fleet);
     assert_true(settled);
@@ -24,7 +24,7 @@
     fleet_call(fleet, "c", 10000, 20000);
     fleet_run(fleet, 5000);
     const bool done = fleet_finish(fleet, 60000);
-    printf("done %d at %ld starts %zu broken %zu %s\n", done, (long)sim_now_ms(fleet->world),
+    printf("done: %d at %ld ms, starts: %zu, violations: %zu %s\n", done, (long)sim_now_ms(fleet->world),
            checker_starts(fleet->checker), checker_broken_all(fleet->checker), checker_first(fleet->checker));
     if (!done)
         fleet_dump(fleet);
--- a/packages/sim/test/fleet_fixture.h
+++ b/packages/sim/test/fleet_fixture.h
@@ -1,7 +1,7 @@
 #ifndef SIM_TEST_FLEET_FIXTURE_H
 #define SIM_TEST_FLEET_FIXTURE_H
 
-/* What tests of whole fleets share: how a case begins and ends. */
+/* Fixture of tests of whole fleets: start and end of a test case, and jobs. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,8 @@
 
 #include "sim/fleet.h"
 
-/* A fleet that has a leader and its configuration; it belongs to nobody. */
+/* A started fleet that has a leader and the configuration of its mix. It has no talloc parent: the caller frees it,
+ * usually by case_end(). */
 static inline Fleet *case_begin(uint64_t seed, FleetShape shape)
 {
     Fleet *fleet = fleet_new(NULL, seed, shape);
@@ -21,7 +22,8 @@
     return fleet;
 }
 
-/* The same with a configuration of the case's own; a second later. */
+/* Like case_begin(), with the configuration given as JSON instead of the mix's; returns one second after it is in
+ * force. */
 static inline Fleet *case_configured(uint64_t seed, FleetShape shape, const char *config)
 {
     Fleet *fleet = fleet_new(NULL, seed, shape);
@@ -34,7 +36,7 @@
     return fleet;
 }
 
-/* The whole cell loses power, and all controllers are started again. */
+/* Powers off all controllers, then starts them again with disks that no longer lose what they acknowledge. */
 static inline void case_power_cycle(Fleet *fleet)
 {
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
@@ -45,7 +47,7 @@
     }
 }
 
-/* No safety property broke; frees the fleet. */
+/* Fails the test when a safety property broke, then frees the fleet. */
 static inline void case_end(Fleet *fleet)
 {
     if (checker_broken_all(fleet->checker) > 0)
@@ -53,7 +55,7 @@
     talloc_free(fleet);
 }
 
-/* How many tasks run on all workers together. */
+/* Number of tasks that run on all workers together. */
 static inline size_t case_running(Fleet *fleet)
 {
     size_t count = 0;
@@ -62,7 +64,8 @@
     return count;
 }
 
-/* A job of tenant t in cell c is accepted. more: further members of it, each with a comma before. */
+/* Submits a job of tenant t in cell c and fails the test unless it is accepted. more: further JSON members of the job,
+ * each preceded by a comma; steps: the JSON of its steps, separated by commas. */
 static inline void case_submit(Fleet *fleet, const char *id, const char *queue, const char *more, const char *steps)
 {
     const char *body =
@@ -74,7 +77,7 @@
     checker_accepted(fleet->checker, id);
 }
 
-/* How many of the job's tasks are in the phase. */
+/* Number of the job's tasks that are in the phase; 0 when the job is not known. */
 static inline size_t case_in_phase(const Fleet *fleet, const char *id, TaskPhase phase)
 {
     const Job *job = fleet_job(fleet, id);
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -1,4 +1,4 @@
-/* The first start of all: exactly one cluster, with the voters that are wanted, soon. */
+/* Founding: the first start of all processes gives exactly one cluster with the wanted number of voters, and soon. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,17 +10,18 @@
 
 #include "sim/fleet.h"
 
-#define SERVES_MS 3000       /* ms; a leader that takes changes is there so long after the last start */
-#define VOTERS_GIVEN_MS 4000 /* ms; ... and has given all the voters that are wanted */
+#define SERVES_MS 3000       /* ms; a leader accepts changes within this after the last start */
+#define VOTERS_GIVEN_MS 4000 /* ms; the cluster has the wanted number of voters within this after the last start */
 
+/* Null when the controller does not run. */
 static const Replication *replication_of(Fleet *fleet, int controller)
 {
     const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
     return node->up && node->controller != NULL ? controller_replication(node->controller) : NULL;
 }
 
-/* Clusters known to the controllers; they must be one. */
-static int clusters(Fleet *fleet)
+/* Number of different clusters that the controllers belong to. */
+static int count_clusters(Fleet *fleet)
 {
     uint64_t known[FLEET_EACH_MAX];
     int count = 0;
@@ -36,8 +37,8 @@
     return count;
 }
 
-/* Voters as the leader has them; most: in one zone. */
-static size_t voters(Fleet *fleet, size_t *most)
+/* Number of voters in the leader's list; most receives the highest number of them in one zone. */
+static size_t count_voters(Fleet *fleet, size_t *most)
 {
     uint64_t disks[VOTERS_MAX];
     const int leader = fleet_leader(fleet);
@@ -57,8 +58,8 @@
     return count;
 }
 
-/* Voters in the leader's view. */
-static size_t in_view(Fleet *fleet)
+/* Number of voters in the leader's view. */
+static size_t count_in_view(Fleet *fleet)
 {
     ReplicationStatus reach;
     size_t count = 0;
@@ -68,7 +69,9 @@
     return count;
 }
 
-static void founds(FleetShape shape, FleetSite site, size_t wanted)
+/* Asserts, for twelve seeds, that the fleet founds one cluster with the wanted number of voters, of which no zone has a
+ * majority. */
+static void assert_founds(FleetShape shape, FleetSite site, size_t wanted)
 {
     for (uint64_t seed = 1; seed <= 12; seed++) {
         site.stagger_ms = 1 + (int64_t)(seed % 4) * 400;
@@ -80,13 +83,13 @@
         assert_true(fleet_leader(fleet) >= 0);
         fleet_run(fleet, VOTERS_GIVEN_MS - SERVES_MS);
         size_t most;
-        if (voters(fleet, &most) != wanted || in_view(fleet) != wanted)
+        if (count_voters(fleet, &most) != wanted || count_in_view(fleet) != wanted)
             fleet_dump(fleet);
-        assert_int_equal(voters(fleet, &most), wanted);
+        assert_int_equal(count_voters(fleet, &most), wanted);
         assert_true(wanted < 3 || most < wanted / 2 + 1);
-        assert_int_equal(in_view(fleet), wanted);
+        assert_int_equal(count_in_view(fleet), wanted);
         assert_true(fleet_configure(fleet));
-        assert_int_equal(clusters(fleet), 1);
+        assert_int_equal(count_clusters(fleet), 1);
         assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
@@ -95,51 +98,53 @@
 static void three_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true}, 3);
+    assert_founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true}, 3);
 }
 
 static void six_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){6, 4, 6, MIX_ATLAS, 0}, (FleetSite){.zones = 3, .losses = 2, .votes = true}, 5);
+    assert_founds((FleetShape){6, 4, 6, MIX_ATLAS, 0}, (FleetSite){.zones = 3, .losses = 2, .votes = true}, 5);
 }
 
 static void eight_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){8, 5, 8, MIX_TRENTVALE, 0}, (FleetSite){.zones = 4, .losses = 2, .votes = true}, 5);
+    assert_founds((FleetShape){8, 5, 8, MIX_TRENTVALE, 0}, (FleetSite){.zones = 4, .losses = 2, .votes = true}, 5);
 }
 
-/* Beyond what losses ask for, disks stand ready. */
+/* One disk more than the losses to survive ask for: it stays without a vote. */
 static void four_disks(void **state)
 {
     (void)state;
-    founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true}, 3);
+    assert_founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true}, 3);
 }
 
-/* Four voters bear no more losses than three. */
+/* Two losses ask for five voters, but there are four disks: three vote, as four voters survive no more losses. */
 static void four_of_five(void **state)
 {
     (void)state;
-    founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 2, .votes = true}, 3);
+    assert_founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 2, .votes = true}, 3);
 }
 
+/* One of the three seeds is an entry point, which has no vote. */
 static void diskless_seed(void **state)
 {
     (void)state;
-    founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 1, .votes = true, .entry_point_set_seeds = 1}, 3);
+    assert_founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0},
+                  (FleetSite){.zones = 3, .losses = 1, .votes = true, .entry_point_set_seeds = 1}, 3);
 }
 
+/* All three seeds are entry points. */
 static void diskless_seeds(void **state)
 {
     (void)state;
-    founds((FleetShape){6, 4, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 2, .votes = true, .entry_point_set_seeds = 3}, 5);
+    assert_founds((FleetShape){6, 4, 4, MIX_TRENTVALE, 0},
+                  (FleetSite){.zones = 3, .losses = 2, .votes = true, .entry_point_set_seeds = 3}, 5);
 }
 
-/* Controllers that do not hear of each other, and seeds of which each hears only some:
- * still one cluster, whoever gets the votes. */
+/* Random links between controllers, and between controllers and seeds, are cut: there must still be at most one
+ * cluster, and one with three voters once the links are back. */
 static void cut_apart(void **state)
 {
     (void)state;
@@ -159,7 +164,7 @@
         }
         for (int i = 0; i < 60; i++) {
             fleet_run(fleet, 100);
-            assert_true(clusters(fleet) <= 1);
+            assert_true(count_clusters(fleet) <= 1);
         }
         for (int a = 0; a < 4; a++) {
             for (int b = 0; b < 4; b++)
@@ -170,17 +175,17 @@
                         fleet_node(fleet, FLEET_ENTRY_POINT, g)->machine, false);
         }
         fleet_run(fleet, 8000);
-        assert_int_equal(clusters(fleet), 1);
+        assert_int_equal(count_clusters(fleet), 1);
         size_t most;
-        if (fleet_leader(fleet) < 0 || voters(fleet, &most) != 3)
+        if (fleet_leader(fleet) < 0 || count_voters(fleet, &most) != 3)
             fleet_dump(fleet);
         assert_true(fleet_leader(fleet) >= 0);
-        assert_int_equal(voters(fleet, &most), 3);
+        assert_int_equal(count_voters(fleet, &most), 3);
         talloc_free(fleet);
     }
 }
 
-/* The founder's process ends at some step of the founding, with its disk kept. */
+/* The founding controller is killed at various steps of the founding and restarted with its disk. */
 static void founder_killed(void **state)
 {
     (void)state;
@@ -204,17 +209,17 @@
         fleet_start_node(fleet, FLEET_CONTROLLER, founder);
         fleet_run(fleet, 6000);
         size_t most;
-        if (fleet_leader(fleet) < 0 || voters(fleet, &most) != 3)
+        if (fleet_leader(fleet) < 0 || count_voters(fleet, &most) != 3)
             fleet_dump(fleet);
         assert_true(fleet_leader(fleet) >= 0);
-        assert_int_equal(voters(fleet, &most), 3);
-        assert_int_equal(clusters(fleet), 1);
+        assert_int_equal(count_voters(fleet, &most), 3);
+        assert_int_equal(count_clusters(fleet), 1);
         assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
 
-/* A process that is not told that this is the first start founds nothing. */
+/* Processes whose settings do not allow founding found no cluster. */
 static void not_the_first_start(void **state)
 {
     (void)state;
@@ -225,7 +230,7 @@
             fleet_node(fleet, (FleetRole)role, i)->settings.bounds.founds = 0;
     fleet_start(fleet);
     fleet_run(fleet, 15000);
-    assert_int_equal(clusters(fleet), 0);
+    assert_int_equal(count_clusters(fleet), 0);
     assert_int_equal(fleet_leader(fleet), -1);
     talloc_free(fleet);
 }
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -1,6 +1,6 @@
-/* Spoilt input from fixed seeds: jobs, configurations, patches, policies, reports
- * of workers, frames between processes. Each is taken or refused with a type; a
- * process that was given them serves on. */
+/* Fuzz tests with fixed seeds: corrupted jobs, configurations, patches, policies, HTTP requests and frames between
+ * processes. Each input must be accepted or rejected with a typed error, and a process that received it must go on
+ * serving. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -16,16 +16,18 @@
 #include "policy/lua.h"
 #include "fleet_fixture.h"
 
-static uint64_t seed_now;
+/* State of the random number generator; each test sets it. */
+static uint64_t random_state;
 
+/* A random number from 0 to below - 1. */
 static uint64_t draw(uint64_t below)
 {
-    seed_now = seed_now * 6364136223846793005u + 1442695040888963407u;
-    return (seed_now >> 33) % below;
+    random_state = random_state * 6364136223846793005u + 1442695040888963407u;
+    return (random_state >> 33) % below;
 }
 
-/* Parts that are likely to go wrong, put in anywhere. */
-static const char *const PARTS[] = {
+/* Fragments that parsers are likely to mishandle; they are inserted at random places. */
+static const char *const FRAGMENTS[] = {
     "{",
     "}",
     "[",
@@ -51,8 +53,9 @@
     "\\",
 };
 
-/* The text with some bytes turned, cut out, doubled, or parts put in. */
-static char *spoil(void *mem, const char *text, size_t *count)
+/* A copy of the text, corrupted one to four times: a byte changed, bytes removed or doubled, a fragment inserted, or
+ * the rest cut off. count receives its length. */
+static char *corrupt(void *mem, const char *text, size_t *count)
 {
     size_t length = strlen(text);
     char *out = talloc_array(mem, char, (unsigned)(length * 2 + 400));
@@ -70,7 +73,7 @@
             length -= span;
             break;
         case 2: {
-            const char *part = PARTS[draw(sizeof(PARTS) / sizeof(PARTS[0]))];
+            const char *part = FRAGMENTS[draw(sizeof(FRAGMENTS) / sizeof(FRAGMENTS[0]))];
             memmove(out + at + strlen(part), out + at, length - at);
             memcpy(out + at, part, strlen(part));
             length += strlen(part);
@@ -92,7 +95,8 @@
     return out;
 }
 
-static void typed(const Faults *faults)
+/* Asserts that there is at least one fault, and that each has a status, a path and a message. */
+static void assert_faults_typed(const Faults *faults)
 {
     assert_true(faults->seen > 0 && faults->count > 0 && faults->count <= FAULTS_MAX);
     for (size_t i = 0; i < faults->count; i++) {
@@ -105,56 +109,56 @@
 static void jobs(void **state)
 {
     (void)state;
-    size_t good = 0, bad = 0;
-    seed_now = 1;
+    size_t accepted = 0, rejected = 0;
+    random_state = 1;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
         Faults *faults = talloc_zero(mem, Faults);
         faults->mem = mem;
         size_t count;
         const MixClass kind = (MixClass)draw(CLASS_COUNT);
-        const char *text = spoil(mem, mix_job(mem, MIX_VARIED, kind, "j", 1700000000000), &count);
+        const char *text = corrupt(mem, mix_job(mem, MIX_VARIED, kind, "j", 1700000000000), &count);
         JobSpec spec;
         if (job_read(faults, text, count, &spec)) {
             assert_true(strlen(spec.id) >= 1 && strlen(spec.id) <= ID_MAX);
             assert_true(spec.steps_count >= 1 && spec.steps_count <= JOB_STEPS_MAX);
-            good++;
+            accepted++;
         } else {
-            typed(faults);
-            bad++;
+            assert_faults_typed(faults);
+            rejected++;
         }
         talloc_free(mem);
     }
-    print_message("jobs: %zu taken, %zu refused\n", good, bad);
-    assert_true(good > 100 && bad > 10000);
+    print_message("jobs: %zu accepted, %zu rejected\n", accepted, rejected);
+    assert_true(accepted > 100 && rejected > 10000);
 }
 
 static void configs(void **state)
 {
     (void)state;
-    size_t good = 0, bad = 0;
-    seed_now = 2;
+    size_t accepted = 0, rejected = 0;
+    random_state = 2;
     for (int i = 0; i < 4000; i++) {
         void *mem = talloc_new(NULL);
         Faults *faults = talloc_zero(mem, Faults);
         faults->mem = mem;
         size_t count;
         const char *whole = mix_config((Mix)draw(MIX_COUNT));
-        const char *text = spoil(mem, whole, &count);
-        if (draw(3) == 0) { /* as a patch upon a good one */
+        const char *text = corrupt(mem, whole, &count);
+        if (draw(3) == 0) { /* as a patch of a valid configuration */
             text = config_patch(mem, whole, text, count, faults);
             count = text != NULL ? strlen(text) : 0;
         }
         if (text != NULL && config_read(mem, text, count, 1, faults) != NULL) {
-            good++;
+            accepted++;
         } else {
-            typed(faults);
-            bad++;
+            assert_faults_typed(faults);
+            rejected++;
         }
         talloc_free(mem);
     }
-    print_message("configurations: %zu taken, %zu refused\n", good, bad);
-    assert_true(good > 50 && bad > 1000);
+    print_message("configurations: %zu accepted, %zu rejected\n", accepted, rejected);
+    assert_true(accepted > 50 && rejected > 1000);
 }
 
 static void policies(void **state)
@@ -163,28 +167,28 @@
     static const char TEXT[] =
         "function rank(t) local s = 0 for i = 1, 9 do s = s + i * t.cpu end return t.queue_priority + "
         "math.min(t.waited_ms / 60000, 4) + s end function may_push(a, b) return a.queue == 'm' end";
-    size_t good = 0, bad = 0;
-    seed_now = 3;
+    size_t accepted = 0, rejected = 0;
+    random_state = 3;
     for (int i = 0; i < 3000; i++) {
         void *mem = talloc_new(NULL);
         size_t count;
         LuaPolicy *policy;
         Failure failure = {0};
-        if (lua_policy_new(mem, "p", spoil(mem, TEXT, &count), &policy, &failure) == STATUS_OK) {
-            good++;
+        if (lua_policy_new(mem, "p", corrupt(mem, TEXT, &count), &policy, &failure) == STATUS_OK) {
+            accepted++;
         } else {
             assert_int_equal(failure.status, STATUS_BAD_POLICY);
             assert_true(strlen(failure.text) > 0);
-            bad++;
+            rejected++;
         }
         talloc_free(mem);
     }
-    print_message("policies: %zu taken, %zu refused\n", good, bad);
-    assert_true(good > 20 && bad > 500);
+    print_message("policies: %zu accepted, %zu rejected\n", accepted, rejected);
+    assert_true(accepted > 20 && rejected > 500);
 }
 
-/* Whatever is asked of an agent, an entry point and a controller over HTTP is answered with a
- * code of the table; they go on serving. */
+/* Agents, entry points and controllers answer every HTTP request with a status code from 200 to 504 other than 500, and
+ * go on serving. */
 static void requests(void **state)
 {
     (void)state;
@@ -199,18 +203,18 @@
                                         "/metrics",          "/readyz"};
     static const char *const METHODS[] = {"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"};
     Fleet *fleet = case_begin(4, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleet_kill(fleet, FLEET_WORKER, 3); /* its agent hears reports of ours */
+    fleet_kill(fleet, FLEET_WORKER, 3); /* the test sends reports to its agent instead */
     fleet_run(fleet, 4000);
     size_t codes[600] = {0};
-    seed_now = 4;
+    random_state = 4;
     for (int i = 0; i < 600; i++) {
         void *mem = talloc_new(NULL);
         size_t count;
         const bool report = i % 2 == 0;
         const char *path = report ? "/v1/workers/worker4/report" : PATHS[draw(sizeof(PATHS) / sizeof(PATHS[0]))];
         if (draw(6) == 0)
-            path = talloc_asprintf(mem, "%s%s", path, PARTS[9 + draw(6)]);
-        const char *body = spoil(mem, report ? REPORT : mix_job(mem, MIX_TRENTVALE, CLASS_SWEEP, "j", 0), &count);
+            path = talloc_asprintf(mem, "%s%s", path, FRAGMENTS[9 + draw(6)]);
+        const char *body = corrupt(mem, report ? REPORT : mix_job(mem, MIX_TRENTVALE, CLASS_SWEEP, "j", 0), &count);
         const HttpCall call = fleet_ask(fleet, mem,
                                         report    ? FLEET_AGENT
                                         : draw(2) ? FLEET_ENTRY_POINT
@@ -221,8 +225,8 @@
         codes[call.code]++;
         talloc_free(mem);
     }
-    print_message("requests: %zu of 200, %zu of 400, %zu of 404, %zu of 422\n", codes[200], codes[400], codes[404],
-                  codes[422]);
+    print_message("requests: %zu with status 200, %zu with 400, %zu with 404, %zu with 422\n", codes[200], codes[400],
+                  codes[404], codes[422]);
     assert_true(codes[400] > 50 && codes[422] > 20);
     fleet_start_node(fleet, FLEET_WORKER, 3);
     fleet_call(fleet, "after", 10000, 2000);
@@ -232,6 +236,7 @@
     talloc_free(fleet);
 }
 
+/* The shapes that are fuzzed: messages between processes, changes and records. */
 #define MESSAGES(X)       \
     X(Hello)              \
     X(ProposeAsk)         \
@@ -263,8 +268,8 @@
     X(Record)             \
     X(Worker)
 
-/* Random bytes, and packed ones spoilt, for every shape: refused, or a whole
- * struct that packs again. */
+/* Random bytes and corrupted packed structs are unpacked with every shape: each is rejected, or gives a complete struct
+ * that can be packed again. */
 static void shapes(void **state)
 {
     (void)state;
@@ -273,8 +278,8 @@
         MESSAGES(X)
 #undef X
     };
-    size_t good = 0, bad = 0;
-    seed_now = 5;
+    size_t accepted = 0, rejected = 0;
+    random_state = 5;
     const AttemptId attempts[] = {{"job-1", 7, 2}, {"job-2", 0, 1}};
     for (int i = 0; i < 40000; i++) {
         void *mem = talloc_new(NULL);
@@ -290,19 +295,19 @@
                 packed.data[draw(packed.count)] = (uint8_t)draw(256);
         packed.count = draw(4) == 0 ? draw(packed.count) : packed.count;
         const Shape *shape = SHAPES[i % (sizeof(SHAPES) / sizeof(SHAPES[0]))];
-        uint64_t resources[64] = {0}; /* bigger than any of them */
-        if (shape_unpack(shape, packed, mem, resources, NULL) == STATUS_OK) {
+        uint64_t unpacked[64] = {0}; /* larger than the struct of any shape */
+        if (shape_unpack(shape, packed, mem, unpacked, NULL) == STATUS_OK) {
             Bytes again = {0};
-            shape_pack(shape, resources, mem, &again);
+            shape_pack(shape, unpacked, mem, &again);
             assert_true(again.count > 0);
-            good++;
+            accepted++;
         } else {
-            bad++;
+            rejected++;
         }
         talloc_free(mem);
     }
-    print_message("shapes: %zu taken, %zu refused\n", good, bad);
-    assert_true(good > 100 && bad > 10000);
+    print_message("shapes: %zu accepted, %zu rejected\n", accepted, rejected);
+    assert_true(accepted > 100 && rejected > 10000);
 }
 
 int main(void)
--- a/packages/sim/test/inside_request.h
+++ b/packages/sim/test/inside_request.h
@@ -1,8 +1,8 @@
 #ifndef SIM_TEST_INSIDE_REQUEST_H
 #define SIM_TEST_INSIDE_REQUEST_H
 
-/* A request handed to an entry point from within: the test sees when it is answered, and may let
- * its caller leave. */
+/* A request passed to an entry point's handler directly, without HTTP: the test sees when it is answered, and can make
+ * its caller disconnect (task->gone). */
 #include <string.h>
 #include <talloc.h>
 
@@ -10,8 +10,8 @@
 
 typedef struct InsideRequest {
     EntryPoint *entry_point;
-    HttpTask *task;
-    bool done;
+    HttpTask *task; /* request and response */
+    bool done;      /* the request has been answered */
 } InsideRequest;
 
 static inline void inside_request_main(void *arg)
@@ -21,7 +21,8 @@
     inside_request->done = true;
 }
 
-/* Does not wait. task says what is asked; its texts outlive the fleet. */
+/* Starts the request and returns without waiting for its answer. task holds method, path, query and host, which must
+ * outlive the fleet; body is copied and may be null. The result belongs to the fleet. */
 static inline InsideRequest *inside_request_send(Fleet *fleet, int entry_point, const HttpTask *task, const char *body)
 {
     const FleetNode *node = fleet_node(fleet, FLEET_ENTRY_POINT, entry_point);
--- a/packages/sim/test/job_runs.c
+++ b/packages/sim/test/job_runs.c
@@ -1,8 +1,9 @@
-/* What becomes of jobs: due times, gangs, cancels, failures, late reports, copies, and disks that fail. */
+/* How jobs run: due times, gangs, cancellation, failures, late reports, copies, and disks that fail. */
 #include <stdio.h>
 
 #include "job_fixture.h"
 
+/* A job with a due time and one with a delay start when they are due, although one voter's wall clock jumps. */
 static void due_and_delay(void **state)
 {
     (void)state;
@@ -13,7 +14,7 @@
     snprintf(body, sizeof(body), JOB("due", ",\"dueWallMs\":%lld"), (long long)wall_ms + 5000);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
-    /* one voter's wall clock jumps by an hour: the median does not */
+    /* one voter's wall clock jumps by an hour, which the median of all voters' clocks does not follow */
     sim_jump(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine, 3600000);
     fleet_run(fleet, 4200);
     assert_int_equal(checker_starts(fleet->checker), 0);
@@ -24,12 +25,13 @@
     case_end(fleet);
 }
 
+/* The members of a gang start all together or not at all, also after one of them was lost with its worker. */
 static void gang_all_or_none(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
     const char *text;
-    /* eleven workers of 64 controllers: the first gang leaves room for five of the second */
+    /* eleven workers of 64 CPUs: the first gang leaves capacity for five of the second gang's six members */
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
                          STEPS("g1", "{\"name\":\"a\",\"gang\":true,\"count\":6,\"room\":{\"cpu\":40,\"memMb\":10},"
                                      "\"payload\":{\"runMs\":6000}}"),
@@ -43,10 +45,10 @@
                          &text),
                      201);
     fleet_run(fleet, 2000);
-    assert_int_equal(checker_starts(fleet->checker), 6); /* none of it */
+    assert_int_equal(checker_starts(fleet->checker), 6); /* no member of the second gang */
     fleet_run(fleet, 6000);
-    assert_int_equal(checker_starts(fleet->checker), 12); /* all of it */
-    /* a member is lost with its worker: the others stop, all start again */
+    assert_int_equal(checker_starts(fleet->checker), 12); /* all its members */
+    /* a member is lost with its worker: the other members stop, and all start again */
     int victim = -1;
     for (int i = 0; i < 11 && victim < 0; i++)
         if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
@@ -60,6 +62,7 @@
     case_end(fleet);
 }
 
+/* A cancelled job's tasks stop, and the cancellation can be repeated; a finished job cannot be cancelled. */
 static void cancelled(void **state)
 {
     (void)state;
@@ -77,7 +80,7 @@
     fleet_run(fleet, 2000);
     for (int i = 0; i < 11; i++)
         assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
-    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200); /* again: the same answer */
+    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200); /* repeated: the same answer */
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/c", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"cancelled\""));
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("d", ""), &text), 201);
@@ -86,6 +89,7 @@
     case_end(fleet);
 }
 
+/* A task that fails is started again, up to the limit of three attempts. */
 static void fails_then_works(void **state)
 {
     (void)state;
@@ -108,7 +112,8 @@
     case_end(fleet);
 }
 
-/* An agent is cut off just before its task ends; the finish is told late. */
+/* An agent is isolated just before its task ends, so that the end is reported late: it must count, and the attempt that
+ * was started elsewhere must be stopped. */
 static void finish_notified_late(void **state)
 {
     (void)state;
@@ -123,8 +128,8 @@
         if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
             on = i;
     assert_true(on >= 0);
-    /* it ends a second later, within the lease; the restart elsewhere begins after
-     * three seconds and is still running when the finish arrives */
+    /* the task ends a second later, within the lease; the next attempt starts on another worker after three seconds and
+     * is still running when the report arrives */
     fleet_isolate(fleet, FLEET_AGENT, on, true);
     fleet_run(fleet, 4500);
     assert_int_equal(checker_starts(fleet->checker), 2);
@@ -138,8 +143,8 @@
     case_end(fleet);
 }
 
-/* Work whose owner allows copies restarts before the silent worker's lease has
- * lapsed; other work does not. */
+/* Tasks of a job that allows copies are started again before the silent worker's lease has lapsed, other tasks only
+ * after it. */
 static void copies(void **state)
 {
     (void)state;
@@ -175,7 +180,7 @@
     case_end(fleet);
 }
 
-/* Room that somebody else uses on a worker is not given away. */
+/* Capacity of a worker that others use is not given to tasks. */
 static void others_use(void **state)
 {
     (void)state;
@@ -193,15 +198,15 @@
                          &text),
                      201);
     fleet_run(fleet, 6000);
-    assert_int_equal(checker_starts(fleet->checker), 12); /* of 64 controllers; four are left on each other */
+    assert_int_equal(checker_starts(fleet->checker),
+                     12); /* on the one worker whose 64 CPUs are free; each of the others has four left */
     for (int i = 0; i < 10; i++)
         assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
     case_end(fleet);
 }
 
-/* The second survival rule: all disks fail, nobody can hold the lock, and all
- * members see each other: work goes on. One more failure, and it stops. When the
- * disks work again after a restart, it is planned anew. */
+/* All disks fail, so that no controller can hold the lock. As long as all members reach each other, tasks go on
+ * running; after one more failure they stop. When the disks work again after a restart, the tasks are planned again. */
 static void store_gone(void **state)
 {
     (void)state;
@@ -216,12 +221,12 @@
         assert_int_equal(case_running(fleet), 22);
         for (int i = 0; i < 3; i++)
             sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-        /* a change that can't be written shows the failure */
+        /* the failure shows at the first change that cannot be written */
         ask(fleet, "POST", "/v1/jobs", JOB("x", ""), &text);
         fleet_run(fleet, 10000);
         assert_int_equal(fleet_leader(fleet), -1);
         assert_int_equal(case_running(fleet), 22);
-        if (with) { /* an entry point is lost: not every member answers any more */
+        if (with) { /* an entry point is lost, so that not every member answers */
             fleet_power_off(fleet, FLEET_ENTRY_POINT, 1);
             fleet_run(fleet, 6000);
             assert_int_equal(case_running(fleet), 0);
--- a/packages/sim/test/large_state.h
+++ b/packages/sim/test/large_state.h
@@ -1,15 +1,17 @@
 #ifndef SIM_TEST_LARGE_STATE_H
 #define SIM_TEST_LARGE_STATE_H
 
+/* Grows the replicated state of a fleet to a size that the test needs. */
 #include <string.h>
 
 #include <talloc.h>
 
 #include "controller_set.h"
 
-#define LABEL_BYTES ((size_t)1024 * 1024)
+#define LABEL_BYTES ((size_t)1024 * 1024) /* usual size of a worker's label in these tests */
 
-/* Workers with a label of so many bytes each, which the state keeps; the same workers again replace them. */
+/* Adds workers with a label of label_bytes each to the state. A further call replaces the workers of the earlier one,
+ * as their names are the same. */
 static inline void state_grow(Fleet *fleet, int workers, size_t label_bytes)
 {
     void *mem = talloc_new(NULL);
--- a/packages/sim/test/last_block.c
+++ b/packages/sim/test/last_block.c
@@ -1,5 +1,6 @@
-/* The last block of a journal, which was synced, is damaged while its machine is without power: the controller must not
- * vote with what is left, or an acknowledged change is lost as soon as the other disk that has it is away too. */
+/* The last block of a journal, which was synced, is damaged while its machine is powered off. The controller must not
+ * vote with the rest of the journal: an acknowledged change would be lost when the other disk that has it is away as
+ * well. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,8 +11,9 @@
 
 #include "controller_set.h"
 
-#define RETURNED_MS 8000 /* ms; with a majority a controller leads within this */
+#define RETURNED_MS 8000 /* ms; a controller that has a majority leads within this */
 
+/* Kinds of damage: the last bit of the journal is flipped, or its last byte is missing. */
 typedef enum Damage { DAMAGE_FLIPPED, DAMAGE_CUT, DAMAGE_COUNT } Damage;
 
 static void damage_last_block(Fleet *fleet, int controller, Damage damage)
@@ -24,9 +26,9 @@
         file->data[file->count - 1] ^= 1;
 }
 
-/* A change is on two of three disks when all lose power. One of the two is damaged and returns with the third, which
- * never had the change: they must not lead without the other. */
-static void acknowledged_change_outlasts(uint64_t seed, Damage damage)
+/* A change is on two of three disks when all machines lose power. One of these two is damaged and returns together with
+ * the third, which never had the change: neither may lead until the other disk with the change is back. */
+static void assert_change_survives(uint64_t seed, Damage damage)
 {
     Fleet *fleet = begin(seed);
     const int leader = fleet_leader(fleet), damaged = (leader + 1) % 3, behind = (leader + 2) % 3;
@@ -58,14 +60,14 @@
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        acknowledged_change_outlasts(seed, DAMAGE_FLIPPED);
+        assert_change_survives(seed, DAMAGE_FLIPPED);
 }
 
 static void cut(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        acknowledged_change_outlasts(seed, DAMAGE_CUT);
+        assert_change_survives(seed, DAMAGE_CUT);
 }
 
 int main(void)
--- a/packages/sim/test/leader_found.c
+++ b/packages/sim/test/leader_found.c
@@ -1,4 +1,4 @@
-/* How soon a dead leader is replaced after a calm time, and what callers who come meanwhile are told. */
+/* How soon a killed leader is replaced after a time without faults, and what callers are told meanwhile. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,9 +10,10 @@
 
 #include "fleet_fixture.h"
 
+/* Seeds of the cases, first and last. */
 #define SEED_FIRST 41
 #define SEED_LAST 48
-#define CALM_MS 30000 /* ms; what renewals have taken since the first election counts no more */
+#define CALM_MS 30000 /* ms; after this, the duration of renewals at the first election has no effect any more */
 
 static Fleet *begin(uint64_t seed)
 {
@@ -21,6 +22,7 @@
     return fleet;
 }
 
+/* Submits a job to the first entry point. */
 static HttpCall submit(Fleet *fleet)
 {
     return fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs",
@@ -28,8 +30,8 @@
                      "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":64}}]}");
 }
 
-/* The next leader is found well before the longest grant of a lease would have ended, and callers who are refused
- * meanwhile are told to come back then, not later. */
+/* The next leader is found well before the longest grant of a lease would have ended, and callers who are rejected
+ * meanwhile are told to retry at about that time, not later. */
 static void found_again_soon(void **state)
 {
     (void)state;
@@ -51,7 +53,7 @@
     }
 }
 
-/* While nobody can lead, callers are told to come back later each time, up to three seconds. */
+/* While no controller can lead, the time after which callers are told to retry grows, up to three seconds. */
 static void long_outage_spares_tries(void **state)
 {
     (void)state;
@@ -71,13 +73,13 @@
     case_end(fleet);
 }
 
-/* A leader whose machine holds it up again and again, for less than its lease lasts by then, goes on leading. */
+/* A leader that is frozen again and again, each time for less than what is left of its lease, goes on leading. */
 static void held_up_leader_stays(void **state)
 {
     (void)state;
     for (uint64_t seed = SEED_FIRST; seed <= SEED_LAST; seed++) {
         Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-        fleet_run(fleet, 2000); /* it still asks for long grants */
+        fleet_run(fleet, 2000); /* the leader still asks for long grants */
         const int leader = fleet_leader(fleet);
         assert_true(leader >= 0);
         for (int i = 0; i < 40; i++) {
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -1,4 +1,4 @@
-/* How a request finds the leader, when it is given up, and how entry points leave. */
+/* How a request is routed to the leader, when it is given up, when processes are ready, and how they leave. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -28,12 +28,12 @@
                            id);
 }
 
-/* --- a request handed to a process from within, with a time-out of its own ----------------- */
+/* --- a request passed to a process's handler directly, with a time-out of its own ----------- */
 
 typedef struct InsideRequest {
     FleetNode *node;
-    HttpTask *task;
-    int64_t took_ms;
+    HttpTask *task;  /* request and response; timeout_ms: a span until the request starts, then a time; 0: none */
+    int64_t took_ms; /* until the response */
     bool done;
 } InsideRequest;
 
@@ -51,7 +51,7 @@
     inside_request->done = true;
 }
 
-/* Runs until it is answered. */
+/* Sends the request, with the time-out wait_ms, and runs until it is answered. The result belongs to the fleet. */
 static HttpTask *inside_request_send(Fleet *fleet, FleetRole role, int number, const char *method, const char *path,
                                      const char *body, int64_t wait_ms, int64_t *took_ms)
 {
@@ -71,6 +71,7 @@
     return inside_request.task;
 }
 
+/* A request must be answered within its own time-out while the leader is frozen. */
 static void timeout_observed(void **state)
 {
     (void)state;
@@ -81,15 +82,15 @@
         inside_request_send(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", job_of(fleet, "short"), 300, &took_ms);
     assert_int_equal(task->code, 504);
     assert_true(took_ms <= 310);
-    /* whoever has more time is asked again of the next leader */
+    /* a request with a longer time-out is sent again to the next leader */
     task = inside_request_send(fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/jobs", job_of(fleet, "long"), 7000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
-    print_message("served after %lld ms\n", (long long)took_ms);
+    print_message("accepted after %lld ms\n", (long long)took_ms);
     fleet_run(fleet, 30000);
     case_end(fleet);
 }
 
-/* Nobody can have taken it: it is refused at once, with when to come back. */
+/* While no controller runs, a request cannot have been carried out, so it is rejected at once with Retry-After. */
 static void refused_at_once(void **state)
 {
     (void)state;
@@ -105,20 +106,20 @@
         assert_int_equal(task->code, 503);
         assert_true(task->retry_after_s > 0);
         if (took_ms > LEADER_WAIT_MS)
-            fail_msg("refused after %lld ms", (long long)took_ms);
+            fail_msg("rejected only after %lld ms", (long long)took_ms);
         fleet_run(fleet, 100);
     }
     case_end(fleet);
 }
 
-/* A leader that is slow but lives is waited for: asking it twice would make it slower. */
+/* An entry point waits for a leader that is slow but alive: a second request would make it slower still. */
 static void slow_is_waited_for(void **state)
 {
     (void)state;
     Fleet *fleet = begin(33);
     for (int i = 0; i < 3; i++)
         sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine,
-                      240); /* its own and one under way: a leader slower than 500 ms hands over */
+                      240); /* the change's own sync and one under way: a leader slower than 500 ms hands over */
     for (int i = 0; i < 5; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "slow-%d", i);
@@ -130,7 +131,7 @@
     case_end(fleet);
 }
 
-/* The way between one entry point and the leader is cut: others carry on. */
+/* The link between one entry point and the leader is cut: requests are routed through other processes. */
 static void other_ways(void **state)
 {
     (void)state;
@@ -158,7 +159,7 @@
     case_end(fleet);
 }
 
-/* An entry point that stands still costs the leader's own callers its wait once, not each time. */
+/* A frozen entry point, which does not keep a copy for repair in time, delays the leader's own callers only once. */
 static void copied_elsewhere(void **state)
 {
     (void)state;
@@ -180,6 +181,7 @@
 
 /* --- readiness ------------------------------------------------------------------------- */
 
+/* Number of controllers and entry points that report that they are ready. */
 static int ready_count(Fleet *fleet)
 {
     int ready = 0;
@@ -193,7 +195,7 @@
     return ready;
 }
 
-/* A change of leader takes nobody out; the end of all controllers takes all out. */
+/* A change of leader makes no other process unready; the end of all controllers makes all unready. */
 static void readiness(void **state)
 {
     (void)state;
@@ -204,7 +206,7 @@
     fleet_roll(fleet, FLEET_CONTROLLER, leader);
     fleet_run(fleet, 10);
     for (int i = 0; i < 40; i++) {
-        assert_true(ready_count(fleet) >= 5); /* all but the one that leaves */
+        assert_true(ready_count(fleet) >= 5); /* all but the leader that is restarted */
         fleet_run(fleet, 100);
     }
     fleet_run(fleet, 8000);
@@ -225,141 +227,146 @@
 
 /* --- leaving ------------------------------------------------------------------------------ */
 
-typedef struct Sending {
+/* The load on a process that leaves, and how its requests ended. */
+typedef struct Load {
     Fleet *fleet;
-    FleetNode *node;
+    FleetNode *node; /* the process that leaves */
     bool stop;
-    int sent, good, again, cut;
-    size_t calls;
-} Sending;
+    int sent;
+    int accepted;    /* 201 */
+    int retry_later; /* 5xx: the caller has to send it again */
+    int unanswered;  /* no response */
+    size_t pending;  /* not answered yet */
+} Load;
 
-typedef struct Send {
-    Sending *sending;
+typedef struct LoadRequest {
+    Load *load;
     int number;
-} Send;
+} LoadRequest;
 
-static void send_main(void *arg)
+static void load_request_main(void *arg)
 {
-    Send *one = arg;
-    Sending *sending = one->sending;
-    Fleet *fleet = sending->fleet;
-    char *id = talloc_asprintf(one, "left-%s-%d", sending->node->settings.name, one->number);
+    LoadRequest *request = arg;
+    Load *load = request->load;
+    Fleet *fleet = load->fleet;
+    char *id = talloc_asprintf(request, "left-%s-%d", load->node->settings.name, request->number);
     HttpCall call = {
-        .mem = one, .address = sending->node->settings.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
-    const char *body = job_of(one, id);
-    bytes_add(one, &call.body, body, strlen(body));
+        .mem = request, .address = load->node->settings.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
+    const char *body = job_of(request, id);
+    bytes_add(request, &call.body, body, strlen(body));
     const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
-    sending->good += status == STATUS_OK && call.code == 201;
-    sending->again += status == STATUS_OK && call.code >= 500;
-    sending->cut += status != STATUS_OK;
-    sending->calls--;
-    talloc_free(one);
+    load->accepted += status == STATUS_OK && call.code == 201;
+    load->retry_later += status == STATUS_OK && call.code >= 500;
+    load->unanswered += status != STATUS_OK;
+    load->pending--;
+    talloc_free(request);
 }
 
-/* Callers come as long as the process says that it is ready, and 300 ms longer. */
-static void sending_main(void *arg)
+/* Sends requests for as long as the process reports that it is ready, and 300 ms longer. */
+static void load_main(void *arg)
 {
-    Sending *sending = arg;
-    Loop *loop = sim_loop(sending->fleet->world, sending->fleet->caller);
+    Load *load = arg;
+    Loop *loop = sim_loop(load->fleet->world, load->fleet->caller);
     int64_t ready_ms = loop_now_ms(loop);
-    while (!sending->stop && loop_now_ms(loop) - ready_ms <= 300) {
-        FleetNode *node = sending->node;
+    while (!load->stop && loop_now_ms(loop) - ready_ms <= 300) {
+        FleetNode *node = load->node;
         if (node->up &&
             (node->controller != NULL ? controller_ready(node->controller) : entry_point_ready(node->entry_point)))
             ready_ms = loop_now_ms(loop);
-        Send *one = talloc_zero(sending->fleet, Send);
-        *one = (Send){sending, sending->sent++};
-        sending->calls++;
-        loop_spawn(loop, "send", send_main, one);
+        LoadRequest *request = talloc_zero(load->fleet, LoadRequest);
+        *request = (LoadRequest){load, load->sent++};
+        load->pending++;
+        loop_spawn(loop, "send", load_request_main, request);
         loop_sleep(loop, 7);
     }
 }
 
-/* SIGTERM under load: whatever was read is answered, and hardly anything refused. */
+/* SIGTERM under load: every request that was read is answered, and fewer than ten are rejected. */
 static void leaving(void **state)
 {
     (void)state;
     for (int role = FLEET_CONTROLLER; role <= FLEET_ENTRY_POINT; role++) {
         Fleet *fleet = begin(36);
         const int number = role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0;
-        Sending sending = {.fleet = fleet, .node = fleet_node(fleet, (FleetRole)role, number)};
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "sending", sending_main, &sending);
+        Load load = {.fleet = fleet, .node = fleet_node(fleet, (FleetRole)role, number)};
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "sending", load_main, &load);
         fleet_run(fleet, 500);
         fleet_roll(fleet, (FleetRole)role, number);
         fleet_run(fleet, 4000);
-        sending.stop = true;
+        load.stop = true;
         fleet_run(fleet, 1000);
-        print_message("%s: %d sent, %d taken, %d to come back, %d cut\n", sending.node->settings.name, sending.sent,
-                      sending.good, sending.again, sending.cut);
-        assert_int_equal(sending.cut, 0);
-        assert_int_equal(sending.calls, 0);
-        assert_true(sending.good > 100 && sending.again < 10);
+        print_message("%s: %d sent, %d accepted, %d to be sent again, %d unanswered\n", load.node->settings.name,
+                      load.sent, load.accepted, load.retry_later, load.unanswered);
+        assert_int_equal(load.unanswered, 0);
+        assert_int_equal(load.pending, 0);
+        assert_true(load.accepted > 100 && load.retry_later < 10);
         case_end(fleet);
     }
 }
 
-/* --- what is kept for repair ------------------------------------------------------------- */
+/* --- the repair buffer -------------------------------------------------------------------- */
 
-static void nothing(void *arg, Loop *loop)
+/* A SimStart that starts no task. */
+static void start_nothing(void *arg, Loop *loop)
 {
     (void)arg;
     (void)loop;
 }
 
-typedef struct Keeping {
+typedef struct BufferFill {
     RepairBuffer *repair_buffer;
     Loop *loop;
     void *mem;
-    uint64_t number;
-    size_t each; /* bytes of a payload */
-} Keeping;
+    uint64_t count;       /* of items to add */
+    size_t payload_bytes; /* of each item */
+} BufferFill;
 
-static void keep_main(void *arg)
+static void buffer_fill_main(void *arg)
 {
-    const Keeping *keeping = arg;
-    uint8_t *data = talloc_zero_size(keeping->mem, keeping->each);
-    for (uint64_t i = 0; i < keeping->number; i++) {
+    const BufferFill *fill = arg;
+    uint8_t *data = talloc_zero_size(fill->mem, fill->payload_bytes);
+    for (uint64_t i = 0; i < fill->count; i++) {
         memcpy(data, &i, sizeof(i));
-        const RepairItem item = {CHANGE_JOB_ADD, i + 1, {data, keeping->each, 0}};
-        repair_buffer_add(keeping->repair_buffer, &item, 1);
-        repair_buffer_add(keeping->repair_buffer, &item, 1); /* the same is kept once */
+        const RepairItem item = {CHANGE_JOB_ADD, i + 1, {data, fill->payload_bytes, 0}};
+        repair_buffer_add(fill->repair_buffer, &item, 1);
+        repair_buffer_add(fill->repair_buffer, &item, 1); /* a duplicate is not added */
     }
 }
 
-/* A crowd costs no more than the bound; the newest are kept, and none for too long. */
+/* The repair buffer never exceeds its limit in bytes; it drops the oldest items first, and each item after a span. */
 static void keeps_bounded(void **state)
 {
     (void)state;
     SimWorld *world = sim_world_new(NULL, 1);
     const int machine = sim_machine(world);
-    sim_start(world, machine, nothing, NULL);
+    sim_start(world, machine, start_nothing, NULL);
     Loop *loop = sim_loop(world, machine);
-    Keeping keeping = {repair_buffer_new(world, loop, 30000), loop, world, 100, 1000};
-    loop_spawn(loop, "keep", keep_main, &keeping);
+    BufferFill fill = {repair_buffer_new(world, loop, 30000), loop, world, 100, 1000};
+    loop_spawn(loop, "keep", buffer_fill_main, &fill);
     sim_run_until(world, 1000);
-    assert_int_equal(repair_buffer_count(keeping.repair_buffer), 100);
-    keeping.number = 20000;
-    loop_spawn(loop, "keep", keep_main, &keeping);
+    assert_int_equal(repair_buffer_count(fill.repair_buffer), 100);
+    fill.count = 20000;
+    loop_spawn(loop, "keep", buffer_fill_main, &fill);
     sim_run_until(world, 2000);
-    assert_true(repair_buffer_bytes(keeping.repair_buffer) <= REPAIR_BUFFER_BYTES_MAX);
-    assert_true(repair_buffer_bytes(keeping.repair_buffer) > REPAIR_BUFFER_BYTES_MAX - 2000);
+    assert_true(repair_buffer_bytes(fill.repair_buffer) <= REPAIR_BUFFER_BYTES_MAX);
+    assert_true(repair_buffer_bytes(fill.repair_buffer) > REPAIR_BUFFER_BYTES_MAX - 2000);
     RepairList list = {0};
-    repair_buffer_list(keeping.repair_buffer, world, 0, &list);
+    repair_buffer_list(fill.repair_buffer, world, 0, &list);
     assert_int_equal(list.items[list.items_count - 1].index, 20000);
     assert_int_equal(list.items[0].index, 20000 - list.items_count + 1);
     sim_run_until(world, 40000);
-    repair_buffer_list(keeping.repair_buffer, world, 0, &list);
+    repair_buffer_list(fill.repair_buffer, world, 0, &list);
     assert_int_equal(list.items_count, 0);
-    assert_int_equal(repair_buffer_bytes(keeping.repair_buffer), 0);
-    /* a deployment that trusts its disks keeps nothing */
-    keeping = (Keeping){repair_buffer_new(world, loop, 0), loop, world, 100, 1000};
-    loop_spawn(loop, "keep", keep_main, &keeping);
+    assert_int_equal(repair_buffer_bytes(fill.repair_buffer), 0);
+    /* with a span of 0, for deployments that rely on their disks, nothing is kept */
+    fill = (BufferFill){repair_buffer_new(world, loop, 0), loop, world, 100, 1000};
+    loop_spawn(loop, "keep", buffer_fill_main, &fill);
     sim_run_until(world, 50000);
-    assert_int_equal(repair_buffer_count(keeping.repair_buffer), 0);
+    assert_int_equal(repair_buffer_count(fill.repair_buffer), 0);
     talloc_free(world);
 }
 
-/* After a leader was killed, the next one's flight recorder has the election that it won, with its term. */
+/* After a leader was killed, the next one's flight recorder has an event for the election that it won, and its term. */
 static void election_is_logged(void **state)
 {
     (void)state;
@@ -376,7 +383,7 @@
                                       term_counter(status.term));
     const char *kept = recorder_text(node->recorder, fleet);
     if (strstr(kept, won) == NULL)
-        fail_msg("no \"%s\" in\n%s", won, kept);
+        fail_msg("\"%s\" is missing in\n%s", won, kept);
     case_end(fleet);
 }
 
--- a/packages/sim/test/learners.c
+++ b/packages/sim/test/learners.c
@@ -1,21 +1,22 @@
-/* Learners at the moments that count: one is lost just before it would be given a vote, one has promised a term above
- * the leader's. Timelines that fail without the safeguards members-asked and learner-above (scripts/guards.py). */
+/* Learners in critical situations: one is lost just before it would be given a vote, another has promised a term above
+ * the leader's. The cases fail without the safeguards members-asked and learner-above (scripts/guards.py). */
 #include "replaced_fixture.h"
 #include "state.h"
 
-#define ADDED_MS 8000 /* ms; after a loss a learner has been added within this */
-#define STEP_MS 10    /* ms; between two tried moments */
-#define READ_MS 20    /* ms; a process that starts has read its journal, and no leader has sent it anything yet */
-#define PROMISED_MS 5 /* ms; a promise is synced within this */
-#define PROMISE_SEEDS 32
-#define TRIED_MS 700 /* ms; before the vote is given: what the leader last heard of a learner may be as old as this */
+#define ADDED_MS 8000    /* ms; within this after a loss, a learner has been given a vote */
+#define STEP_MS 10       /* ms; between two moments that are tried */
+#define READ_MS 20       /* ms; by now a started process has read its journal, and no leader has sent it anything yet */
+#define PROMISED_MS 5    /* ms; a promise is synced within this */
+#define PROMISE_SEEDS 32 /* count; seeds of the case with a higher promise */
+#define TRIED_MS 700     /* ms; before the vote: the leader's latest contact with a learner may be this old */
 
 static const Replication *replication_at(Fleet *fleet, int controller)
 {
     return controller_replication(fleet_node(fleet, FLEET_CONTROLLER, controller)->controller);
 }
 
-/* The first learner that has been given a vote; -1: none within the span. */
+/* Runs until a learner has been given a vote and returns it; -1: none within ADDED_MS. learns: which controllers are
+ * learners. */
 static int learner_added(Fleet *fleet, const bool learns[], int count)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + ADDED_MS;
@@ -28,7 +29,7 @@
     return -1;
 }
 
-/* A fleet of three voters and two learners, one of whose voters was just lost for good. */
+/* A fleet of three voters and two learners, after a voter was lost for good. */
 static Fleet *voter_gone(uint64_t seed, bool learns[5])
 {
     Fleet *fleet = begin(seed, (FleetShape){5, 3, 2, MIX_TRENTVALE, 0}, &ONE_LOSS);
@@ -38,8 +39,8 @@
     return fleet;
 }
 
-/* The learner that is about to get the vote of a lost voter is lost itself. A leader that counts on what it heard of it
- * last orders a list of four, two of which are gone: it is never committed. */
+/* The learner that is about to get the vote of a lost voter is lost itself. A leader that relies on its latest contact
+ * with the learner would append a list of four voters, two of them lost, which can never be committed. */
 static void learner_lost_just_before_its_vote(void **state)
 {
     (void)state;
@@ -63,7 +64,7 @@
     }
 }
 
-/* The only voter that has promised a higher term than before; -1: there is none, or more than one. */
+/* The only controller that has promised a higher term than promised; -1: there is none, or more than one. */
 static int only_promised(Fleet *fleet, uint64_t promised)
 {
     int found = -1, count = 0;
@@ -75,8 +76,9 @@
     return count == 1 ? found : -1;
 }
 
-/* Cuts the leader off until a voter stands for election. That one is cut off as it promises itself the next term, and
- * loses its power once the promise is synced; the leader is back. Returns it; -1: others had promised as well. */
+/* Isolates the leader until a voter starts an election, then reconnects it. The candidate is isolated when it has
+ * promised itself the next term, and is powered off once the promise is synced. Returns the candidate; -1: others had
+ * promised as well. */
 static int candidate_lost(Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
@@ -96,8 +98,8 @@
     return candidate;
 }
 
-/* The candidate that was lost is replaced, and returns as a learner whose promise is above the leader's term: it has to
- * follow all the same, for the next loss makes it a voter again. */
+/* The lost candidate is replaced and returns as a learner that has promised a term above the leader's. It must follow
+ * the leader all the same, because the next loss makes it a voter again. */
 static void learner_with_a_higher_promise(void **state)
 {
     (void)state;
--- a/packages/sim/test/leaving.c
+++ b/packages/sim/test/leaving.c
@@ -1,8 +1,8 @@
-/* Controllers that are told to end: the vote is another's when the process has ended, so that the next loss may follow
- * at once. */
+/* Graceful shutdown of controllers: when the process has ended, its vote belongs to another one, so that the cluster
+ * survives a loss right after it. */
 #include "replaced_fixture.h"
 
-/* SIGTERM; until the process has ended. */
+/* Sends SIGTERM and runs until the process has ended. */
 static void leave_to_the_end(Fleet *fleet, int controller)
 {
     fleet_leave(fleet, FLEET_CONTROLLER, controller);
@@ -10,8 +10,8 @@
         fleet_run(fleet, 10);
 }
 
-/* SIGTERM at a voter while a learner stands ready: as soon as the process has ended its
- * vote is another's, so that the next loss may follow at once. */
+/* A voter gets SIGTERM while there is a learner: as soon as the process has ended, the learner has the vote, so that
+ * the cluster survives a loss right after it. */
 static void leaves_then_loss(void **state)
 {
     (void)state;
@@ -19,16 +19,16 @@
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         const int gone = voter_drawn(fleet, seed % 2 == 0);
         leave_to_the_end(fleet, gone);
-        must_lead(fleet, "after a voter has left");
+        must_lead(fleet, "after the shutdown of a voter");
         fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed / 2 % 2 == 0));
         fleet_run(fleet, 100);
-        must_lead(fleet, "after a voter has left, and one more loss at once");
+        must_lead(fleet, "after the shutdown of a voter and a loss right after it");
         finish(fleet);
     }
 }
 
-/* A voter is lost; whichever learner is given its vote is told to end before it has heard of that. It waits until the
- * vote is the other learner's, so that the next loss may follow once it has ended. */
+/* A voter is lost, and the learner that is given its vote gets SIGTERM before it knows of the vote. It must not end
+ * until the other learner has the vote, so that the cluster survives a loss right after its end. */
 static void learner_leaves_as_it_gets_the_vote(void **state)
 {
     (void)state;
@@ -46,17 +46,17 @@
                     gone = i;
         }
         const Replication *own = controller_replication(fleet_node(fleet, FLEET_CONTROLLER, gone)->controller);
-        assert_false(replication_is_voter(own)); /* by its own log */
+        assert_false(replication_is_voter(own)); /* according to its own log */
         leave_to_the_end(fleet, gone);
-        must_lead(fleet, "after a new voter has left");
+        must_lead(fleet, "after the shutdown of a new voter");
         fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed % 2 == 0));
         fleet_run(fleet, 100);
-        must_lead(fleet, "after a new voter has left, and one more loss at once");
+        must_lead(fleet, "after the shutdown of a new voter and a loss right after it");
         finish(fleet);
     }
 }
 
-/* Without a learner it stays a voter, and does not wait for one. */
+/* Without a learner a voter that gets SIGTERM keeps its vote and ends without waiting for one. */
 static void leaves_without_learner(void **state)
 {
     (void)state;
@@ -74,8 +74,8 @@
     }
 }
 
-/* All are restarted by SIGTERM, one after another: each returns as a learner with its
- * log, or as the voter that it was; three vote all the time. */
+/* All controllers are restarted by SIGTERM one after another: each returns as a learner with its log, or as the voter
+ * that it was, and there are three voters all the time. */
 static void rolled(void **state)
 {
     (void)state;
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -1,6 +1,5 @@
-/* Losses of disk machines one right after another, as many together as must be borne,
- * under load: each time that one has returned, its voter is whole again in time for
- * the next. And everything at once. */
+/* Controllers are lost under load one right after another, each time as many as the cluster must survive: when they
+ * have returned or were replaced, all voters must be in the leader's view again in time for the next loss. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,7 +12,8 @@
 
 #include "sim/fleet.h"
 
-/* How a machine is lost and returns. */
+/* How a controller is lost and returns. CUT_IN and CUT_OUT cut the links to it and from it only, REPLACE and
+ * REPLACE_TERM replace its machine by a spare after a loss of power and after SIGTERM. */
 #define LOSS_LIST(X) \
     X(KILL)          \
     X(POWER)         \
@@ -34,28 +34,31 @@
         LOSS_COUNT
 } LossKind;
 
-static const char *const WORDS[] = {
+static const char *const LOSS_WORDS[] = {
 #define X(name) #name,
     LOSS_LIST(X)
 #undef X
 };
 
+/* A fleet that loses controllers repeatedly. */
 typedef struct Trial {
     Fleet *fleet;
     uint64_t seed;
-    size_t wanted;
-    int losses;
-    int next_spare;
-    int64_t worst_ms; /* from a return until all voters are in the view */
-    char worst[64];
+    size_t wanted;    /* number of voters */
+    int losses;       /* controllers to be lost at a time */
+    int next_spare;   /* the controller that replaces the next lost machine */
+    int64_t worst_ms; /* the longest time from a return until all voters are in the view */
+    char worst[64];   /* the loss that took this long */
 } Trial;
 
-static uint64_t drawn(Trial *trial, uint64_t below)
+/* A random number from 0 to below - 1. */
+static uint64_t random_below(Trial *trial, uint64_t below)
 {
     return sim_random(trial->fleet->world) % below;
 }
 
-static size_t in_view(Fleet *fleet)
+/* Number of voters in the leader's view; 0 when there is no leader. */
+static size_t count_in_view(Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
     if (leader < 0)
@@ -68,12 +71,13 @@
     return count;
 }
 
-/* All voters that are wanted are in the view, each of a controller that runs and is reached. */
-static bool is_whole(Trial *trial)
+/* Whether the view has the wanted number of voters, all of them on controllers that run and are reachable from the
+ * leader. */
+static bool all_voters_in_view(Trial *trial)
 {
     Fleet *fleet = trial->fleet;
     const int leader = fleet_leader(fleet);
-    if (leader < 0 || in_view(fleet) != trial->wanted)
+    if (leader < 0 || count_in_view(fleet) != trial->wanted)
         return false;
     uint64_t disks[VOTERS_MAX];
     const FleetNode *first = fleet_node(fleet, FLEET_CONTROLLER, leader);
@@ -91,6 +95,7 @@
     return good == trial->wanted;
 }
 
+/* Whether the controller runs and has a vote according to the leader. */
 static bool is_voter(Fleet *fleet, int controller)
 {
     uint64_t disks[VOTERS_MAX];
@@ -106,12 +111,14 @@
     return false;
 }
 
-typedef struct Lost {
+/* A controller that is lost. */
+typedef struct LostController {
     int controller;
     LossKind kind;
-} Lost;
+} LostController;
 
-static void strike(Trial *trial, Lost *lost, int64_t out_ms)
+/* Causes the loss. out_ms: how long a freeze lasts. */
+static void cause_loss(Trial *trial, LostController *lost, int64_t out_ms)
 {
     Fleet *fleet = trial->fleet;
     FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, lost->controller);
@@ -159,7 +166,8 @@
     }
 }
 
-static void back(Trial *trial, Lost *lost)
+/* Ends the loss: the controller returns, or a spare replaces its machine. */
+static void end_loss(Trial *trial, LostController *lost)
 {
     Fleet *fleet = trial->fleet;
     FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, lost->controller);
@@ -171,7 +179,7 @@
         fleet_start_node(fleet, FLEET_CONTROLLER, lost->controller);
         break;
     case LOSS_FREEZE:
-        break; /* by itself */
+        break; /* ends by itself */
     case LOSS_CUT:
     case LOSS_CUT_IN:
     case LOSS_CUT_OUT:
@@ -184,13 +192,13 @@
     case LOSS_DISK_FAILS:
         sim_disk_fail(fleet->world, node->machine, false);
         break;
-    default: /* another machine, for good */
+    default: /* a spare replaces the machine for good */
         fleet_start_node(fleet, FLEET_CONTROLLER, trial->next_spare++);
         break;
     }
 }
 
-/* The longest time without an acceptance since then. */
+/* The longest time without an accepted job since since_ms. */
 static int64_t gap_ms(Fleet *fleet, int64_t since_ms)
 {
     CallerJob *const *jobs;
@@ -207,13 +215,15 @@
     return worst;
 }
 
-static int64_t wait_ms(Trial *trial, LossKind kind)
+/* How long a loss of this kind lasts; drawn at random. */
+static int64_t outage_ms(Trial *trial, LossKind kind)
 {
-    return kind == LOSS_REPLACE || kind == LOSS_REPLACE_TERM ? 1200 + (int64_t)drawn(trial, 800)
-                                                             : 700 + (int64_t)drawn(trial, 5000);
+    return kind == LOSS_REPLACE || kind == LOSS_REPLACE_TERM ? 1200 + (int64_t)random_below(trial, 800)
+                                                             : 700 + (int64_t)random_below(trial, 5000);
 }
 
-static void voters_show(Fleet *fleet)
+/* Prints the replication state of each controller, and the leader's view of its voters. */
+static void dump_voters(Fleet *fleet)
 {
     ReplicationStatus reach;
     for (int c = 0; c < fleet->node_count[FLEET_CONTROLLER]; c++) {
@@ -221,77 +231,79 @@
         if (!node->up || node->controller == NULL)
             continue;
         replication_status(controller_replication(node->controller), &reach);
-        fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
+        fprintf(stderr, "%s disk %llx phase %d term %llx last %llu commit %llu delivered %llu base %llu\n",
                 node->settings.name, (unsigned long long)replication_disk(controller_replication(node->controller)),
                 (int)reach.phase, (unsigned long long)reach.term, (unsigned long long)reach.last_index,
                 (unsigned long long)reach.commit_index, (unsigned long long)reach.delivered_index,
                 (unsigned long long)reach.base_index);
         for (size_t i = 0; i < reach.voter_count && reach.phase == REPLICATION_LEADING; i++)
-            fprintf(stderr, "   %llx inView %d answers %d woke %d sync %ld match %llu\n",
+            fprintf(stderr, "   %llx in view %d answers %d restarted %d sync %ld ms match %llu\n",
                     (unsigned long long)reach.voters[i].disk, reach.voters[i].in_view, reach.voters[i].answers,
                     reach.voters[i].restarted, (long)reach.voters[i].sync_ms,
                     (unsigned long long)reach.voters[i].match_index);
     }
 }
 
-/* Strikes as many controllers with a vote as may be lost together, has them return together,
- * and waits for the voters. */
+/* Loses as many voters together as the cluster must survive, lets them return together, and asserts that all voters are
+ * in the view again within bound_ms. The first loss is of the given kind, the others of random kinds. The environment
+ * variable SPANCART_LOSSES makes it print each loss. */
 static void loss_attempt(Trial *trial, LossKind kind, bool with_leader, int64_t bound_ms)
 {
     Fleet *fleet = trial->fleet;
-    Lost lost[4];
+    LostController lost[4];
     int count = 0;
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     if (with_leader)
-        lost[count++] = (Lost){leader, kind};
+        lost[count++] = (LostController){leader, kind};
     for (int tries = 0; tries < 200 && count < trial->losses; tries++) {
-        const int controller = (int)drawn(trial, (uint64_t)fleet->node_count[FLEET_CONTROLLER]);
+        const int controller = (int)random_below(trial, (uint64_t)fleet->node_count[FLEET_CONTROLLER]);
         bool again = !is_voter(fleet, controller) || controller == leader;
         for (int i = 0; i < count; i++)
             again |= lost[i].controller == controller;
         if (again)
             continue;
-        const LossKind next = count == 0 ? kind : (LossKind)drawn(trial, LOSS_COUNT);
-        lost[count++] = (Lost){controller, next};
+        const LossKind next = count == 0 ? kind : (LossKind)random_below(trial, LOSS_COUNT);
+        lost[count++] = (LostController){controller, next};
     }
-    int64_t out_ms = wait_ms(trial, kind);
+    int64_t out_ms = outage_ms(trial, kind);
     for (int i = 0; i < count; i++)
         if (lost[i].kind == LOSS_REPLACE || lost[i].kind == LOSS_REPLACE_TERM)
-            out_ms = wait_ms(trial, lost[i].kind);
+            out_ms = outage_ms(trial, lost[i].kind);
     for (int i = 0; i < count; i++)
-        strike(trial, &lost[i], out_ms);
+        cause_loss(trial, &lost[i], out_ms);
     fleet_run(fleet, out_ms);
     for (int i = 0; i < count; i++)
-        back(trial, &lost[i]);
+        end_loss(trial, &lost[i]);
     const int64_t from_ms = sim_now_ms(fleet->world);
     int64_t took_ms = 0;
     bool whole = false;
     for (; !whole && took_ms < bound_ms; took_ms = sim_now_ms(fleet->world) - from_ms) {
         fleet_run(fleet, 20);
-        whole = is_whole(trial);
+        whole = all_voters_in_view(trial);
     }
     if (getenv("SPANCART_LOSSES") != NULL) {
-        printf("%8ld %s%s", (long)from_ms, with_leader ? "leader " : "", whole ? "" : "NOT WHOLE ");
+        printf("%8ld %s%s", (long)from_ms, with_leader ? "leader " : "", whole ? "" : "VOTERS MISSING ");
         for (int i = 0; i < count; i++)
-            printf("%s(core%d) ", WORDS[lost[i].kind], lost[i].controller + 1);
-        printf("out %ld, whole after %ld, gap %ld\n", (long)out_ms, (long)took_ms,
+            printf("%s(core%d) ", LOSS_WORDS[lost[i].kind], lost[i].controller + 1);
+        printf("lost for %ld ms, all voters in view after %ld ms, longest gap %ld ms\n", (long)out_ms, (long)took_ms,
                (long)gap_ms(fleet, from_ms - out_ms));
     }
     if (took_ms > trial->worst_ms) {
         trial->worst_ms = took_ms;
-        snprintf(trial->worst, sizeof(trial->worst), "%s%s", with_leader ? "leader " : "", WORDS[kind]);
+        snprintf(trial->worst, sizeof(trial->worst), "%s%s", with_leader ? "leader " : "", LOSS_WORDS[kind]);
     }
     if (!whole || checker_broken_all(fleet->checker) > 0) {
         fleet_dump(fleet);
-        voters_show(fleet);
-        fail_msg("seed %u: %s after %s of %s: %zu of %zu seats in the view", (unsigned)trial->seed,
-                 checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "not whole in time",
-                 WORDS[kind], with_leader ? "the leader" : "a follower", in_view(fleet), trial->wanted);
+        dump_voters(fleet);
+        fail_msg("seed %u: %s after %s of %s: %zu of %zu voters in the view", (unsigned)trial->seed,
+                 checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "voters missing too long",
+                 LOSS_WORDS[kind], with_leader ? "the leader" : "a follower", count_in_view(fleet), trial->wanted);
     }
 }
 
-static void one(uint64_t seed, FleetShape shape, const FleetSite *site, size_t wanted, int attempts)
+/* Runs one trial of attempts losses; they go through all kinds in turn, alternately with and without the leader. */
+static void run_trial(uint64_t seed, FleetShape shape, const FleetSite *site, size_t wanted, int attempts)
 {
     Trial trial = {.seed = seed, .wanted = wanted, .losses = site->losses, .next_spare = shape.controllers};
     Fleet *fleet = trial.fleet = fleet_new_at(NULL, seed, shape, site);
@@ -305,7 +317,7 @@
         const LossKind kind = (LossKind)((seed * 5 + (uint64_t)i) % LOSS_COUNT);
         loss_attempt(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->voter_back_ms - 300);
     }
-    printf("seed %u: seats whole at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worst_ms,
+    printf("seed %u: all voters in view at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worst_ms,
            trial.worst);
     for (int i = 0; i < fleet->caller_count; i++)
         caller_stop(fleet->callers[i]);
@@ -322,7 +334,7 @@
     (void)state;
     const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = 4000};
     for (uint64_t seed = 1; seed <= 4; seed++)
-        one(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 12}, &site, 3, 2 * LOSS_COUNT);
+        run_trial(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 12}, &site, 3, 2 * LOSS_COUNT);
 }
 
 static void five_voters_of_six(void **state)
@@ -330,7 +342,7 @@
     (void)state;
     const FleetSite site = {.zones = 3, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000};
     for (uint64_t seed = 1; seed <= 3; seed++)
-        one(seed, (FleetShape){6, 4, 6, MIX_ATLAS, 20}, &site, 5, LOSS_COUNT);
+        run_trial(seed, (FleetShape){6, 4, 6, MIX_ATLAS, 20}, &site, 5, LOSS_COUNT);
 }
 
 static void five_voters_of_eight(void **state)
@@ -338,7 +350,7 @@
     (void)state;
     const FleetSite site = {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000};
     for (uint64_t seed = 4; seed <= 6; seed++)
-        one(seed, (FleetShape){8, 4, 6, MIX_TRENTVALE, 20}, &site, 5, LOSS_COUNT);
+        run_trial(seed, (FleetShape){8, 4, 6, MIX_TRENTVALE, 20}, &site, 5, LOSS_COUNT);
 }
 
 int main(void)
--- a/packages/sim/test/member_exchange.c
+++ b/packages/sim/test/member_exchange.c
@@ -1,64 +1,67 @@
-/* The exchange of the member table between controllers, entry points and agents that run nothing else: what it costs
- * each of them by the size of the fleet, and how soon and how surely a controller knows every member. */
+/* The exchange of the member table in a fleet whose processes run nothing else: what it costs each role by the size of
+ * the fleet, and how soon and how reliably controllers know every member. */
 #include "member_fixture.h"
 
-#define LINK_BYTES_MS 250     /* bytes a ms; an entry point's link of 2 Mbit/s */
-#define MOST_BYTES_S 25000    /* bytes a second; a tenth of that link */
-#define SETTLE_MS 10000       /* ms; all have found each other */
-#define MEASURED_MS 20000     /* ms; several hellos of each member to each seed */
-#define JOIN_MS 1500          /* ms; a controller that has restarted begins its repair REPAIR_HEAR_MS after its start */
-#define JOIN_LOSS_MS 12000    /* ms; the same while a tenth of all frames are lost */
-#define START_JOIN_MS 3000    /* ms; after the last of them has started */
-#define START_SEED_BYTES 2500 /* bytes for each member */
-#define FLAT_PERCENT 110      /* percent; what the cost may be in a fleet three times as large */
+#define LINK_BYTES_MS 250     /* bytes/ms; an entry point's link of 2 Mbit/s */
+#define MOST_BYTES_S 25000    /* bytes/s; a tenth of that link */
+#define SETTLE_MS 10000       /* ms; all members have found each other within this */
+#define MEASURED_MS 20000     /* ms; long enough for several hellos of each member to each seed */
+#define JOIN_MS 1500          /* ms; limit for a join: a restarted controller begins its repair after REPAIR_HEAR_MS */
+#define JOIN_LOSS_MS 12000    /* ms; limit for a join while a tenth of all frames are lost */
+#define START_JOIN_MS 3000    /* ms; limit for the join of all after the last one has started */
+#define START_SEED_BYTES 2500 /* bytes for each member; limit for a seed's traffic while all start */
+#define FLAT_PERCENT 110      /* percent; limit for the cost in a fleet three times as large */
 
-static const int SIZES[] = {30, 100, CROWD_MOST};
+/* Members of the fleets that are measured. */
+static const int SIZES[] = {30, 100, MEMBER_FLEET_MAX};
 
-/* What membership costs the members of a role, bytes a second both ways. */
+/* Traffic of the members of a role, sent and received, in bytes per second. */
 typedef struct Cost {
     uint64_t most, mean;
 } Cost;
 
-static uint64_t carried(const Crowd *crowd, int number)
+/* Bytes that the member has sent and received so far. */
+static uint64_t traffic_bytes(const MemberFleet *fleet, int number)
 {
-    const int machine = crowd->nodes[number].machine;
-    return sim_sent_bytes(crowd->world, machine) + sim_received_bytes(crowd->world, machine);
+    const int machine = fleet->nodes[number].machine;
+    return sim_sent_bytes(fleet->world, machine) + sim_received_bytes(fleet->world, machine);
 }
 
-static void costs_take(uint64_t seed, int size, Cost costs[ROLE_COUNT])
+/* Measures the traffic of each role in a settled fleet. */
+static void measure_costs(uint64_t seed, int size, Cost costs[ROLE_COUNT])
 {
-    Crowd *crowd = crowd_new(seed, size);
+    MemberFleet *fleet = member_fleet_new(seed, size);
     for (int i = 0; i < size; i++)
-        if (crowd->nodes[i].role == ROLE_ENTRY_POINT)
-            sim_link_rate(crowd->world, crowd->nodes[i].machine, LINK_BYTES_MS);
-    crowd_start(crowd, size);
-    crowd_run(crowd, SETTLE_MS);
-    uint64_t *before = talloc_array(crowd, uint64_t, (unsigned)size);
+        if (fleet->nodes[i].role == ROLE_ENTRY_POINT)
+            sim_link_rate(fleet->world, fleet->nodes[i].machine, LINK_BYTES_MS);
+    member_fleet_start(fleet, size);
+    member_fleet_run(fleet, SETTLE_MS);
+    uint64_t *before = talloc_array(fleet, uint64_t, (unsigned)size);
     for (int i = 0; i < size; i++)
-        before[i] = carried(crowd, i);
-    crowd_run(crowd, MEASURED_MS);
+        before[i] = traffic_bytes(fleet, i);
+    member_fleet_run(fleet, MEASURED_MS);
     for (int i = 0; i < size; i++) {
-        Cost *cost = &costs[crowd->nodes[i].role];
-        const uint64_t bytes_s = (carried(crowd, i) - before[i]) * 1000 / MEASURED_MS;
+        Cost *cost = &costs[fleet->nodes[i].role];
+        const uint64_t bytes_s = (traffic_bytes(fleet, i) - before[i]) * 1000 / MEASURED_MS;
         cost->most = bytes_s > cost->most ? bytes_s : cost->most;
         cost->mean += bytes_s;
     }
     for (int role = 0; role < ROLE_COUNT; role++) {
-        costs[role].mean /= (uint64_t)crowd_count(crowd, (Role)role);
-        print_message("%d members, %s: %llu bytes a second, the busiest %llu\n", size, role_word((Role)role),
+        costs[role].mean /= (uint64_t)member_fleet_count(fleet, (Role)role);
+        print_message("%d members, %s: mean %llu bytes/s, highest %llu bytes/s\n", size, role_word((Role)role),
                       (unsigned long long)costs[role].mean, (unsigned long long)costs[role].most);
     }
-    talloc_free(crowd);
+    talloc_free(fleet);
 }
 
-/* The member table in every hello filled the links of 2 Mbit/s at 300 members: callers' answers waited behind it until
- * their connections ended. */
+/* Guards against traffic that grows with the fleet: with the member table in every hello, links of 2 Mbit/s were full
+ * at 300 members, and responses to callers waited behind it until their connections ended. */
 static void exchange_fills_narrow_links(void **state)
 {
     (void)state;
     Cost costs[3][ROLE_COUNT] = {0};
     for (size_t i = 0; i < sizeof(SIZES) / sizeof(SIZES[0]); i++) {
-        costs_take(1, SIZES[i], costs[i]);
+        measure_costs(1, SIZES[i], costs[i]);
         for (int role = ROLE_ENTRY_POINT; role < ROLE_COUNT; role++) {
             assert_true(costs[i][role].most < MOST_BYTES_S);
             if (i > 0)
@@ -67,11 +70,11 @@
     }
 }
 
-/* Of a thousand frames, how many are lost in a trial. */
+/* How many of a thousand frames are lost. */
 static const unsigned LOST_MILLI[] = {0, 10, 100};
 
-/* A partial view must not hide members from the controllers: one that starts, or starts anew at another address, is
- * known to all of them, and knows all of them, before the repair after a loss begins. */
+/* Guards against members with a partial view hiding others from the controllers: a member that starts, or restarts at
+ * another address, must be known to all controllers, and know all of them, before the repair after a loss begins. */
 static void newcomer_unknown_to_controllers(void **state)
 {
     (void)state;
@@ -79,79 +82,79 @@
         for (size_t k = 0; k < sizeof(LOST_MILLI) / sizeof(LOST_MILLI[0]); k++) {
             const int size = SIZES[i], newcomer = size - 1;
             const int64_t most_ms = LOST_MILLI[k] < 100 ? JOIN_MS : JOIN_LOSS_MS;
-            Crowd *crowd = crowd_new(1, size);
-            crowd_start(crowd, size - 1);
-            crowd_run(crowd, SETTLE_MS);
-            sim_frames(crowd->world, LOST_MILLI[k], 0, 0);
-            crowd_node_start_now(&crowd->nodes[newcomer]);
-            const int64_t joined_ms = crowd_join_ms(crowd, newcomer, 3 * JOIN_LOSS_MS);
-            sim_kill(crowd->world, crowd->nodes[newcomer].machine);
-            crowd_run(crowd, HELLO_MS);
-            crowd_move(crowd, newcomer);
-            const int64_t moved_ms = crowd_join_ms(crowd, newcomer, 3 * JOIN_LOSS_MS);
+            MemberFleet *fleet = member_fleet_new(1, size);
+            member_fleet_start(fleet, size - 1);
+            member_fleet_run(fleet, SETTLE_MS);
+            sim_frames(fleet->world, LOST_MILLI[k], 0, 0);
+            member_node_start_now(&fleet->nodes[newcomer]);
+            const int64_t joined_ms = member_fleet_join_ms(fleet, newcomer, 3 * JOIN_LOSS_MS);
+            sim_kill(fleet->world, fleet->nodes[newcomer].machine);
+            member_fleet_run(fleet, HELLO_MS);
+            member_fleet_move(fleet, newcomer);
+            const int64_t moved_ms = member_fleet_join_ms(fleet, newcomer, 3 * JOIN_LOSS_MS);
             print_message("%d members, %u of 1,000 frames lost: joined in %lld ms, moved in %lld ms\n", size,
                           LOST_MILLI[k], (long long)joined_ms, (long long)moved_ms);
             assert_true(joined_ms <= most_ms && moved_ms <= most_ms);
-            talloc_free(crowd);
+            talloc_free(fleet);
         }
 }
 
-/* How long after all have started every member has joined, at most so long. */
-static int64_t all_joined_ms(Crowd *crowd, int64_t most_ms)
+/* Runs until every member has joined, for at most most_ms. Returns the time that this took, in ms. */
+static int64_t all_joined_ms(MemberFleet *fleet, int64_t most_ms)
 {
     int64_t joined_ms = 0;
-    for (int i = 0; i < crowd->size; i++)
-        joined_ms += crowd_join_ms(crowd, i, most_ms - joined_ms);
+    for (int i = 0; i < fleet->size; i++)
+        joined_ms += member_fleet_join_ms(fleet, i, most_ms - joined_ms);
     return joined_ms;
 }
 
 /* Bytes that the busiest seed has sent and received so far. */
-static uint64_t seed_carried(const Crowd *crowd)
+static uint64_t seed_traffic_bytes(const MemberFleet *fleet)
 {
     uint64_t most = 0;
-    for (int i = crowd->seed; i < crowd->seed + SEEDS; i++)
-        most = carried(crowd, i) > most ? carried(crowd, i) : most;
+    for (int i = fleet->seed; i < fleet->seed + SEEDS; i++)
+        most = traffic_bytes(fleet, i) > most ? traffic_bytes(fleet, i) : most;
     return most;
 }
 
-/* All start within 0.3 s from three seeds that are entry points with narrow links, and again after all were killed: the
- * seeds' links must not be full for longer than the start of work may wait. */
+/* All members start within 0.3 s, with three entry points on narrow links as their seeds, and again after all were
+ * killed: the seeds' links must not be saturated for longer than the start of tasks may be delayed. */
 static void start_of_all_floods_seeds(void **state)
 {
     (void)state;
     for (size_t i = 0; i < sizeof(SIZES) / sizeof(SIZES[0]); i++) {
-        Crowd *crowd = crowd_new(1, SIZES[i]);
-        crowd->seed = CROWD_CONTROLLERS;
-        for (int k = crowd->seed; k < crowd->seed + SEEDS; k++)
-            sim_link_rate(crowd->world, crowd->nodes[k].machine, LINK_BYTES_MS);
+        MemberFleet *fleet = member_fleet_new(1, SIZES[i]);
+        fleet->seed = MEMBER_FLEET_CONTROLLERS;
+        for (int k = fleet->seed; k < fleet->seed + SEEDS; k++)
+            sim_link_rate(fleet->world, fleet->nodes[k].machine, LINK_BYTES_MS);
         for (int start = 0; start < 2; start++) {
-            const uint64_t before = seed_carried(crowd);
-            crowd_start(crowd, crowd->size);
-            const int64_t joined_ms = all_joined_ms(crowd, 3 * START_JOIN_MS);
-            crowd_run(crowd, START_JOIN_MS);
-            const uint64_t bytes = seed_carried(crowd) - before;
-            print_message("%d members start, %d: all joined %lld ms after the last, the busiest seed %llu bytes\n",
-                          crowd->size, start, (long long)joined_ms, (unsigned long long)bytes);
+            const uint64_t before = seed_traffic_bytes(fleet);
+            member_fleet_start(fleet, fleet->size);
+            const int64_t joined_ms = all_joined_ms(fleet, 3 * START_JOIN_MS);
+            member_fleet_run(fleet, START_JOIN_MS);
+            const uint64_t bytes = seed_traffic_bytes(fleet) - before;
+            print_message("%d members, start %d: all joined %lld ms after the last start, busiest seed %llu bytes\n",
+                          fleet->size, start, (long long)joined_ms, (unsigned long long)bytes);
             assert_true(joined_ms <= START_JOIN_MS);
-            assert_true(bytes < (uint64_t)START_SEED_BYTES * (uint64_t)crowd->size);
-            for (int k = 0; k < crowd->size; k++)
-                sim_kill(crowd->world, crowd->nodes[k].machine);
-            crowd_run(crowd, HELLO_MS);
+            assert_true(bytes < (uint64_t)START_SEED_BYTES * (uint64_t)fleet->size);
+            for (int k = 0; k < fleet->size; k++)
+                sim_kill(fleet->world, fleet->nodes[k].machine);
+            member_fleet_run(fleet, HELLO_MS);
         }
-        talloc_free(crowd);
+        talloc_free(fleet);
     }
 }
 
-/* How many times a controller held a member that runs to be quiet within the span. */
-static int suspicions(Crowd *crowd, int64_t span_ms)
+/* How many times within the span a controller considered a running member quiet. */
+static int count_suspicions(MemberFleet *fleet, int64_t span_ms)
 {
     int count = 0;
-    bool(*known)[CROWD_MOST] = talloc_zero_size(crowd, sizeof(bool[CROWD_CONTROLLERS][CROWD_MOST]));
-    for (const int64_t until_ms = sim_now_ms(crowd->world) + span_ms; sim_now_ms(crowd->world) < until_ms;) {
-        crowd_run(crowd, 50);
-        for (int i = 0; i < CROWD_CONTROLLERS; i++)
-            for (int other = 0; other < crowd->size; other++) {
-                const bool knows = crowd_knows(crowd, i, other);
+    bool(*known)[MEMBER_FLEET_MAX] = talloc_zero_size(fleet, sizeof(bool[MEMBER_FLEET_CONTROLLERS][MEMBER_FLEET_MAX]));
+    for (const int64_t until_ms = sim_now_ms(fleet->world) + span_ms; sim_now_ms(fleet->world) < until_ms;) {
+        member_fleet_run(fleet, 50);
+        for (int i = 0; i < MEMBER_FLEET_CONTROLLERS; i++)
+            for (int other = 0; other < fleet->size; other++) {
+                const bool knows = member_fleet_knows(fleet, i, other);
                 count += known[i][other] && !knows;
                 known[i][other] = knows;
             }
@@ -159,51 +162,50 @@
     return count;
 }
 
-/* Controllers hear of other members from these alone: a lost message must not make a member look gone. */
+/* Controllers learn that a member is alive only from the member itself: lost messages must not make it look gone. */
 static void lost_messages_raise_suspicion(void **state)
 {
     (void)state;
     for (size_t i = 0; i < sizeof(SIZES) / sizeof(SIZES[0]); i++)
         for (size_t k = 0; k < sizeof(LOST_MILLI) / sizeof(LOST_MILLI[0]); k++) {
-            Crowd *crowd = crowd_new(1, SIZES[i]);
-            crowd_start(crowd, SIZES[i]);
-            crowd_run(crowd, SETTLE_MS);
-            sim_frames(crowd->world, LOST_MILLI[k], 0, 0);
-            const int count = suspicions(crowd, MEASURED_MS);
+            MemberFleet *fleet = member_fleet_new(1, SIZES[i]);
+            member_fleet_start(fleet, SIZES[i]);
+            member_fleet_run(fleet, SETTLE_MS);
+            sim_frames(fleet->world, LOST_MILLI[k], 0, 0);
+            const int count = count_suspicions(fleet, MEASURED_MS);
             print_message("%d members, %u of 1,000 frames lost: %d suspicions in %d s\n", SIZES[i], LOST_MILLI[k],
                           count, MEASURED_MS / 1000);
             if (LOST_MILLI[k] < 100)
                 assert_int_equal(count, 0);
-            talloc_free(crowd);
+            talloc_free(fleet);
         }
 }
 
-/* Rows of controllers that were removed long ago. */
-#define REMOVED 3
+#define REMOVED 3 /* count; controllers that were removed long ago and are still in the member tables */
 
-/* LOST: entry points greeted removed controllers only, so a leader that had lost its memory did not ask them in time
- * for what they keep. */
+/* Guards against a loss of acknowledged changes: entry points sent hellos to removed controllers only, so a leader
+ * whose state was lost did not know them in time to ask for their repair buffers. */
 static void removed_controllers_hide_entry_points(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 5; seed++) {
-        Crowd *crowd = crowd_new(seed, SIZES[1]);
-        crowd_start(crowd, SIZES[1]);
-        crowd_run(crowd, SETTLE_MS);
+        MemberFleet *fleet = member_fleet_new(seed, SIZES[1]);
+        member_fleet_start(fleet, SIZES[1]);
+        member_fleet_run(fleet, SETTLE_MS);
         for (int i = 0; i < REMOVED; i++)
-            sim_kill(crowd->world, crowd->nodes[i].machine);
-        crowd_run(crowd, SETTLE_MS);
-        for (int i = REMOVED; i < CROWD_CONTROLLERS; i++)
-            sim_kill(crowd->world, crowd->nodes[i].machine);
-        crowd_run(crowd, JOIN_MS);
-        for (int i = REMOVED; i < CROWD_CONTROLLERS; i++)
-            crowd_node_start_now(&crowd->nodes[i]);
-        crowd_run(crowd, REPAIR_HEAR_MS);
-        for (int i = CROWD_CONTROLLERS; i < SIZES[1]; i++)
-            for (int k = REMOVED; k < CROWD_CONTROLLERS && crowd->nodes[i].role == ROLE_ENTRY_POINT; k++)
-                if (!crowd_knows(crowd, k, i))
-                    fail_msg("seed %d: %s does not know %s", (int)seed, crowd->nodes[k].name, crowd->nodes[i].name);
-        talloc_free(crowd);
+            sim_kill(fleet->world, fleet->nodes[i].machine);
+        member_fleet_run(fleet, SETTLE_MS);
+        for (int i = REMOVED; i < MEMBER_FLEET_CONTROLLERS; i++)
+            sim_kill(fleet->world, fleet->nodes[i].machine);
+        member_fleet_run(fleet, JOIN_MS);
+        for (int i = REMOVED; i < MEMBER_FLEET_CONTROLLERS; i++)
+            member_node_start_now(&fleet->nodes[i]);
+        member_fleet_run(fleet, REPAIR_HEAR_MS);
+        for (int i = MEMBER_FLEET_CONTROLLERS; i < SIZES[1]; i++)
+            for (int k = REMOVED; k < MEMBER_FLEET_CONTROLLERS && fleet->nodes[i].role == ROLE_ENTRY_POINT; k++)
+                if (!member_fleet_knows(fleet, k, i))
+                    fail_msg("seed %d: %s does not know %s", (int)seed, fleet->nodes[k].name, fleet->nodes[i].name);
+        talloc_free(fleet);
     }
 }
 
