--- a/packages/sim/test/member_fixture.h
+++ b/packages/sim/test/member_fixture.h
@@ -1,7 +1,8 @@
 #ifndef SIM_TEST_MEMBER_FIXTURE_H
 #define SIM_TEST_MEMBER_FIXTURE_H
 
-/* A fleet of which each process runs the membership alone, so that all its bytes are membership's. */
+/* Fixture of the tests of membership: a fleet whose processes run nothing but the membership, so that all its traffic
+ * is the membership's. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,36 +15,38 @@
 #include "member/members.h"
 #include "sim/world.h"
 
-#define CROWD_MOST 300      /* count; members of the largest fleet */
-#define CROWD_CONTROLLERS 5 /* count; the first numbers are theirs, the next ones the entry points' */
-#define CROWD_ENTRY_PART 5  /* count; one member in so many is an entry point */
-#define CROWD_START_MS 300  /* ms; all start within this */
-#define CROWD_CLUSTER 7
+#define MEMBER_FLEET_MAX 300       /* count; members of the largest fleet */
+#define MEMBER_FLEET_CONTROLLERS 5 /* count; controllers have the first numbers, entry points the next ones */
+#define MEMBERS_PER_ENTRY_POINT 5  /* count; one member in this many is an entry point */
+#define MEMBER_FLEET_START_MS 300  /* ms; all members start within this span */
+#define MEMBER_FLEET_CLUSTER 7     /* identifier of the fleet's cluster */
 
-typedef struct CrowdNode {
-    struct Crowd *crowd;
+/* A member and the machine that it runs on. */
+typedef struct MemberNode {
+    struct MemberFleet *fleet;
     int machine;
     Role role;
     const char *name, *address;
-    Members *members; /* null: it does not run */
-} CrowdNode;
+    Members *members; /* null until the process has started for the first time */
+} MemberNode;
 
-typedef struct Crowd {
+typedef struct MemberFleet {
     SimWorld *world;
     int size;
-    int seed; /* the number of the first of three seeds; usually controllers */
-    CrowdNode nodes[CROWD_MOST];
-} Crowd;
+    int seed; /* number of the first of the three seeds, which have consecutive numbers; 0, a controller, by default */
+    MemberNode nodes[MEMBER_FLEET_MAX];
+} MemberFleet;
 
-static inline void crowd_node_start(void *arg, Loop *loop)
+/* A SimStart; arg is the node. */
+static inline void member_node_start(void *arg, Loop *loop)
 {
-    CrowdNode *node = arg;
-    Crowd *crowd = node->crowd;
+    MemberNode *node = arg;
+    MemberFleet *fleet = node->fleet;
     Recorder *recorder = recorder_new(loop, node->name);
     recorder_quiet(recorder);
     Rpc *rpc = rpc_new(loop, loop, recorder);
     if (node->role == ROLE_CONTROLLER)
-        rpc_set_cluster(rpc, CROWD_CLUSTER);
+        rpc_set_cluster(rpc, MEMBER_FLEET_CLUSTER);
     char address[ADDRESS_MAX];
     assert_int_equal(rpc_listen(rpc, node->address, address, NULL), STATUS_OK);
     const MemberRecord self = {.id = node->name,
@@ -54,93 +57,95 @@
                                .http = node->address,
                                .incarnation = (uint64_t)loop_wall_ms(loop),
                                .disk = node->role == ROLE_CONTROLLER ? (uint64_t)node->machine + 1 : 0};
-    const CrowdNode *seed = &crowd->nodes[crowd->seed];
+    const MemberNode *seed = &fleet->nodes[fleet->seed];
     const char *const seeds[SEEDS] = {seed[0].address, seed[1].address, seed[2].address};
     node->members = members_new(loop, loop, rpc, recorder, &self, seeds);
     members_start(node->members);
 }
 
-static inline void crowd_node_start_now(void *arg)
+/* A SimFn that starts the node's process; arg is the node. */
+static inline void member_node_start_now(void *arg)
 {
-    CrowdNode *node = arg;
-    sim_start(node->crowd->world, node->machine, crowd_node_start, node);
+    MemberNode *node = arg;
+    sim_start(node->fleet->world, node->machine, member_node_start, node);
 }
 
-/* On no parent; nothing runs yet. */
-static inline Crowd *crowd_new(uint64_t seed, int size)
+/* A fleet without a talloc parent, which the caller frees; nothing runs yet. */
+static inline MemberFleet *member_fleet_new(uint64_t seed, int size)
 {
-    Crowd *crowd = talloc_zero(NULL, Crowd);
-    crowd->world = sim_world_new(crowd, seed);
-    crowd->size = size;
+    MemberFleet *fleet = talloc_zero(NULL, MemberFleet);
+    fleet->world = sim_world_new(fleet, seed);
+    fleet->size = size;
     for (int i = 0; i < size; i++) {
-        CrowdNode *node = &crowd->nodes[i];
-        node->crowd = crowd;
-        node->machine = sim_machine(crowd->world);
-        node->role = i < CROWD_CONTROLLERS                             ? ROLE_CONTROLLER
-                     : i < CROWD_CONTROLLERS + size / CROWD_ENTRY_PART ? ROLE_ENTRY_POINT
-                                                                       : ROLE_AGENT;
-        node->name = talloc_asprintf(crowd, "member-%03d", i);
-        node->address = talloc_asprintf(crowd, "%s:7000", sim_address(crowd->world, node->machine));
+        MemberNode *node = &fleet->nodes[i];
+        node->fleet = fleet;
+        node->machine = sim_machine(fleet->world);
+        node->role = i < MEMBER_FLEET_CONTROLLERS                                    ? ROLE_CONTROLLER
+                     : i < MEMBER_FLEET_CONTROLLERS + size / MEMBERS_PER_ENTRY_POINT ? ROLE_ENTRY_POINT
+                                                                                     : ROLE_AGENT;
+        node->name = talloc_asprintf(fleet, "member-%03d", i);
+        node->address = talloc_asprintf(fleet, "%s:7000", sim_address(fleet->world, node->machine));
     }
-    return crowd;
+    return fleet;
 }
 
-static inline void crowd_run(Crowd *crowd, int64_t for_ms)
+static inline void member_fleet_run(MemberFleet *fleet, int64_t for_ms)
 {
-    sim_run_until(crowd->world, sim_now_ms(crowd->world) + for_ms);
+    sim_run_until(fleet->world, sim_now_ms(fleet->world) + for_ms);
 }
 
-/* Starts the process anew on another machine; it must not run. */
-static inline void crowd_move(Crowd *crowd, int number)
+/* Starts the member's process on another machine; it must not be running. */
+static inline void member_fleet_move(MemberFleet *fleet, int number)
 {
-    CrowdNode *node = &crowd->nodes[number];
-    node->machine = sim_machine(crowd->world);
-    node->address = talloc_asprintf(crowd, "%s:7000", sim_address(crowd->world, node->machine));
-    crowd_node_start_now(node);
+    MemberNode *node = &fleet->nodes[number];
+    node->machine = sim_machine(fleet->world);
+    node->address = talloc_asprintf(fleet, "%s:7000", sim_address(fleet->world, node->machine));
+    member_node_start_now(node);
 }
 
-/* Starts the first count of them within CROWD_START_MS, and runs until then. */
-static inline void crowd_start(Crowd *crowd, int count)
+/* Starts the first count members at random moments within MEMBER_FLEET_START_MS, and runs until that span is over. */
+static inline void member_fleet_start(MemberFleet *fleet, int count)
 {
     for (int i = 0; i < count; i++)
-        sim_at(crowd->world, sim_now_ms(crowd->world) + (int64_t)(sim_random(crowd->world) % CROWD_START_MS),
-               crowd_node_start_now, &crowd->nodes[i]);
-    crowd_run(crowd, CROWD_START_MS);
+        sim_at(fleet->world, sim_now_ms(fleet->world) + (int64_t)(sim_random(fleet->world) % MEMBER_FLEET_START_MS),
+               member_node_start_now, &fleet->nodes[i]);
+    member_fleet_run(fleet, MEMBER_FLEET_START_MS);
 }
 
-static inline int crowd_count(const Crowd *crowd, Role role)
+/* Number of members with the role. */
+static inline int member_fleet_count(const MemberFleet *fleet, Role role)
 {
     int count = 0;
-    for (int i = 0; i < crowd->size; i++)
-        count += crowd->nodes[i].role == role;
+    for (int i = 0; i < fleet->size; i++)
+        count += fleet->nodes[i].role == role;
     return count;
 }
 
-/* Whether the process at this number has heard of the other lately, at its present address. */
-static inline bool crowd_knows(const Crowd *crowd, int number, int other)
+/* Whether the member has heard of the other one recently, at the other's present address. */
+static inline bool member_fleet_knows(const MemberFleet *fleet, int number, int other)
 {
-    const CrowdNode *node = &crowd->nodes[number];
-    const Member *row = members_find_id(node->members, crowd->nodes[other].name);
-    return row != NULL && !member_quiet(row, loop_now_ms(sim_loop(crowd->world, node->machine))) &&
-           strcmp(row->record.address, crowd->nodes[other].address) == 0;
+    const MemberNode *node = &fleet->nodes[number];
+    const Member *member = members_find_id(node->members, fleet->nodes[other].name);
+    return member != NULL && !member_quiet(member, loop_now_ms(sim_loop(fleet->world, node->machine))) &&
+           strcmp(member->record.address, fleet->nodes[other].address) == 0;
 }
 
-/* Whether all controllers know the member, and it knows all of them. */
-static inline bool crowd_joined(const Crowd *crowd, int number)
+/* Whether all controllers know the member, and the member knows all of them. */
+static inline bool member_fleet_joined(const MemberFleet *fleet, int number)
 {
     bool joined = true;
-    for (int i = 0; i < CROWD_CONTROLLERS && joined; i++)
-        joined = i == number || (crowd_knows(crowd, i, number) && crowd_knows(crowd, number, i));
+    for (int i = 0; i < MEMBER_FLEET_CONTROLLERS && joined; i++)
+        joined = i == number || (member_fleet_knows(fleet, i, number) && member_fleet_knows(fleet, number, i));
     return joined;
 }
 
-/* Runs until the member has joined, at most for this long; after how many ms. */
-static inline int64_t crowd_join_ms(Crowd *crowd, int number, int64_t most_ms)
+/* Runs until the member has joined, for at most most_ms. Returns the time that this took, in ms. */
+static inline int64_t member_fleet_join_ms(MemberFleet *fleet, int number, int64_t most_ms)
 {
-    const int64_t since_ms = sim_now_ms(crowd->world);
-    while (!crowd_joined(crowd, number) && sim_now_ms(crowd->world) - since_ms < most_ms)
-        crowd_run(crowd, 10);
-    return sim_now_ms(crowd->world) - since_ms;
+    const int64_t since_ms = sim_now_ms(fleet->world);
+    while (!member_fleet_joined(fleet, number) && sim_now_ms(fleet->world) - since_ms < most_ms)
+        member_fleet_run(fleet, 10);
+    return sim_now_ms(fleet->world) - since_ms;
 }
 
 #endif
--- a/packages/sim/test/narrow_links.c
+++ b/packages/sim/test/narrow_links.c
@@ -1,5 +1,5 @@
-/* Entry points behind narrow links: what takes the link, whose answers wait for what, and whether everything that came
- * in is answered. In virtual time, so that the figures are the same each time. */
+/* Entry points behind narrow links: which traffic uses the link, how long responses are delayed by other traffic, and
+ * whether every request is answered. Virtual time makes the figures reproducible. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,18 +15,18 @@
 #include "wire/traffic.h"
 
 #define LINK_BYTES_PER_MS 250 /* bytes/ms; 2 Mbit/s */
-#define MEASURE_MS 10000
+#define MEASURE_MS 10000      /* span over which rates are measured */
 
 static const uint64_t SEED = 21;
 
-/* The entry points' links carry no more than this from now on. */
+/* Limits the rate of all entry points' links from now on. */
 static void links_narrow(Fleet *fleet, int64_t bytes_per_ms)
 {
     for (int i = 0; i < fleet->node_count[FLEET_ENTRY_POINT]; i++)
         sim_link_rate(fleet->world, fleet_node(fleet, FLEET_ENTRY_POINT, i)->machine, bytes_per_ms);
 }
 
-/* The value of a line of an entry point's metrics; 0: it has no such line. */
+/* The value of a metric in a response of /metrics; 0 when the metric is missing. name is without the prefix. */
 static int64_t metric(const HttpCall *page, const char *name)
 {
     char line[100];
@@ -35,15 +35,16 @@
     return text != NULL ? strtoll(text + strlen(line), NULL, 10) : 0;
 }
 
-typedef struct BothWays {
+/* Bytes, or bytes per second, in both directions. */
+typedef struct ByteCounts {
     int64_t sent, received;
-} BothWays;
+} ByteCounts;
 
-/* Bytes of a kind so far, requests and answers. */
-static BothWays kind_bytes(const HttpCall *page, const char *word)
+/* Bytes of a message kind so far, requests and answers together. */
+static ByteCounts kind_bytes(const HttpCall *page, const char *word)
 {
     static const char *const PARTS[] = {"requests", "answers"};
-    BothWays sum = {0};
+    ByteCounts sum = {0};
     for (int part = 0; part < 2; part++) {
         char name[64];
         snprintf(name, sizeof(name), "bytes_sent_%s_%s", word, PARTS[part]);
@@ -54,7 +55,8 @@
     return sum;
 }
 
-/* Bytes a second of all kinds but requests of callers, in the direction that carries more; prints each kind. */
+/* Measures the control traffic of an entry point, which is all messages but forwarded requests of callers. Returns its
+ * rate in the busier direction, in bytes per second, and prints the rate of each kind. */
 static int64_t control_rate(Fleet *fleet, int entry_point)
 {
     static const char *const WORDS[] = {
@@ -68,11 +70,11 @@
     const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, entry_point, "GET", "/metrics", NULL);
     assert_int_equal(before.code, 200);
     assert_int_equal(after.code, 200);
-    BothWays control = {0};
+    ByteCounts control = {0};
     for (size_t i = 0; i < sizeof(WORDS) / sizeof(WORDS[0]); i++) {
-        const BothWays old = kind_bytes(&before, WORDS[i]), now = kind_bytes(&after, WORDS[i]);
-        const BothWays rate = {(now.sent - old.sent) * 1000 / MEASURE_MS,
-                               (now.received - old.received) * 1000 / MEASURE_MS};
+        const ByteCounts old = kind_bytes(&before, WORDS[i]), now = kind_bytes(&after, WORDS[i]);
+        const ByteCounts rate = {(now.sent - old.sent) * 1000 / MEASURE_MS,
+                                 (now.received - old.received) * 1000 / MEASURE_MS};
         if (rate.sent + rate.received == 0)
             continue;
         print_message("  %-8s %8lld sent %8lld received, bytes a second\n", WORDS[i], (long long)rate.sent,
@@ -89,8 +91,9 @@
     return control.sent > control.received ? control.sent : control.received;
 }
 
-/* A fleet with callers, after the burst of its start; its links are narrow. members: nodes, workers aside. */
-static Fleet *fleet_of(int entry_points, int agents, int *members)
+/* A fleet with callers and narrow links, after the traffic burst of its start. members receives the number of nodes
+ * without the workers. */
+static Fleet *loaded_fleet(int entry_points, int agents, int *members)
 {
     Fleet *fleet = case_begin(SEED, (FleetShape){3, entry_points, agents, MIX_TRENTVALE, 0});
     *members = 3 + entry_points + agents;
@@ -100,16 +103,17 @@
     return fleet;
 }
 
-/* Guards against: hellos with the whole table filled the links of 2 Mbit/s at 300 machines, and callers got no answers.
- * The budget is a tenth of the link. Stands for 300 machines: what of it grows with the fleet would be 3.5 times as
- * much there, so that a rate that grows from 43 to 83 members is not allowed, either. */
+/* Guards against control traffic that fills the links: hellos with the whole member table saturated links of 2 Mbit/s
+ * at 300 machines, and callers got no responses. The budget is a tenth of the link. The fleets are smaller than 300
+ * machines, where any part that grows with the fleet would be 3.5 times as large, so the rate must not grow from 43 to
+ * 83 members either. */
 static void control_budget(void **state)
 {
     (void)state;
     int64_t rates[2];
     int members[2];
     for (int size = 0; size < 2; size++) {
-        Fleet *fleet = size == 0 ? fleet_of(20, 20, &members[0]) : fleet_of(40, 40, &members[1]);
+        Fleet *fleet = size == 0 ? loaded_fleet(20, 20, &members[0]) : loaded_fleet(40, 40, &members[1]);
         print_message("%d members\n", members[size]);
         rates[size] = control_rate(fleet, 1);
         case_end(fleet);
@@ -123,52 +127,55 @@
                  members[0], (long long)rates[1], members[1]);
 }
 
-/* --- callers beside bulk ------------------------------------------------------------------ */
+/* --- callers' requests beside bulk transfers ------------------------------------------------ */
 
-#define READ_GAP_MS 50
-#define READ_WAIT_MS 10000 /* longer than an entry point works on a request */
-#define READS_MAX 400
+#define READ_GAP_MS 50     /* between the starts of two reads */
+#define READ_WAIT_MS 10000 /* time-out of a read; longer than an entry point works on a request */
+#define READS_MAX 400      /* reads of a case */
 
-/* Reads one path at an entry point again and again, without waiting for the answers. */
-typedef struct Readers {
+/* Repeated reads of one path at an entry point, which do not wait for each other, and how they ended. */
+typedef struct ReadLoad {
     Fleet *fleet;
     const char *address, *path;
-    int begun, ended, silent, served, refused;
+    int begun, ended;
+    int unanswered; /* no response */
+    int served;     /* 200 */
+    int rejected;   /* 503 with Retry-After */
     int64_t longest_ms;
-} Readers;
+} ReadLoad;
 
 static void read_main(void *arg)
 {
-    Readers *readers = arg;
-    Loop *loop = sim_loop(readers->fleet->world, readers->fleet->caller);
+    ReadLoad *load = arg;
+    Loop *loop = sim_loop(load->fleet->world, load->fleet->caller);
     void *mem = talloc_new(loop);
     const int64_t from_ms = loop_now_ms(loop);
     HttpCall call = {
-        .mem = mem, .address = readers->address, .method = "GET", .path = readers->path, .wait_ms = READ_WAIT_MS};
+        .mem = mem, .address = load->address, .method = "GET", .path = load->path, .wait_ms = READ_WAIT_MS};
     const Status status = loop_call(loop, &call);
     const int64_t took_ms = loop_now_ms(loop) - from_ms;
-    readers->ended++;
-    readers->silent += status != STATUS_OK;
-    readers->served += status == STATUS_OK && call.code == 200;
-    readers->refused += status == STATUS_OK && call.code == 503 && call.retry_after_s > 0;
-    readers->longest_ms = took_ms > readers->longest_ms ? took_ms : readers->longest_ms;
+    load->ended++;
+    load->unanswered += status != STATUS_OK;
+    load->served += status == STATUS_OK && call.code == 200;
+    load->rejected += status == STATUS_OK && call.code == 503 && call.retry_after_s > 0;
+    load->longest_ms = took_ms > load->longest_ms ? took_ms : load->longest_ms;
     talloc_free(mem);
 }
 
-/* So many reads, one each gap; runs until all have ended. */
-static void read_many(Readers *readers, int count, int64_t gap_ms)
+/* Starts count reads, one each gap_ms, and runs until all have ended. */
+static void read_many(ReadLoad *load, int count, int64_t gap_ms)
 {
-    for (; readers->begun < count; readers->begun++) {
-        loop_spawn(sim_loop(readers->fleet->world, readers->fleet->caller), "read", read_main, readers);
-        fleet_run(readers->fleet, gap_ms);
+    for (; load->begun < count; load->begun++) {
+        loop_spawn(sim_loop(load->fleet->world, load->fleet->caller), "read", read_main, load);
+        fleet_run(load->fleet, gap_ms);
     }
-    fleet_run(readers->fleet, READ_WAIT_MS + 1000);
-    assert_int_equal(readers->ended, count);
-    print_message("%d reads of %s: %d served, %d refused, %d silent, longest %lld ms\n", count, readers->path,
-                  readers->served, readers->refused, readers->silent, (long long)readers->longest_ms);
+    fleet_run(load->fleet, READ_WAIT_MS + 1000);
+    assert_int_equal(load->ended, count);
+    print_message("%d reads of %s: %d served, %d rejected, %d unanswered, longest %lld ms\n", count, load->path,
+                  load->served, load->rejected, load->unanswered, (long long)load->longest_ms);
 }
 
-/* A configuration with notes of about this many bytes. */
+/* A configuration of about this many bytes, most of them notes. */
 static const char *large_config(void *mem, size_t bytes)
 {
     char note[1001];
@@ -181,8 +188,8 @@
     return talloc_strdup_append_buffer(text, "}}}}");
 }
 
-/* While all entry points fetch a configuration of 900 KB, which takes 3.6 s of a link of 2 Mbit/s, a caller's answer
- * waits for a piece of it at most. */
+/* While all entry points fetch a configuration of 900 KB, which takes 3.6 s on a link of 2 Mbit/s, the response to a
+ * caller must not be delayed by more than one piece of it. */
 static void answers_beside_a_large_configuration(void **state)
 {
     (void)state;
@@ -192,18 +199,18 @@
     const HttpCall call = fleet_ask(fleet, mem, FLEET_CONTROLLER, fleet_leader(fleet), "PUT",
                                     "/v1/config?base=1&revision=2", large_config(mem, 900 * 1024));
     assert_int_equal(call.code, 200);
-    Readers readers = {
+    ReadLoad load = {
         .fleet = fleet, .address = fleet_node(fleet, FLEET_ENTRY_POINT, 1)->settings.http, .path = "/v1/jobs/none"};
-    read_many(&readers, READS_MAX, READ_GAP_MS);
+    read_many(&load, READS_MAX, READ_GAP_MS);
     const HttpCall page = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/metrics", NULL);
-    assert_true(kind_bytes(&page, "feed").received > 900 * 1024); /* it has passed meanwhile */
-    assert_int_equal(readers.silent, 0);
-    assert_true(readers.longest_ms < 400);
+    assert_true(kind_bytes(&page, "feed").received > 900 * 1024); /* the configuration was fetched meanwhile */
+    assert_int_equal(load.unanswered, 0);
+    assert_true(load.longest_ms < 400);
     talloc_free(mem);
     case_end(fleet);
 }
 
-/* More is read than the link carries: each read ends in an answer all the same, by the time a caller waits. */
+/* More is read than the link can carry: every read must still get a response before the caller's time-out. */
 static void no_read_ends_in_silence(void **state)
 {
     (void)state;
@@ -214,19 +221,19 @@
     assert_int_equal(call.code, 200);
     fleet_run(fleet, 2000);
     links_narrow(fleet, LINK_BYTES_PER_MS);
-    Readers readers = {
+    ReadLoad load = {
         .fleet = fleet, .address = fleet_node(fleet, FLEET_ENTRY_POINT, 1)->settings.http, .path = "/v1/config"};
-    read_many(&readers, READS_MAX, 50); /* 500 KB a second, twice what the link carries */
-    if (readers.silent > 0)
-        fail_msg("%d of %d reads ended without an answer", readers.silent, readers.ended);
+    read_many(&load, READS_MAX, 50); /* 500 KB/s, twice the rate of the link */
+    if (load.unanswered > 0)
+        fail_msg("%d of %d reads ended without an answer", load.unanswered, load.ended);
     talloc_free(mem);
     case_end(fleet);
 }
 
-/* --- the end of a process ----------------------------------------------------------------- */
+/* --- graceful shutdown --------------------------------------------------------------------- */
 
-/* SIGTERM while nothing gets through to the node, or hardly anything: how long it takes to end. */
-static int64_t end_ms(Fleet *fleet, FleetRole role, int number, int64_t bytes_per_ms)
+/* Sends SIGTERM to a node whose link is limited to the rate, or cut (0). Returns how long the shutdown takes, in ms. */
+static int64_t shutdown_ms(Fleet *fleet, FleetRole role, int number, int64_t bytes_per_ms)
 {
     FleetNode *node = fleet_node(fleet, role, number);
     fleet_run(fleet, 500);
@@ -242,11 +249,11 @@
     return sim_now_ms(fleet->world) - from_ms;
 }
 
-/* Each role ends within its grace span, whatever its link is like. */
+/* A process of each role ends within its grace span, even when its link is cut or very slow. */
 static void each_role_ends_in_time(void **state)
 {
     (void)state;
-    static const int64_t RATES[] = {0, 1, 20}; /* bytes a ms; 0: cut off */
+    static const int64_t RATES[] = {0, 1, 20}; /* bytes/ms; 0: cut */
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++)
         for (size_t rate = 0; rate < sizeof(RATES) / sizeof(RATES[0]); rate++) {
             Fleet *fleet = case_begin(SEED, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
@@ -254,7 +261,7 @@
             fleet_run(fleet, 3000);
             const int number = role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0;
             const int64_t grace_ms = fleet_node(fleet, (FleetRole)role, number)->settings.bounds.grace_ms;
-            const int64_t took_ms = end_ms(fleet, (FleetRole)role, number, RATES[rate]);
+            const int64_t took_ms = shutdown_ms(fleet, (FleetRole)role, number, RATES[rate]);
             print_message("role %d, link of %d bytes a ms: ended after %d ms of %d\n", role, (int)RATES[rate],
                           (int)took_ms, (int)grace_ms);
             if (took_ms > grace_ms)
