--- a/packages/sim/test/catch_up.c
+++ b/packages/sim/test/catch_up.c
@@ -1,6 +1,5 @@
 /* A controller that was away catches up, however much has changed meanwhile. Measures, by the number of missed changes,
- * how long that takes in virtual time, how many bytes the leader sends, and how much memory and disk controllers use.
- */
+ * how long that takes in virtual time, how many bytes the leader sends, and how much memory and disk is used. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -44,19 +44,19 @@
 }
 
 /* The background load, and how many of its jobs got which response. */
-typedef struct BackgroundLoad {
+typedef struct Pouring {
     Fleet *fleet;
     bool stop;
     size_t rejected;           /* invalid: no worker can run them */
     size_t accepted;           /* 201 */
     size_t retry_later, other; /* retry_later: 503 with Retry-After */
-} BackgroundLoad;
+} Pouring;
 
 /* The task of the background load: each second about fifty jobs that no worker can run and five bulk jobs, from the
  * same machine as the urgent ones. */
 static void background_load_main(void *arg)
 {
-    BackgroundLoad *load = arg;
+    Pouring *load = arg;
     Fleet *fleet = load->fleet;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     const bool trentvale = fleet->shape.mix == MIX_TRENTVALE;
@@ -95,7 +95,7 @@
     int64_t p50[2], p99[2];
     for (int with_load = 0; with_load < 2; with_load++) {
         Fleet *fleet = begin(mix);
-        BackgroundLoad *load = talloc_zero(fleet, BackgroundLoad);
+        Pouring *load = talloc_zero(fleet, Pouring);
         load->fleet = fleet;
         if (with_load)
             loop_spawn(sim_loop(fleet->world, fleet->caller), "pour", background_load_main, load);
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -304,7 +304,7 @@
     fleet_run(fleet, 1000);
 }
 
-/* Every block is valid, but a record is of a later release: the controller does not start and keeps its disk as it is.
+/* Every block is valid, but a record is of a later release: the controller does not start and leaves its disk as it is.
  */
 static void unknown_record(void **state)
 {
