--- a/packages/sim/test/bad_disks.c
+++ b/packages/sim/test/bad_disks.c
@@ -12,7 +12,7 @@
 
 #define MISSED 3000        /* count; changes that were committed while the controller was away */
 #define CHANGE_BYTES 200   /* bytes; payload of a change */
-#define SYNC_MS 4000       /* ms; a lost voter has been replaced, or is back, within this */
+#define SYNC_MS 4000       /* ms; a loss counts as lasting until this long after the machine's return */
 #define CAUGHT_UP_MS 12000 /* ms; the controller has caught up within this after the end of the fault */
 
 static int machine_of(Fleet *fleet, int controller)
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -147,7 +147,7 @@
 } Operator;
 
 /* The task of an operator: sends patches based on the version that it last saw, always to the same entry point. */
-static void operate_main(void *arg)
+static void operator_main(void *arg)
 {
     Operator *operator= arg;
     Fleet *fleet = operator->fleet;
@@ -186,7 +186,7 @@
     Operator *operators = talloc_zero_array(fleet, Operator, 5);
     for (int i = 0; i < 5; i++) {
         operators[i] = (Operator){.fleet = fleet, .number = i};
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operate_main, &operators[i]);
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operator_main, &operators[i]);
     }
     fleet_run(fleet, 4000);
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -304,8 +304,7 @@
     fleet_run(fleet, 1000);
 }
 
-/* Every block is valid, but a record is of a later release: the controller does not start and leaves its disk as it is.
- */
+/* Each block is valid, but a record is of a later release: the controller does not start, and its disk is kept. */
 static void unknown_record(void **state)
 {
     (void)state;
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -1,6 +1,6 @@
-/* Fuzz tests with fixed seeds: corrupted jobs, configurations, patches, policies, HTTP requests and frames between
- * processes. Each input must be accepted or rejected with a typed error, and a process that received it must go on
- * serving. */
+/* Fuzz tests with fixed seeds: corrupted jobs, configurations, patches, policies, worker reports, HTTP requests and
+ * frames between processes. Each input must be accepted or rejected with a typed error, and a process that received it
+ * must go on serving. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/packages/sim/test/leader_found.c
+++ b/packages/sim/test/leader_found.c
@@ -13,7 +13,7 @@
 /* Seeds of the cases, first and last. */
 #define SEED_FIRST 41
 #define SEED_LAST 48
-#define CALM_MS 30000 /* ms; after this, the duration of renewals at the first election has no effect any more */
+#define CALM_MS 30000 /* ms; by then, how long renewals took right after the first election no longer matters */
 
 static Fleet *begin(uint64_t seed)
 {
