--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -38,18 +38,18 @@
     (void)state;
     for (int with = 0; with < 2; with++) {
         Fleet *fleet = begin(81);
-        assert_int_equal(case_running(fleet), 11);
+        assert_int_equal(case_running_tasks(fleet), 11);
         for (int i = 0; i < 3; i++)
             sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
         fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
                       "{\"r\":0}"); /* shows the failure */
         fleet_run(fleet, 8000);
         assert_int_equal(fleet_leader(fleet), -1);
-        assert_int_equal(case_running(fleet), 11);
+        assert_int_equal(case_running_tasks(fleet), 11);
         if (with)
             taken(fleet, 1, "another");
         fleet_run(fleet, 6000);
-        assert_int_equal(case_running(fleet), with ? 0 : 11);
+        assert_int_equal(case_running_tasks(fleet), with ? 0 : 11);
         assert_int_equal(checker_violations_total(fleet->checker), 0);
         talloc_free(fleet);
     }
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -47,13 +47,13 @@
     const size_t stuck = on_worker(fleet, "a", "worker1");
     assert_true(stuck > 0);
     fleet_run(fleet, 6000);
-    assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 24);
+    assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 24);
     const size_t before = checker_starts_on(fleet->checker, "worker1");
     case_submit(
         fleet, "b", "bulk", "",
         "{\"name\":\"a\",\"count\":10,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":1000}}");
     fleet_run(fleet, 2500);
-    assert_int_equal(case_in_phase(fleet, "b", TASK_DONE), 10);
+    assert_int_equal(case_tasks_in_phase(fleet, "b", TASK_DONE), 10);
     assert_int_equal(checker_starts_on(fleet->checker, "worker1"), before);
     case_end(fleet);
 }
@@ -71,7 +71,7 @@
     fleet_run(fleet, 1000);
     assert_true(on_worker(fleet, "a", "worker2") > 0);
     fleet_run(fleet, 9000); /* 32 s where they began */
-    assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 24);
+    assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 24);
     case_end(fleet);
 }
 
@@ -84,7 +84,7 @@
         fleet, "a", "bulk", "",
         "{\"name\":\"a\",\"count\":12,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":6000}}");
     fleet_run(fleet, 8000);
-    assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 12);
+    assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 12);
     const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].attempt, 1);
@@ -107,7 +107,7 @@
     fleet_run(fleet, 500);
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 13000);
-    assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 12);
+    assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 12);
     const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].attempt, 1);
@@ -130,10 +130,10 @@
             assert_true(on_worker(fleet, "a", name) <= 2);
         }
         if (i == 6)
-            assert_int_equal(case_in_phase(fleet, "a", TASK_RUNNING), 12);
+            assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_RUNNING), 12);
     }
     fleet_run(fleet, 2000);
-    assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 14);
+    assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 14);
     case_end(fleet);
 }
 
@@ -199,17 +199,17 @@
                 ? "{\"name\":\"a\",\"count\":12,\"saves\":true,\"room\":{\"cpu\":32,\"memMb\":64},\"estMs\":20000,\"payload\":{\"runMs\":20000}}"
                 : "{\"name\":\"a\",\"count\":12,\"room\":{\"cpu\":32,\"memMb\":64},\"estMs\":20000,\"payload\":{\"runMs\":20000}}");
         fleet_run(fleet, 6000);
-        assert_int_equal(case_in_phase(fleet, "bulk", TASK_RUNNING), 12);
+        assert_int_equal(case_tasks_in_phase(fleet, "bulk", TASK_RUNNING), 12);
         case_submit(
             fleet, "now", "urgent", "",
             "{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":24,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":1000}}");
         fleet_run(fleet, 4000);
         /* what keeps nothing has run for six seconds: too much to throw away */
-        assert_int_equal(case_in_phase(fleet, "now", TASK_DONE), saves ? 2 : 0);
-        assert_true(case_in_phase(fleet, "bulk", TASK_RUNNING) >= (saves ? 10 : 12));
+        assert_int_equal(case_tasks_in_phase(fleet, "now", TASK_DONE), saves ? 2 : 0);
+        assert_true(case_tasks_in_phase(fleet, "bulk", TASK_RUNNING) >= (saves ? 10 : 12));
         fleet_run(fleet, 50000);
-        assert_int_equal(case_in_phase(fleet, "now", TASK_DONE), 2);
-        assert_int_equal(case_in_phase(fleet, "bulk", TASK_DONE), 12);
+        assert_int_equal(case_tasks_in_phase(fleet, "now", TASK_DONE), 2);
+        assert_int_equal(case_tasks_in_phase(fleet, "bulk", TASK_DONE), 12);
         case_end(fleet);
     }
 }
@@ -258,7 +258,7 @@
     fleet_run(fleet, 2500);
     int in_time = 0;
     for (int i = 0; i < JOBS; i++)
-        in_time += case_in_phase(fleet, id[i], TASK_DONE) == 6;
+        in_time += case_tasks_in_phase(fleet, id[i], TASK_DONE) == 6;
     assert_in_range(in_time, JOBS * 3 / 4, JOBS - 1); /* one worker of six: some of its work is held up */
     case_end(fleet);
 }
@@ -288,7 +288,7 @@
         Fleet *fleet = begin(seed);
         case_submit(fleet, "before", "urgent", "", STEP);
         fleet_run(fleet, 3000);
-        assert_int_equal(case_in_phase(fleet, "before", TASK_DONE), 24);
+        assert_int_equal(case_tasks_in_phase(fleet, "before", TASK_DONE), 24);
         const size_t starts = checker_starts_on(fleet->checker, "worker1");
         assert_true(starts > 0);
         fleet_node_cut(fleet, FLEET_AGENT, 0, true);
@@ -300,7 +300,7 @@
         fleet_run(fleet, 2000);
         case_submit(fleet, "after", "urgent", "", STEP);
         fleet_run(fleet, 3000);
-        assert_int_equal(case_in_phase(fleet, "after", TASK_DONE), 24);
+        assert_int_equal(case_tasks_in_phase(fleet, "after", TASK_DONE), 24);
         assert_true(checker_starts_on(fleet->checker, "worker1") > starts);
         case_end(fleet);
     }
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -1,6 +1,6 @@
 /* A question is carried out by whom it is meant for, or by nobody; what came of it goes to
  * nobody else, however late. */
-#include "asker.h"
+#include "test_client.h"
 
 /* A question sent by hand, as the release before does. */
 typedef struct RawQuestion {
@@ -70,12 +70,12 @@
 } Pair;
 
 /* Both run in a world on mem. */
-static Pair pair_start(void *mem, Asker *asker, Server *server)
+static Pair pair_start(void *mem, TestClient *asker, Server *server)
 {
     SimWorld *world = sim_world_new(mem, 1);
     const int client = sim_machine_new(world), machine = sim_machine_new(world);
     sim_start(world, machine, server_start, server);
-    sim_start(world, client, asker_start, asker);
+    sim_start(world, client, test_client_start, asker);
     return (Pair){world, client, machine};
 }
 
@@ -85,11 +85,11 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Asker asker = {0};
+    TestClient asker = {0};
     Server server = {.self = peer_identity("gate1", 1000)};
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
-    Ask *ask = begin(&asker, server.self, 41, 500);
+    TestCall *ask = begin(&asker, server.self, 41, 500);
     run_for(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
     static const struct {
@@ -129,14 +129,15 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Asker asker = {0};
+    TestClient asker = {0};
     Server server = {0};
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
-    const Ask *first = begin(&asker, (PeerIdentity){0}, 1000, 500);
+    const TestCall *first = begin(&asker, (PeerIdentity){0}, 1000, 500);
     run_for(world, 700);
     assert_int_equal(first->status, STATUS_EXPIRED);
-    const Ask *second = begin(&asker, (PeerIdentity){0}, 1500, 3000), *third = begin(&asker, (PeerIdentity){0}, 7, 500);
+    const TestCall *second = begin(&asker, (PeerIdentity){0}, 1500, 3000),
+                   *third = begin(&asker, (PeerIdentity){0}, 7, 500);
     run_for(world, 2000);
     assert_int_equal(second->status, STATUS_OK);
     assert_int_equal(second->answer.number, 1501);
@@ -152,11 +153,11 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Asker asker = {0};
+    TestClient asker = {0};
     Server server = {0};
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
-    const Ask *lost[3];
+    const TestCall *lost[3];
     for (int i = 0; i < 3; i++)
         lost[i] = begin(&asker, (PeerIdentity){0}, 1000 + (uint64_t)i, 5000);
     run_for(world, 300);
@@ -164,7 +165,7 @@
     sim_kill(world, pair.machine);
     sim_start(world, pair.machine, server_start, &server);
     run_for(world, 100);
-    const Ask *next = begin(&asker, (PeerIdentity){0}, 1003, 5000);
+    const TestCall *next = begin(&asker, (PeerIdentity){0}, 1003, 5000);
     run_for(world, 3000);
     for (int i = 0; i < 3; i++) {
         assert_int_equal(lost[i]->status, STATUS_CLOSED);
@@ -181,13 +182,13 @@
     (void)state;
     for (int cancel = 0; cancel < 2; cancel++) {
         void *mem = talloc_new(NULL);
-        Asker asker = {0};
+        TestClient asker = {0};
         Server server = {0};
         RpcSendState sending = {0};
         const Pair pair = pair_start(mem, &asker, &server);
         SimWorld *world = pair.world;
         sim_link_cut(world, pair.client, pair.machine, true);
-        Ask *ask = begin(&asker, (PeerIdentity){0}, 7, 3000);
+        TestCall *ask = begin(&asker, (PeerIdentity){0}, 7, 3000);
         ask->sending = &sending;
         run_for(world, 300);
         assert_false(sending.sent);
@@ -216,7 +217,7 @@
     };
     void *mem = talloc_new(NULL);
     Server server = {.self = peer_identity("gate1", 1000)};
-    Asker asker = {0};
+    TestClient asker = {0};
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
--- a/packages/sim/test/quota.c
+++ b/packages/sim/test/quota.c
@@ -84,7 +84,7 @@
         for (int i = 1; i < 6; i += 2) /* the slow ones hear of no stop */
             fleet_node_cut(fleet, FLEET_AGENT, i, true);
         fleet_run(fleet, 20000);
-        assert_int_equal(case_in_phase(fleet, "after", TASK_DONE), 16);
+        assert_int_equal(case_tasks_in_phase(fleet, "after", TASK_DONE), 16);
         case_end(fleet);
     }
 }
@@ -101,7 +101,8 @@
         assert_true(at >= 0);
         fleet_node_cut(fleet, FLEET_AGENT, at, true);
         fleet_run(fleet, 15000);
-        assert_int_equal(case_in_phase(fleet, "copied", TASK_DONE), 4); /* what the lost worker ran counts no longer */
+        assert_int_equal(case_tasks_in_phase(fleet, "copied", TASK_DONE),
+                         4); /* what the lost worker ran counts no longer */
         case_end(fleet);
     }
 }
@@ -144,7 +145,7 @@
         fleet_restart_gracefully(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
         submit(fleet, "after", STEP(16, 64, 700, ""), "");
         fleet_run(fleet, 20000);
-        assert_int_equal(case_in_phase(fleet, "after", TASK_DONE), 16);
+        assert_int_equal(case_tasks_in_phase(fleet, "after", TASK_DONE), 16);
         case_end(fleet);
     }
 }
@@ -165,7 +166,7 @@
         assert_in_range(call.code, 200, 202);
         checker_cancelled(fleet->checker, "first");
         fleet_run(fleet, 12000);
-        assert_int_equal(case_in_phase(fleet, "second", TASK_DONE), 8);
+        assert_int_equal(case_tasks_in_phase(fleet, "second", TASK_DONE), 8);
         case_end(fleet);
     }
 }
@@ -182,7 +183,7 @@
         fleet_run(fleet, 1000);
         fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
         fleet_run(fleet, 25000);
-        assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 12);
+        assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 12);
         case_end(fleet);
     }
 }
@@ -199,7 +200,7 @@
         configure(fleet, bounded(fleet, 4));
         checker_quota_changed(fleet->checker, "t", (Resources){4000, 0, 0}, TENANT_PRESENT);
         fleet_run(fleet, 20000);
-        assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 30);
+        assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 30);
         case_end(fleet);
     }
 }
@@ -219,7 +220,7 @@
         fleet_run(fleet, 6000);
         configure(fleet, bounded(fleet, QUOTA_CPU));
         fleet_run(fleet, 15000);
-        assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 40);
+        assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 40);
         case_end(fleet);
     }
 }
@@ -249,8 +250,8 @@
     configure(fleet, bounded(fleet, 1000));
     checker_quota_changed(fleet->checker, "t", (Resources){1000000, 0, 0}, TENANT_PRESENT);
     fleet_run(fleet, 5000);
-    assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 6);
-    assert_int_equal(case_in_phase(fleet, "gang", TASK_DONE), 3);
+    assert_int_equal(case_tasks_in_phase(fleet, "a", TASK_DONE), 6);
+    assert_int_equal(case_tasks_in_phase(fleet, "gang", TASK_DONE), 3);
     case_end(fleet);
 }
 
--- a/packages/sim/test/state_full.c
+++ b/packages/sim/test/state_full.c
@@ -65,14 +65,14 @@
     (void)state;
     for (uint64_t seed = 1; seed <= 3; seed++) {
         Fleet *fleet = begin_configured(seed);
-        state_grow(fleet, 20, LABEL_BYTES);
+        state_add_large_workers(fleet, 20, LABEL_BYTES);
         must_take(fleet, "taken");
-        state_grow(fleet, 44, LABEL_BYTES);
+        state_add_large_workers(fleet, 44, LABEL_BYTES);
         must_refuse(fleet, "refused");
         assert_int_equal(submit(fleet, "taken").code, 200); /* what was accepted is known all the same */
         must_refuse(fleet, "refused-again");
         journal_bounded(fleet);
-        state_grow(fleet, 44, 1);
+        state_add_large_workers(fleet, 44, 1);
         must_take(fleet, "taken-again");
         journal_bounded(fleet);
         talloc_free(fleet);
@@ -84,10 +84,10 @@
 {
     (void)state;
     Fleet *fleet = begin_configured(4);
-    state_grow(fleet, 56, LABEL_BYTES);
+    state_add_large_workers(fleet, 56, LABEL_BYTES);
     must_refuse(fleet, "refused");
     const uint64_t base_index = replication_of(fleet, fleet_leader(fleet))->log->base_index;
-    state_grow(fleet, 56, 1);
+    state_add_large_workers(fleet, 56, 1);
     must_take(fleet, "taken");
     assert_true(replication_of(fleet, fleet_leader(fleet))->log->base_index > base_index);
     journal_bounded(fleet);
