--- a/packages/sim/test/repair_copies.c
+++ b/packages/sim/test/repair_copies.c
@@ -1,11 +1,11 @@
-/* What was acknowledged outlasts the loss of what all disks had, together with the entry points of one zone: two of
- * them keep it for repair, in different zones. */
+/* Acknowledged jobs survive the loss of the data on all controllers' disks together with the loss of one zone's entry
+ * points, since two entry points in different zones have them in their repair buffers. */
 #include "repair_fixture.h"
 
-#define ENTRY_POINTS 6 /* count; two in each zone */
+#define ENTRY_POINTS 6 /* two in each zone */
 
-/* The entry points of a zone are cut off, or lose their memory. */
-static void entry_points_lost(Fleet *fleet, int zone, bool cut)
+/* Cuts off the entry points of a zone, or restarts them, so that they lose their repair buffers. */
+static void entry_points_lose(Fleet *fleet, int zone, bool cut)
 {
     for (int i = zone; i < ENTRY_POINTS; i += 3) {
         if (cut) {
@@ -17,14 +17,15 @@
     }
 }
 
-/* Submits jobs at the process; a zone's entry points are lost, and all controllers lose power, and their disks what
- * they had. */
-static void bears(uint64_t seed, FleetRole role, int carrier, int lost, bool cut)
+/* Submits jobs at a process (carrier: its number; for a controller, its distance from the leader). Then the entry
+ * points of zone lost are cut off or restarted, and all controllers lose power and their disks lose their data. The
+ * jobs are still known. */
+static void jobs_survive(uint64_t seed, FleetRole role, int carrier, int lost, bool cut)
 {
     Fleet *fleet = begin(seed, ENTRY_POINTS);
     jobs_submit(fleet, role, role == FLEET_CONTROLLER ? (fleet_leader(fleet) + carrier) % 3 : carrier);
     checker_fault(fleet->checker);
-    entry_points_lost(fleet, lost, cut);
+    entry_points_lose(fleet, lost, cut);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
     jobs_known(fleet, (lost + 1) % 3);
@@ -35,33 +36,33 @@
     case_end(fleet);
 }
 
-/* The zone of the entry point that carried the requests is lost. */
+/* The lost zone is that of the entry point that received the requests. */
 static void carrier_is_lost(void **state)
 {
     (void)state;
     for (int carrier = 0; carrier < ENTRY_POINTS; carrier++) {
-        bears(81 + (uint64_t)carrier, FLEET_ENTRY_POINT, carrier, carrier % 3, true);
-        bears(111 + (uint64_t)carrier, FLEET_ENTRY_POINT, carrier, carrier % 3, false);
+        jobs_survive(81 + (uint64_t)carrier, FLEET_ENTRY_POINT, carrier, carrier % 3, true);
+        jobs_survive(111 + (uint64_t)carrier, FLEET_ENTRY_POINT, carrier, carrier % 3, false);
     }
 }
 
-/* The requests came in at the leader's own address; whichever zone is lost, another has a copy. */
+/* The leader itself received the requests; whichever zone is lost, another has a copy. */
 static void leader_carries(void **state)
 {
     (void)state;
     for (int lost = 0; lost < 3; lost++) {
-        bears(91 + (uint64_t)lost, FLEET_CONTROLLER, 0, lost, true);
-        bears(94 + (uint64_t)lost, FLEET_CONTROLLER, 0, lost, false);
+        jobs_survive(91 + (uint64_t)lost, FLEET_CONTROLLER, 0, lost, true);
+        jobs_survive(94 + (uint64_t)lost, FLEET_CONTROLLER, 0, lost, false);
     }
 }
 
-/* ... and at the address of a controller that does not lead, which loses its memory with the others. */
+/* A controller that does not lead received the requests; it loses its memory with the other controllers. */
 static void follower_carries(void **state)
 {
     (void)state;
     for (int lost = 0; lost < 3; lost++) {
-        bears(101 + (uint64_t)lost, FLEET_CONTROLLER, 1, lost, true);
-        bears(104 + (uint64_t)lost, FLEET_CONTROLLER, 2, lost, false);
+        jobs_survive(101 + (uint64_t)lost, FLEET_CONTROLLER, 1, lost, true);
+        jobs_survive(104 + (uint64_t)lost, FLEET_CONTROLLER, 2, lost, false);
     }
 }
 
--- a/packages/sim/test/repair_fixture.h
+++ b/packages/sim/test/repair_fixture.h
@@ -1,7 +1,7 @@
 #ifndef SIM_TEST_REPAIR_FIXTURE_H
 #define SIM_TEST_REPAIR_FIXTURE_H
 
-/* What the tests of repair share: jobs that were acknowledged by disks that lose them. */
+/* Fixture of the repair tests: a fleet whose disks lose jobs that were acknowledged. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,9 +14,9 @@
 
 #include "fleet_fixture.h"
 
-#define JOBS 12 /* count */
+#define JOBS 12 /* submitted by each test */
 
-/* A fleet of three zones whose disks lose at a loss of power what they have acknowledged. */
+/* A fleet in three zones whose controllers' disks report writes as synced and lose them when power is lost. */
 static inline Fleet *begin(uint64_t seed, int entry_points)
 {
     Fleet *fleet = case_configured(seed, (FleetShape){3, entry_points, 4, MIX_TRENTVALE, 0},
@@ -27,12 +27,13 @@
     return fleet;
 }
 
+/* The path of the job with this number; on the fleet. */
 static inline const char *path_of(Fleet *fleet, int job)
 {
     return talloc_asprintf(fleet, "/v1/jobs/kept-%d", job);
 }
 
-/* Submits the jobs at the process; each is acknowledged. */
+/* Submits all jobs to the process; each is acknowledged. */
 static inline void jobs_submit(Fleet *fleet, FleetRole role, int number)
 {
     for (int job = 0; job < JOBS; job++) {
@@ -47,13 +48,13 @@
     }
 }
 
-/* All jobs are known at the entry point. */
+/* Fails unless the entry point knows all jobs. */
 static inline void jobs_known(Fleet *fleet, int entry_point)
 {
     for (int job = 0; job < JOBS; job++) {
         const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, "GET", path_of(fleet, job), NULL);
         if (call.code != 200)
-            fail_msg("job %d: %d %s", job, call.code, (const char *)call.result.data);
+            fail_msg("query of job %d was answered %d: %s", job, call.code, (const char *)call.result.data);
     }
 }
 
--- a/packages/sim/test/repair_transfer.c
+++ b/packages/sim/test/repair_transfer.c
@@ -1,15 +1,16 @@
-/* What was acknowledged outlasts disks that lose it, also when whoever carried the request has left in order since: it
- * hands on what it keeps for repair. */
+/* Acknowledged jobs survive disks that lose them also when the process that received the requests has shut down
+ * gracefully since: before it ends, it transfers its repair buffer to others. */
 #include "repair_fixture.h"
 
-/* Submits jobs at the process, which is told to end then; all controllers lose power, and their disks what they had. */
+/* Submits jobs at a process and shuts it down; then all controllers lose power and their disks lose their data. The
+ * jobs are still known. */
 static void carrier_leaves(uint64_t seed, FleetRole role)
 {
     Fleet *fleet = begin(seed, 3);
     const int carrier = role == FLEET_CONTROLLER ? (fleet_leader(fleet) + 1) % 3 : 0;
     jobs_submit(fleet, role, carrier);
-    for (int i = 0; i < 3;
-         i++) { /* other entry points keep a copy too: they are started again, and have forgotten it */
+    /* other entry points have a copy too: they are restarted, so that they lose it */
+    for (int i = 0; i < 3; i++) {
         if (role == FLEET_ENTRY_POINT && i == carrier)
             continue;
         fleet_kill(fleet, FLEET_ENTRY_POINT, i);
@@ -19,7 +20,7 @@
     fleet_leave(fleet, role, carrier);
     fleet_run(fleet, 8000);
     assert_false(fleet_node(fleet, role, carrier)->up);
-    fleet_start_node(fleet, role, carrier); /* it has forgotten it too */
+    fleet_start_node(fleet, role, carrier); /* its own repair buffer is lost too */
     fleet_run(fleet, 2000);
     checker_fault(fleet->checker);
     case_power_cycle(fleet);
@@ -42,8 +43,8 @@
         carrier_leaves(seed, FLEET_CONTROLLER);
 }
 
-/* Guards against: a process whose peers did not answer was still there after its grace span, and was killed: what it
- * keeps for repair was offered with a deadline of its own. */
+/* Guards against a process whose peers do not answer still running when its grace period ends, and so being killed: it
+ * offered its repair buffer with a deadline of its own. */
 static void carrier_that_is_cut_off_ends_in_time(void **state)
 {
     (void)state;
@@ -62,9 +63,9 @@
         while (carrier->up && sim_now_ms(fleet->world) < from_ms + 10000)
             fleet_run(fleet, 1);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
-        print_message("ended after %d ms of %d\n", (int)took_ms, (int)grace_ms);
+        print_message("ended after %d ms, grace period %d ms\n", (int)took_ms, (int)grace_ms);
         assert_false(carrier->up);
-        assert_true(took_ms > grace_ms / 2); /* it did offer what it keeps */
+        assert_true(took_ms > grace_ms / 2); /* it did offer its repair buffer */
         assert_true(took_ms <= grace_ms);
         talloc_free(fleet);
     }
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -1,5 +1,5 @@
-/* What an entry point forwards again: each row of its table, with the answer lost after
- * the change was committed. */
+/* Which requests an entry point forwards again: each row of its table of retry rules is tried with the answer lost
+ * after the change was committed. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,23 +14,24 @@
 #include "inside_request.h"
 #include "state/table.h"
 
-#define LINK_MS 10         /* ms; each frame's way */
-#define CUT_AT_MS 25       /* ms; the request has come to the leader, and its answer is not on the way yet */
-#define ORDER_CUT_AT_MS 45 /* ms; an order whose base has been asked for, by a round of contact, is on its way */
-#define COMMITTED_MS 300   /* ms; what has come is committed, and the way is not yet given up */
+#define LINK_MS 10         /* delay of each frame, in ms */
+#define CUT_AT_MS 25       /* ms; the request has reached the leader, which has not answered yet */
+#define ORDER_CUT_AT_MS 45 /* ms; an order, whose base was asked for first, by a round of contact, is on its way */
+#define COMMITTED_MS 300   /* ms; the change is committed, and the entry point still waits for the answer */
 #define JOB(id)                                                                                                     \
     "{\"id\":\"" id "\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\"," \
     "\"room\":{\"cpu\":1,\"memMb\":64},\"payload\":{\"runMs\":60000}}]}"
 #define STEPS "{\"steps\":[{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":64},\"payload\":{\"runMs\":60000}}]}"
 #define HOST "jobs.example"
 
+/* Gives the queue an entry path. */
 static const char ENTRIES[] =
     "{\"cells\":{\"imagery\":{\"queues\":{\"sweeps\":{\"entry\":{\"host\":\"" HOST "\",\"prefix\":\"/in/\"}}}}}}";
 
-/* A request as it is tried, and what it leaves behind. */
+/* A request that is tried, and the result that is expected. */
 typedef struct Row {
     const char *method, *path, *query, *body;
-    int code; /* of the second attempt's answer */
+    int code; /* of the answer to the second attempt */
 } Row;
 
 static const Row ROWS[] = {
@@ -59,7 +60,7 @@
     return fleet;
 }
 
-/* The state as far as these requests change it: equal texts, equal states. */
+/* The part of the state that these requests change, as a text on mem: equal texts, equal states. */
 static char *state_of(void *mem, Fleet *fleet)
 {
     const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/v1/config/history", NULL);
@@ -74,14 +75,15 @@
                            table_drained(table, "west"), (long long)table_drain_stamp(table, "west"), history);
 }
 
-static InsideRequest *request(Fleet *fleet, const Row *row)
+/* Sends the row's request through the first entry point, and does not wait. */
+static InsideRequest *send_row(Fleet *fleet, const Row *row)
 {
     const bool whole = strcmp(row->method, "PUT") == 0 && strcmp(row->path, "/v1/config") == 0;
     const HttpTask task = {.method = row->method, .path = row->path, .query = row->query, .host = HOST};
     return inside_request_send(fleet, 0, &task, whole ? mix_config(MIX_TRENTVALE) : row->body);
 }
 
-/* The leader has the request when its answers begin not to reach the entry point; others go on. */
+/* The link from the leader to the entry point is cut once the leader has the request; all other links go on working. */
 static void answers_lost(void **state)
 {
     (void)state;
@@ -89,9 +91,9 @@
         const Row *row = &ROWS[i];
         Fleet *fleet = begin(51 + i);
         const char *before = state_of(fleet, fleet);
-        const InsideRequest *inside_request = request(fleet, row);
-        const bool ordered = retry_policy_of(row->method, row->path, row->query) == RETRY_BY_STAMP;
-        fleet_run(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
+        const InsideRequest *inside_request = send_row(fleet, row);
+        const bool by_stamp = retry_policy_of(row->method, row->path, row->query) == RETRY_BY_STAMP;
+        fleet_run(fleet, by_stamp ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int entry_point = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine;
         const int leader = fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine;
         sim_cut(fleet->world, leader, entry_point, true);
@@ -117,9 +119,9 @@
     }
 }
 
-/* All controllers lose power as a job is committed, and their disks what they had acknowledged:
- * the next leader has to be told again first. The request waits for that, and is not told
- * that its outcome is unknown because one leader can't say yet. */
+/* All controllers lose power as a job is committed, and their disks lose what they reported as synced, so that the next
+ * leader has to be repaired first. Guards against the caller being told that the outcome is unknown because one leader
+ * cannot tell it yet: the request waits for the repair. */
 static void repair_awaited(void **state)
 {
     (void)state;
@@ -127,11 +129,11 @@
     Fleet *fleet = begin(71);
     for (int i = 0; i < 3; i++)
         sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-    const InsideRequest *inside_request = request(fleet, &row);
+    const InsideRequest *inside_request = send_row(fleet, &row);
     while (fleet_job(fleet, "one") == NULL)
         fleet_run(fleet, 1);
     assert_false(inside_request->done);
-    const int lost = fleet_leader(fleet); /* its answer never comes */
+    const int lost = fleet_leader(fleet); /* its answer never arrives */
     sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine,
             fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine, true);
     for (int i = 0; i < 3; i++) {
@@ -144,7 +146,8 @@
     const int64_t from_ms = sim_now_ms(fleet->world);
     while (!inside_request->done)
         fleet_run(fleet, 5);
-    print_message("%d after %lld ms\n", inside_request->task->code, (long long)(sim_now_ms(fleet->world) - from_ms));
+    print_message("answered %d after %lld ms\n", inside_request->task->code,
+                  (long long)(sim_now_ms(fleet->world) - from_ms));
     assert_int_equal(inside_request->task->code, row.code);
     fleet_run(fleet, 5000);
     assert_non_null(fleet_job(fleet, "one"));
@@ -152,7 +155,7 @@
     talloc_free(fleet);
 }
 
-/* Every row of the table that changes something is tried above. */
+/* Every retry rule for requests that change something is tried above. */
 static void rows_tried(void **state)
 {
     (void)state;
@@ -166,18 +169,18 @@
                     retry_policy_of(ROWS[k].method, ROWS[k].path, ROWS[k].query) == routes[i].policy &&
                     strncmp(routes[i].path, ROWS[k].path, strcspn(routes[i].path, "*")) == 0;
         if (!tried)
-            fail_msg("%s %s is tried nowhere", routes[i].method, routes[i].path);
+            fail_msg("no request here tries %s %s", routes[i].method, routes[i].path);
     }
 }
 
-/* What stands in no row is sent once. */
+/* A request that no retry rule matches is sent once. */
 static void not_repeated(void **state)
 {
     (void)state;
     static const struct {
         const char *method, *path, *query;
-        RetryPolicy repeat;
-    } ASKED[] = {
+        RetryPolicy policy;
+    } REQUESTS[] = {
         {"PUT", "/v1/config", "base=1", RETRY_NEVER},
         {"PUT", "/v1/config", "base=1&xrevision=2", RETRY_NEVER},
         {"PUT", "/v1/config", "base=1&revision=2", RETRY_BY_REQUEST_ID},
@@ -191,9 +194,9 @@
         {"GET", "/v1/later", "", RETRY_READ_ONLY},
         {"DELETE", "/v1/entry/a/b", "", RETRY_BY_REQUEST_ID},
     };
-    for (size_t i = 0; i < sizeof(ASKED) / sizeof(ASKED[0]); i++)
-        if (retry_policy_of(ASKED[i].method, ASKED[i].path, ASKED[i].query) != ASKED[i].repeat)
-            fail_msg("%s %s?%s", ASKED[i].method, ASKED[i].path, ASKED[i].query);
+    for (size_t i = 0; i < sizeof(REQUESTS) / sizeof(REQUESTS[0]); i++)
+        if (retry_policy_of(REQUESTS[i].method, REQUESTS[i].path, REQUESTS[i].query) != REQUESTS[i].policy)
+            fail_msg("wrong retry policy of %s %s?%s", REQUESTS[i].method, REQUESTS[i].path, REQUESTS[i].query);
 }
 
 int main(void)
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -1,9 +1,8 @@
-/* Disk machines replaced and lost one after another, at the shortest span that may lie
- * between two losses: each time a learner has the vote before the next one goes. */
+/* Controllers are lost and replaced one after another, with the shortest allowed time between two losses: each time a
+ * learner becomes a voter before the next loss. */
 #include "replaced_fixture.h"
 
-/* The new controller stands ready before the old one is told to go; the next loss comes
- * as soon as it may. */
+/* The new controller follows the log before the old one is shut down; the next loss comes as soon as it may. */
 static void planned_then_lost(uint64_t seed, bool leader_goes, bool leader_lost)
 {
     Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 1}, &ONE_LOSS);
@@ -26,7 +25,7 @@
         planned_then_lost(seed, seed % 2 == 0, seed / 2 % 2 == 0);
 }
 
-/* One that has stood ready all the while takes the vote of one that is lost with no notice. */
+/* A learner that has followed the log all along becomes a voter in place of one that is lost without notice. */
 static void learner_then_loss(void **state)
 {
     (void)state;
@@ -41,31 +40,32 @@
     }
 }
 
-/* A voter lost with its disk kept, replaced meanwhile, comes back as a learner, and has
- * the vote again after the next loss. */
+/* A voter whose machine is lost without its disk, and that was replaced meanwhile, returns as a learner and becomes a
+ * voter again after the next loss. */
 static void returns_as_learner(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
-        const int gone = voter_drawn(fleet, seed % 2 == 0);
-        fleet_power_off(fleet, FLEET_CONTROLLER, gone);
+        const int lost = voter_drawn(fleet, seed % 2 == 0);
+        fleet_power_off(fleet, FLEET_CONTROLLER, lost);
         fleet_run(fleet, SYNC_MS);
         must_lead(fleet, "after a loss");
-        fleet_start_node(fleet, FLEET_CONTROLLER, gone);
+        fleet_start_node(fleet, FLEET_CONTROLLER, lost);
         fleet_run(fleet, FOLLOWED_MS);
         must_lead(fleet, "after a return");
-        assert_false(votes(fleet, gone));
+        assert_false(votes(fleet, lost));
         fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed / 2 % 2 == 0));
         fleet_run(fleet, SYNC_MS);
         must_lead(fleet, "after one more loss");
-        assert_true(votes(fleet, gone));
+        assert_true(votes(fleet, lost));
         finish(fleet);
     }
 }
 
-/* --- what is told ----------------------------------------------------------------------- */
+/* --- status ----------------------------------------------------------------------------- */
 
+/* Fails unless the leader's status holds the text. */
 static void status_has(Fleet *fleet, const char *text)
 {
     const HttpCall call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/status", NULL);
@@ -75,8 +75,8 @@
         fail_msg("%s is not in %s", text, body);
 }
 
-/* Status tells who follows, how far behind it is, and how many losses are borne: fewer
- * right after a loss, as many as before once the learner votes. */
+/* The status shows which controllers follow, how far behind they are, and how many losses can be survived: fewer right
+ * after a loss, and as many as before once the learner is a voter. */
 static void status_shows(void **state)
 {
     (void)state;
@@ -93,27 +93,28 @@
     finish(fleet);
 }
 
-/* --- one after another ---------------------------------------------------------------- */
+/* --- losses in sequence ----------------------------------------------------------------- */
 
 #define ATTEMPTS 10
-#define OUT_MS 1000 /* ms; from a loss until a machine, or another one, is there again */
+#define OUT_MS 1000 /* ms; from a loss until the machine, or its replacement, starts */
 
 typedef enum LossKind { LOSS_WIPED, LOSS_REPLACED, LOSS_PLANNED, LOSS_KINDS } LossKind;
 typedef enum Target { TARGET_ANY, TARGET_OLDEST, TARGET_LEADER, TARGETS } Target;
 
 typedef struct Trial {
     Fleet *fleet;
-    int64_t disk_since_ms[FLEET_EACH_MAX]; /* of each controller's present disk */
+    int64_t disk_since_ms[FLEET_EACH_MAX]; /* when each controller began with its present disk */
     int next_spare;
 } Trial;
 
+/* Starts the controller with a new disk. */
 static void controller_begin(Trial *trial, int controller)
 {
     trial->disk_since_ms[controller] = sim_now_ms(trial->fleet->world);
     fleet_start_node(trial->fleet, FLEET_CONTROLLER, controller);
 }
 
-/* A voter that runs and is not spared; -1 spares none. */
+/* A voter that runs and is not the spared one (-1: none). */
 static int target_drawn(Trial *trial, Target target, int spared)
 {
     Fleet *fleet = trial->fleet;
@@ -134,7 +135,8 @@
     return oldest;
 }
 
-static void strike(Trial *trial, int controller, LossKind kind)
+/* Loses the controller, or shuts it down. */
+static void controller_lose(Trial *trial, int controller, LossKind kind)
 {
     if (kind == LOSS_PLANNED) {
         fleet_leave(trial->fleet, FLEET_CONTROLLER, controller);
@@ -145,7 +147,8 @@
         sim_disk_wipe(trial->fleet->world, fleet_node(trial->fleet, FLEET_CONTROLLER, controller)->machine);
 }
 
-static void back(Trial *trial, int controller, LossKind kind)
+/* Starts the controller again, or the next spare in its place; a planned loss was replaced before. */
+static void controller_return(Trial *trial, int controller, LossKind kind)
 {
     if (kind == LOSS_WIPED)
         controller_begin(trial, controller);
@@ -153,7 +156,8 @@
         controller_begin(trial, trial->next_spare++);
 }
 
-/* Each attempt as many are lost at once as may be, and all return before the next. */
+/* In each attempt as many voters are lost at once as may be, and all are back or replaced before the next attempt.
+ * cut_short: a learner is lost as well. */
 static void loss_attempts(uint64_t seed, FleetShape shape, const FleetSite *site, Target target, bool cut_short)
 {
     Trial trial = {.fleet = begin(seed, shape, site), .next_spare = shape.controllers};
@@ -168,16 +172,16 @@
         for (int i = 0; i < site->losses; i++)
             lost[i] = target_drawn(&trial, i == 0 ? target : TARGET_ANY, lost[0]);
         for (int i = 0; i < site->losses; i++)
-            strike(&trial, lost[i], kind);
+            controller_lose(&trial, lost[i], kind);
         fleet_run(fleet, OUT_MS);
-        if (cut_short) { /* a learner is lost while it catches up, and another comes */
+        if (cut_short) { /* a learner is lost while it catches up, and another one starts */
             const int learner = trial.next_spare++;
             controller_begin(&trial, learner);
             fleet_run(fleet, 20 + (int64_t)(sim_random(fleet->world) % 400));
             fleet_power_off(fleet, FLEET_CONTROLLER, learner);
         }
         for (int i = 0; i < site->losses; i++)
-            back(&trial, lost[i], kind);
+            controller_return(&trial, lost[i], kind);
         fleet_run(fleet, site->voter_back_ms);
         must_lead(fleet, "after a loss");
         assert_int_equal(fleet_voters(fleet), 2 * site->losses + 1);
@@ -185,6 +189,7 @@
     finish(fleet);
 }
 
+/* With enough spares for a replacement and a lost learner in each attempt. */
 #define ONE_SHAPE ((FleetShape){3, 3, 2, MIX_TRENTVALE, 3 * ATTEMPTS})
 
 static void attempts_any(void **state)
--- a/packages/sim/test/replaced_fixture.h
+++ b/packages/sim/test/replaced_fixture.h
@@ -1,7 +1,7 @@
 #ifndef SIM_TEST_REPLACED_FIXTURE_H
 #define SIM_TEST_REPLACED_FIXTURE_H
 
-/* What the tests of replaced and of leaving controllers share. */
+/* Fixture of the tests in which controllers are replaced or leave. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,17 +14,19 @@
 
 #include "sim/fleet.h"
 
-#define SYNC_MS 4000     /* ms; a loss counts for so long after the machine's return */
-#define FOLLOWED_MS 2000 /* ms; a controller that starts follows the log after this: founding and one snapshot */
-#define SERVED_MS 6000   /* ms; after a loss another controller leads within this */
+#define SYNC_MS 4000     /* ms; a loss counts until this long after the machine's return */
+#define FOLLOWED_MS 2000 /* ms; within this a controller that starts follows the log: founding and one snapshot */
+#define SERVED_MS 6000   /* ms; within this after a loss another controller leads */
 
+/* One controller may be lost at a time. */
 static const FleetSite ONE_LOSS = {
     .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = SYNC_MS, .stagger_ms = 500};
 
+/* A fleet with a configuration that has run for SYNC_MS; it is on no parent. */
 static inline Fleet *begin(uint64_t seed, FleetShape shape, const FleetSite *site)
 {
     Fleet *fleet = fleet_new_at(NULL, seed, shape, site);
-    /* one that is told to end does so as soon as it may */
+    /* a controller that is shut down ends as soon as it may */
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         fleet_node(fleet, FLEET_CONTROLLER, i)->settings.bounds.unready_ms = 0;
     fleet_start(fleet);
@@ -34,6 +36,7 @@
     return fleet;
 }
 
+/* Fails if a safety property is broken, else frees the fleet. */
 static inline void finish(Fleet *fleet)
 {
     if (checker_broken_all(fleet->checker) > 0)
@@ -42,7 +45,7 @@
     talloc_free(fleet);
 }
 
-/* A controller that leads is there within the span; else shows what all have said. */
+/* Fails, and prints all flight recorders, unless a controller leads within SERVED_MS. when: for the message. */
 static inline void must_lead(Fleet *fleet, const char *when)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + SERVED_MS;
@@ -51,10 +54,10 @@
     if (fleet_leader(fleet) >= 0)
         return;
     fleet_dump(fleet);
-    fail_msg("nobody leads %s", when);
+    fail_msg("no controller leads %s", when);
 }
 
-/* A controller of those that run, which is not the one to spare; the leader when asked for. */
+/* A random controller that runs, or the leader if that is asked for; never the one that is spared (-1: none). */
 static inline int drawn(Fleet *fleet, int spared, bool leader)
 {
     const int leads = fleet_leader(fleet);
@@ -67,7 +70,7 @@
     }
 }
 
-/* Whether the controller's disk has a vote, by the list of whoever leads. */
+/* Whether the controller's disk is in the leader's list of voters. */
 static inline bool votes(Fleet *fleet, int controller)
 {
     uint64_t disks[VOTERS_MAX];
@@ -82,7 +85,7 @@
     return found;
 }
 
-/* A voter of those that run; the leader, or any other. */
+/* A voter that runs: the leader, or a random other one. */
 static inline int voter_drawn(Fleet *fleet, bool leader)
 {
     for (;;) {
