--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -1,4 +1,4 @@
-/* What the leader decides when workers misbehave, leave, or are not all alike. */
+/* How the leader places tasks when workers misbehave, leave, or differ from each other. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -24,7 +24,8 @@
     return case_configured(seed, (FleetShape){3, 1, 6, MIX_TRENTVALE, 0}, CONFIG);
 }
 
-static size_t on_worker(const Fleet *fleet, const char *id, const char *worker)
+/* How many of the job's tasks are on the worker. */
+static size_t tasks_on_worker(const Fleet *fleet, const char *id, const char *worker)
 {
     const Job *job = fleet_job(fleet, id);
     size_t count = 0;
@@ -33,8 +34,8 @@
     return count;
 }
 
-/* Work on one worker stands still while the worker claims health: it is stopped there
- * and begun anew elsewhere within seconds, and the worker is given less. */
+/* Tasks on one worker make no progress although the worker reports itself healthy: within seconds they are stopped
+ * there and restarted elsewhere, and the worker gets no more tasks. */
 static void stands_still(void **state)
 {
     (void)state;
@@ -44,22 +45,21 @@
         fleet, "a", "bulk", "",
         "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
     fleet_run(fleet, 1000);
-    const size_t stuck = on_worker(fleet, "a", "worker1");
+    const size_t stuck = tasks_on_worker(fleet, "a", "worker1");
     assert_true(stuck > 0);
     fleet_run(fleet, 6000);
     assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 24);
-    const size_t before = checker_starts_on(fleet->checker, "worker1");
+    const size_t starts_before = checker_starts_on(fleet->checker, "worker1");
     case_submit(
         fleet, "b", "bulk", "",
         "{\"name\":\"a\",\"count\":10,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":1000}}");
     fleet_run(fleet, 2500);
     assert_int_equal(case_in_phase(fleet, "b", TASK_DONE), 10);
-    assert_int_equal(checker_starts_on(fleet->checker, "worker1"), before);
+    assert_int_equal(checker_starts_on(fleet->checker, "worker1"), starts_before);
     case_end(fleet);
 }
 
-/* A worker eight times as slow as the others keeps nothing that another would be done
- * with much sooner. */
+/* A worker that is eight times as slow as the others loses the tasks that another worker would finish much sooner. */
 static void too_slow(void **state)
 {
     (void)state;
@@ -69,13 +69,13 @@
         fleet, "a", "bulk", "",
         "{\"name\":\"a\",\"count\":24,\"apart\":4,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":3000,\"payload\":{\"runMs\":4000}}");
     fleet_run(fleet, 1000);
-    assert_true(on_worker(fleet, "a", "worker2") > 0);
-    fleet_run(fleet, 9000); /* 32 s where they began */
+    assert_true(tasks_on_worker(fleet, "a", "worker2") > 0);
+    fleet_run(fleet, 9000); /* on the slow worker they would take 32 s */
     assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 24);
     case_end(fleet);
 }
 
-/* Work whose estimate is far too low is not taken for standing still. */
+/* Tasks whose estimate is far too low are not mistaken for stuck ones. */
 static void longer_than_said(void **state)
 {
     (void)state;
@@ -91,8 +91,8 @@
     case_end(fleet);
 }
 
-/* The first word of an attempt that a new leader hears says that it has come so far, not
- * that it has stood there since it began. */
+/* The first progress report that a new leader gets of an attempt says how far the attempt has come. Guards against the
+ * leader concluding that the attempt has made no progress since it started. */
 static void new_leader_hears(void **state)
 {
     (void)state;
@@ -102,7 +102,7 @@
         "{\"name\":\"a\",\"count\":12,\"room\":{\"cpu\":6,\"memMb\":64},\"estMs\":14000,\"payload\":{\"runMs\":14000}}");
     fleet_run(fleet, 5000);
     case_submit(
-        fleet, "short", "bulk", "", /* whose progress makes words of none credible at once */
+        fleet, "short", "bulk", "", /* its progress makes reports of no progress credible at once */
         "{\"name\":\"a\",\"count\":36,\"room\":{\"cpu\":1,\"memMb\":64},\"estMs\":9000,\"payload\":{\"runMs\":9000}}");
     fleet_run(fleet, 500);
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
@@ -114,7 +114,7 @@
     case_end(fleet);
 }
 
-/* No more of a step on one worker than it allows, gone or not; the others wait. */
+/* There are never more tasks of a step on one worker than the step's "apart" allows; the others wait. */
 static void apart_always(void **state)
 {
     (void)state;
@@ -127,7 +127,7 @@
         for (int w = 1; w <= 6; w++) {
             char name[16];
             snprintf(name, sizeof(name), "worker%d", w);
-            assert_true(on_worker(fleet, "a", name) <= 2);
+            assert_true(tasks_on_worker(fleet, "a", name) <= 2);
         }
         if (i == 6)
             assert_int_equal(case_in_phase(fleet, "a", TASK_RUNNING), 12);
@@ -137,14 +137,16 @@
     case_end(fleet);
 }
 
+/* The rack of the worker; "" if it has none or the leader does not know it. */
 static const char *rack_of(const Fleet *fleet, const char *worker)
 {
-    const Worker *its =
+    const Worker *row =
         table_worker(controller_table(fleet->nodes[FLEET_CONTROLLER][fleet_leader(fleet)].controller), worker);
-    return its != NULL ? its->rack : "";
+    return row != NULL ? row->rack : "";
 }
 
-static size_t on_rack(const Fleet *fleet, const char *id, const char *rack)
+/* How many of the job's tasks are on workers of the rack. */
+static size_t tasks_on_rack(const Fleet *fleet, const char *id, const char *rack)
 {
     const Job *job = fleet_job(fleet, id);
     size_t count = 0;
@@ -153,8 +155,8 @@
     return count;
 }
 
-/* Work goes near its data while there is room, and elsewhere rather than wait long; a
- * gang that is faster on one rack is on one. */
+/* Tasks are placed near their data while there is capacity, and elsewhere rather than wait long; a gang that is faster
+ * on one rack is placed on one. */
 static void racks(void **state)
 {
     (void)state;
@@ -163,31 +165,31 @@
         fleet, "near", "bulk", "",
         "{\"name\":\"a\",\"count\":6,\"near\":\"rack1\",\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":4000,\"payload\":{\"runMs\":4000}}");
     fleet_run(fleet, 1000);
-    assert_int_equal(on_rack(fleet, "near", "rack1"), 6);
+    assert_int_equal(tasks_on_rack(fleet, "near", "rack1"), 6);
     case_submit(
         fleet, "gang", "bulk", "",
         "{\"name\":\"g\",\"count\":4,\"gang\":true,\"sameRack\":true,\"room\":{\"cpu\":24,\"memMb\":64},\"estMs\":4000,"
         "\"payload\":{\"runMs\":4000}}");
     fleet_run(fleet, 500);
-    assert_true(on_rack(fleet, "gang", "rack0") == 4 || on_rack(fleet, "gang", "rack1") == 4);
+    assert_true(tasks_on_rack(fleet, "gang", "rack0") == 4 || tasks_on_rack(fleet, "gang", "rack1") == 4);
     const Job *gang = fleet_job(fleet, "gang");
     for (size_t i = 1; i < gang->tasks_count; i++)
         assert_int_equal(gang->tasks[i].attempt, gang->tasks[0].attempt);
-    /* rack1 holds 24 of these at most: the others take the longer way within two seconds */
+    /* rack1 has capacity for 24 of these at most: the others are placed on the other rack within two seconds */
     case_submit(
         fleet, "more", "bulk", "",
         "{\"name\":\"a\",\"count\":30,\"near\":\"rack1\",\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":4000,\"payload\":{\"runMs\":4000}}");
     fleet_run(fleet, 300);
-    const size_t near = on_rack(fleet, "more", "rack1");
+    const size_t near = tasks_on_rack(fleet, "more", "rack1");
     assert_true(near > 0);
-    assert_int_equal(on_rack(fleet, "more", "rack0"), 0);
+    assert_int_equal(tasks_on_rack(fleet, "more", "rack0"), 0);
     fleet_run(fleet, 2500);
-    assert_true(on_rack(fleet, "more", "rack0") > 0);
+    assert_true(tasks_on_rack(fleet, "more", "rack0") > 0);
     case_end(fleet);
 }
 
-/* A full fleet: urgent work that would miss its target pushes out what is young or keeps its
- * progress, and no more of it than it needs. */
+/* On a full fleet, urgent tasks that would miss their target preempt attempts that are young or save their progress,
+ * and no more of these than they need. */
 static void urgent_preempts(void **state)
 {
     (void)state;
@@ -204,7 +206,7 @@
             fleet, "now", "urgent", "",
             "{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":24,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":1000}}");
         fleet_run(fleet, 4000);
-        /* what keeps nothing has run for six seconds: too much to throw away */
+        /* attempts that save nothing have run for six seconds: too much work to throw away */
         assert_int_equal(case_in_phase(fleet, "now", TASK_DONE), saves ? 2 : 0);
         assert_true(case_in_phase(fleet, "bulk", TASK_RUNNING) >= (saves ? 10 : 12));
         fleet_run(fleet, 50000);
@@ -214,8 +216,8 @@
     }
 }
 
-/* A worker that leaves in three seconds keeps what ends by then; what keeps its progress
- * goes elsewhere, nothing new comes. */
+/* A worker that leaves in four seconds keeps the attempts that end by then; attempts that save their progress are moved
+ * to other workers. */
 static void leaves(void **state)
 {
     (void)state;
@@ -227,11 +229,11 @@
         fleet, "short", "bulk", "",
         "{\"name\":\"a\",\"count\":12,\"apart\":2,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
     fleet_run(fleet, 1500);
-    assert_int_equal(on_worker(fleet, "long", "worker1"), 2);
-    assert_int_equal(on_worker(fleet, "short", "worker1"), 2);
+    assert_int_equal(tasks_on_worker(fleet, "long", "worker1"), 2);
+    assert_int_equal(tasks_on_worker(fleet, "short", "worker1"), 2);
     stand_worker_leave_in(fleet_node(fleet, FLEET_WORKER, 0)->worker, 4000);
     fleet_run(fleet, 2500);
-    assert_int_equal(on_worker(fleet, "long", "worker1"), 0);
+    assert_int_equal(tasks_on_worker(fleet, "long", "worker1"), 0);
     const Job *job = fleet_job(fleet, "short");
     for (size_t i = 0; i < job->tasks_count; i++) {
         assert_int_equal(job->tasks[i].attempt, 1);
@@ -240,7 +242,7 @@
     case_end(fleet);
 }
 
-/* Tasks of a step with a latency target run together, so that a worker that is cut off holds up few jobs. */
+/* Tasks of a step with a latency target are placed together, so that a worker that is cut off delays few jobs. */
 static void together(void **state)
 {
     (void)state;
@@ -259,11 +261,12 @@
     int in_time = 0;
     for (int i = 0; i < JOBS; i++)
         in_time += case_in_phase(fleet, id[i], TASK_DONE) == 6;
-    assert_in_range(in_time, JOBS * 3 / 4, JOBS - 1); /* one worker of six: some of its work is held up */
+    assert_in_range(in_time, JOBS * 3 / 4, JOBS - 1); /* one worker of six is cut off: some of its tasks are delayed */
     case_end(fleet);
 }
 
-/* ... but not where the configuration names losses: the fewer on one worker, the less has to restart at once. */
+/* Where the configuration states the expected losses, such tasks are spread instead: the fewer tasks on one worker, the
+ * fewer have to restart at once. */
 static void spread_where_losses_are_named(void **state)
 {
     (void)state;
@@ -273,12 +276,12 @@
         "{\"name\":\"a\",\"count\":6,\"room\":{\"cpu\":2,\"memMb\":64},\"estMs\":1500,\"payload\":{\"runMs\":1500}}");
     fleet_run(fleet, 500);
     for (int i = 1; i <= 6; i++)
-        assert_int_equal(on_worker(fleet, "a", talloc_asprintf(fleet, "worker%d", i)), 1);
+        assert_int_equal(tasks_on_worker(fleet, "a", talloc_asprintf(fleet, "worker%d", i)), 1);
     case_end(fleet);
 }
 
-/* A worker that is cut off is given nothing new as soon as its agent owes a heartbeat, well before it counts as
- * silent; and again as soon as it is heard. */
+/* A worker that is cut off gets no new tasks as soon as its agent's heartbeat is overdue, well before the worker counts
+ * as silent, and gets tasks again as soon as it is heard. */
 static void cut_off_gets_nothing(void **state)
 {
     (void)state;
@@ -295,7 +298,7 @@
         fleet_run(fleet, HEARTBEAT_WAIT_MS + OVERDUE_LEAST_MS + 2 * PLACE_TICK_MS);
         case_submit(fleet, "while", "urgent", "", STEP);
         fleet_run(fleet, 200);
-        assert_int_equal(on_worker(fleet, "while", "worker1"), 0);
+        assert_int_equal(tasks_on_worker(fleet, "while", "worker1"), 0);
         fleet_isolate(fleet, FLEET_AGENT, 0, false);
         fleet_run(fleet, 2000);
         case_submit(fleet, "after", "urgent", "", STEP);
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -1,4 +1,4 @@
-/* Policies, shares and pushing aside on a fleet that is full. */
+/* Policies, shares and preemption on a full fleet. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,8 +15,9 @@
     return case_configured(5, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0}, config);
 }
 
-static void inside_request_send(Fleet *fleet, const char *id, const char *cell, const char *tenant, const char *queue,
-                                int count, int cpu, int run_ms)
+/* Submits a job of one step with count tasks; it is accepted. */
+static void submit(Fleet *fleet, const char *id, const char *cell, const char *tenant, const char *queue, int count,
+                   int cpu, int run_ms)
 {
     const char *body = talloc_asprintf(
         fleet,
@@ -29,6 +30,7 @@
     checker_accepted(fleet->checker, id);
 }
 
+/* How many of the job's tasks are in the phase. */
 static size_t in_phase(Fleet *fleet, const char *id, TaskPhase phase)
 {
     const Job *job = fleet_job(fleet, id);
@@ -38,32 +40,33 @@
     return count;
 }
 
+/* A cell with two tenants and two queues; more: further members, each with a comma before. */
 #define CELL(name, more) \
     "\"" name "\":{\"tenants\":{\"t\":{},\"u\":{}},\"queues\":{\"bulk\":{},\"urgent\":{\"priority\":5}}" more "}"
 
-/* Without a policy the urgent task waits for the bulk; with one it pushes. */
+/* Without a policy, urgent tasks wait for bulk tasks; with one, they preempt them. */
 static void preempts(void **state)
 {
     (void)state;
-    for (int with = 0; with < 2; with++) {
+    for (int with_policy = 0; with_policy < 2; with_policy++) {
         Fleet *fleet = begin(
-            with
+            with_policy
                 ? "{\"cells\":{" CELL(
                       "c",
                       ",\"policy\":\"p\"") "},\"policies\":{\"p\":\"function rank(t) return "
                                            "t.queue_priority end function may_push(a, b) return a.queue == 'urgent' and b.queue == 'bulk' end\"}}"
                 : "{\"cells\":{" CELL("c", "") "}}");
-        inside_request_send(fleet, "bulk", "c", "t", "bulk", 22, 32, 15000);
+        submit(fleet, "bulk", "c", "t", "bulk", 22, 32, 15000);
         fleet_run(fleet, 2000);
         assert_int_equal(in_phase(fleet, "bulk", TASK_RUNNING), 22); /* the fleet is full */
-        inside_request_send(fleet, "urgent", "c", "t", "urgent", 3, 16, 1000);
+        submit(fleet, "urgent", "c", "t", "urgent", 3, 16, 1000);
         fleet_run(fleet, 3500);
-        if (with)
+        if (with_policy)
             assert_int_equal(in_phase(fleet, "urgent", TASK_DONE) + in_phase(fleet, "urgent", TASK_RUNNING), 3);
         else
             assert_int_equal(in_phase(fleet, "urgent", TASK_WAITING), 3);
-        /* two of 16 fit where one of 32 was: no more than two were pushed */
-        assert_true(in_phase(fleet, "bulk", TASK_RUNNING) >= (with ? 20 : 22));
+        /* two tasks of 16 cores fit where one of 32 ran: no more than two were preempted */
+        assert_true(in_phase(fleet, "bulk", TASK_RUNNING) >= (with_policy ? 20 : 22));
         fleet_run(fleet, 40000);
         assert_int_equal(in_phase(fleet, "urgent", TASK_DONE), 3);
         assert_int_equal(in_phase(fleet, "bulk", TASK_DONE), 22);
@@ -71,39 +74,40 @@
     }
 }
 
-/* Two cells with shares 3 and 1 want everything; tenants within one share alike. */
+/* Two cells with shares 3 and 1 both ask for the whole fleet; tenants within a cell get equal parts. */
 static void shares(void **state)
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("big", ",\"share\":3") "," CELL("small", ",\"share\":1") "}}");
-    inside_request_send(fleet, "s", "small", "t", "bulk", 400, 8, 4000);
-    inside_request_send(fleet, "b1", "big", "t", "bulk", 400, 8, 4000);
-    inside_request_send(fleet, "b2", "big", "u", "bulk", 200, 8, 4000);
-    fleet_run(fleet, 11000); /* what was there first has left by now */
+    submit(fleet, "s", "small", "t", "bulk", 400, 8, 4000);
+    submit(fleet, "b1", "big", "t", "bulk", 400, 8, 4000);
+    submit(fleet, "b2", "big", "u", "bulk", 200, 8, 4000);
+    fleet_run(fleet, 11000); /* the tasks that started before the other jobs came have ended by now */
     const size_t small = in_phase(fleet, "s", TASK_RUNNING);
-    const size_t one = in_phase(fleet, "b1", TASK_RUNNING), two = in_phase(fleet, "b2", TASK_RUNNING);
-    print_message("of 88 places: small %zu, big %zu + %zu\n", small, one, two);
-    assert_in_range(small + one + two, 70, 88);
-    assert_in_range((one + two) * 100 / (small + 1), 220, 400);
-    assert_in_range(one * 100 / (two + 1), 70, 140);
+    const size_t first_tenant = in_phase(fleet, "b1", TASK_RUNNING),
+                 second_tenant = in_phase(fleet, "b2", TASK_RUNNING);
+    print_message("of 88 slots: small %zu, big %zu + %zu\n", small, first_tenant, second_tenant);
+    assert_in_range(small + first_tenant + second_tenant, 70, 88);
+    assert_in_range((first_tenant + second_tenant) * 100 / (small + 1), 220, 400);
+    assert_in_range(first_tenant * 100 / (second_tenant + 1), 70, 140);
     case_end(fleet);
 }
 
-/* Urgent light work overtakes bulk that was there first. */
+/* A policy lets small urgent tasks overtake bulk tasks that were submitted earlier. */
 static void rank_within(void **state)
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL(
         "c", ",\"policy\":\"p\"") "},\"policies\":{\"p\":\"function rank(t) if t.queue "
                                   "== 'urgent' then return 100 - t.cpu end return t.waited_ms / 100000 end\"}}");
-    inside_request_send(fleet, "bulk", "c", "t", "bulk", 300, 8, 2000);
+    submit(fleet, "bulk", "c", "t", "bulk", 300, 8, 2000);
     fleet_run(fleet, 1000);
-    inside_request_send(fleet, "urgent", "c", "u", "urgent", 10, 1, 200);
+    submit(fleet, "urgent", "c", "u", "urgent", 10, 1, 200);
     fleet_run(fleet, 2600);
     assert_int_equal(in_phase(fleet, "urgent", TASK_DONE), 10);
     assert_true(in_phase(fleet, "bulk", TASK_WAITING) > 50);
-    /* what another policy would make of the queue, without doing it */
-    inside_request_send(fleet, "later", "c", "u", "bulk", 1, 8, 200);
+    /* a trial shows the order that another policy would give the queue, without applying it */
+    submit(fleet, "later", "c", "u", "bulk", 1, 8, 200);
     HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=c&limit=1", NULL);
     assert_int_equal(call.code, 200);
     call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c&limit=1",
@@ -121,15 +125,15 @@
     case_end(fleet);
 }
 
-/* One that fails on some tasks only: counted, told, and the work goes on. */
+/* A policy fails on some tasks only: the failures are counted and reported, and all tasks are run. */
 static void failing(void **state)
 {
     (void)state;
     Fleet *fleet =
         begin("{\"cells\":{" CELL("c", ",\"policy\":\"p\"") "},\"policies\":{\"p\":\"function rank(t) if t.tenant == "
                                                             "'u' then while true do end end return 1 end\"}}");
-    inside_request_send(fleet, "x", "c", "u", "bulk", 5, 1, 500);
-    inside_request_send(fleet, "y", "c", "t", "bulk", 5, 1, 500);
+    submit(fleet, "x", "c", "u", "bulk", 5, 1, 500);
+    submit(fleet, "y", "c", "t", "bulk", 5, 1, 500);
     fleet_run(fleet, 4000);
     assert_int_equal(in_phase(fleet, "x", TASK_DONE), 5);
     assert_int_equal(in_phase(fleet, "y", TASK_DONE), 5);
@@ -144,9 +148,8 @@
     case_end(fleet);
 }
 
-/* Small work without end, some of each ending all the time: a task of a whole
- * worker's room starts all the same, for one worker is kept for it. A gang of two
- * such has two kept. */
+/* Small tasks are submitted without end, and some end all the time. A task that needs a whole worker starts all the
+ * same, since a worker is reserved for it; for a gang of two such tasks, two workers are reserved. */
 static void big_among_small(void **state)
 {
     (void)state;
@@ -156,9 +159,9 @@
     const int64_t from_ms = sim_now_ms(fleet->world);
     for (int i = 0; i < 120 && both_ms == 0; i++) {
         snprintf(id, sizeof(id), "small%d", i);
-        inside_request_send(fleet, id, "c", "t", "bulk", 44, 4, 3000 + i % 7 * 200);
+        submit(fleet, id, "c", "t", "bulk", 44, 4, 3000 + i % 7 * 200);
         if (i == 8)
-            inside_request_send(fleet, "big", "c", "u", "bulk", 1, 64, 1000);
+            submit(fleet, "big", "c", "u", "bulk", 1, 64, 1000);
         if (i == 40) {
             const HttpCall call = fleet_ask(
                 fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs",
@@ -179,9 +182,8 @@
     case_end(fleet);
 }
 
-/* A worker five times as slow as the others of the same steps, that claims
- * health: it gets less than a tenth of what each of the others
- * gets (a third, when only its own fullness speaks against it). */
+/* A worker runs the same steps five times as slowly as the others and reports itself healthy. It gets less than a tenth
+ * of the starts of each other worker; it would get a third if only its lack of free capacity counted against it. */
 static void slow_worker(void **state)
 {
     (void)state;
@@ -192,19 +194,19 @@
     fleet_call(fleet, "c", 15000, 60000);
     fleet_run(fleet, 60000);
     const size_t slow = checker_starts_on(fleet->checker, "worker1"), all = checker_starts(fleet->checker);
-    print_message("starts on the slow one %zu, on each other %zu\n", slow, (all - slow) / 10);
+    print_message("starts on the slow worker: %zu, on each other worker: %zu\n", slow, (all - slow) / 10);
     assert_true(slow * 10 < (all - slow) / 10);
     case_end(fleet);
 }
 
-/* Emptying a zone with a move: what runs there is stopped and started elsewhere,
- * one at a time; without, it stays until it ends. */
+/* When a zone is drained with move=1, the attempts that run there are stopped and restarted elsewhere, one at a time;
+ * without it, they run there until they end. */
 static void moved(void **state)
 {
     (void)state;
     for (int move = 0; move < 2; move++) {
         Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
-        inside_request_send(fleet, "long", "c", "t", "bulk", 11, 4, 60000);
+        submit(fleet, "long", "c", "t", "bulk", 11, 4, 60000);
         fleet_run(fleet, 2000);
         assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
         assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST",
@@ -222,15 +224,15 @@
     }
 }
 
-/* An alert stands while there is something to do, in the list and the metrics;
- * the log ring can be read from every process. */
+/* An alert is in the list and in the metrics as long as an operator has something to do; the flight recorder can be
+ * read from every process. */
 static void alerts(void **state)
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
     HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.result.data, "[]\n");
-    inside_request_send(fleet, "work", "c", "t", "bulk", 11, 4, 30000);
+    submit(fleet, "work", "c", "t", "bulk", 11, 4, 30000);
     fleet_run(fleet, 1000);
     fleet_kill(fleet, FLEET_WORKER, 1);
     fleet_kill(fleet, FLEET_AGENT, 2);
@@ -240,7 +242,7 @@
     call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     const char *lost = strstr((const char *)call.result.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker2\"");
     assert_non_null(lost);
-    /* it was the worker that was killed: its agent lives */
+    /* the worker was killed, and its agent runs on */
     assert_non_null(strstr(lost, "\"todo\":\"its agent lives and does not hear it: look at the worker's process\""));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"seat-out\",\"subject\":\"core"));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"losses-few\",\"subject\":\"0 of 1\""));
@@ -266,22 +268,22 @@
     case_end(fleet);
 }
 
-/* Copies of a job's work stand in other racks and zones while room is equal. */
+/* Among workers with equal free capacity, the tasks of a job are spread over racks and zones. */
 static void spreads(void **state)
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
-    inside_request_send(fleet, "three", "c", "t", "bulk", 3, 2, 5000);
+    submit(fleet, "three", "c", "t", "bulk", 3, 2, 5000);
     fleet_run(fleet, 1500);
     const Job *job = fleet_job(fleet, "three");
-    const Worker *at[3];
+    const Worker *workers[3];
     const Table *table = controller_table(fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->controller);
     for (int i = 0; i < 3; i++)
-        at[i] = table_worker(table, job->tasks[i].worker);
+        workers[i] = table_worker(table, job->tasks[i].worker);
     for (int i = 0; i < 3; i++)
         for (int k = 0; k < i; k++) {
-            assert_string_not_equal(at[i]->zone, at[k]->zone);
-            assert_string_not_equal(at[i]->rack, at[k]->rack);
+            assert_string_not_equal(workers[i]->zone, workers[k]->zone);
+            assert_string_not_equal(workers[i]->rack, workers[k]->rack);
         }
     case_end(fleet);
 }
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -1,24 +1,24 @@
-/* A question is carried out by whom it is meant for, or by nobody; what came of it goes to
- * nobody else, however late. */
+/* A request is carried out only by the process that it is meant for, and its answer, however late, reaches only the
+ * caller that sent it. */
 #include "asker.h"
 
-/* A question sent by hand, as the release before does. */
-typedef struct RawQuestion {
+/* A request frame as the previous release sends it, and the answer to it. */
+typedef struct RawRequest {
     Loop *loop;
-    OldFrame question, answer;
+    OldFrame request, answer;
     bool answered;
-} RawQuestion;
+} RawRequest;
 
-static void raw_question_main(void *arg)
+static void raw_request_main(void *arg)
 {
-    RawQuestion *raw = arg;
+    RawRequest *raw = arg;
     void *mem = talloc_new(raw->loop);
     Channel *channel;
     Bytes frame = {0};
     const Echo echo = {1};
     assert_int_equal(loop_open(raw->loop, mem, ADDRESS, 500, &channel), STATUS_OK);
-    shape_pack(&Echo_shape, &echo, mem, &raw->question.payload);
-    shape_pack(&OldFrame_shape, &raw->question, mem, &frame);
+    shape_pack(&Echo_shape, &echo, mem, &raw->request.payload);
+    shape_pack(&OldFrame_shape, &raw->request, mem, &frame);
     channel_send(channel, frame);
     raw->answered = channel_receive(channel, mem, loop_now_ms(raw->loop) + 500, &frame) == STATUS_OK &&
                     shape_unpack(&OldFrame_shape, frame, mem, &raw->answer, NULL) == STATUS_OK;
@@ -27,7 +27,7 @@
     talloc_free(mem);
 }
 
-/* --- questions that are another's ------------------------------------------------------ */
+/* --- requests for another process ------------------------------------------------------ */
 
 typedef struct Server {
     PeerIdentity self;
@@ -36,7 +36,7 @@
     uint64_t served, sum;
 } Server;
 
-/* A number below 100 is answered after so many ms, and not before. */
+/* Answers with the number plus one; a number of at least 1000 is answered after that many ms. */
 static Status echo(void *arg, void *mem, const void *ask, void *answer)
 {
     Server *server = arg;
@@ -63,24 +63,24 @@
     assert_int_equal(rpc_listen(server->rpc, ADDRESS, bound, NULL), STATUS_OK);
 }
 
-/* The two machines of a case. */
+/* The two machines of a test case. */
 typedef struct Pair {
     SimWorld *world;
-    int client, machine; /* the asker's; the server's */
+    int client, server;
 } Pair;
 
-/* Both run in a world on mem. */
+/* Starts both in a new world, which is on mem. */
 static Pair pair_start(void *mem, Asker *asker, Server *server)
 {
     SimWorld *world = sim_world_new(mem, 1);
-    const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, server_start, server);
+    const int client = sim_machine(world), server_machine = sim_machine(world);
+    sim_start(world, server_machine, server_start, server);
     sim_start(world, client, asker_start, asker);
-    return (Pair){world, client, machine};
+    return (Pair){world, client, server_machine};
 }
 
-/* An address is used again by another machine, or by the same one after a restart: what
- * was meant for the one before is refused, and not carried out. */
+/* An address is reused by another process, or by the same one after a restart: a request that is meant for the previous
+ * process is refused and not carried out. */
 static void address_reused(void **state)
 {
     (void)state;
@@ -96,23 +96,23 @@
         const char *id;
         uint64_t life;
         Status status;
-    } NEXT[] = {
+    } SUCCESSORS[] = {
         {"gate2", 2000, STATUS_OTHER_PEER}, {"gate1", 2000, STATUS_OTHER_LIFE}, {"gate1", 900, STATUS_OTHER_LIFE}};
-    for (size_t i = 0; i < sizeof(NEXT) / sizeof(NEXT[0]); i++) {
-        const PeerIdentity before = peer_identity("gate1", 1000);
-        sim_kill(world, pair.machine);
-        server = (Server){.self = peer_identity(NEXT[i].id, NEXT[i].life)};
-        sim_start(world, pair.machine, server_start, &server);
+    for (size_t i = 0; i < sizeof(SUCCESSORS) / sizeof(SUCCESSORS[0]); i++) {
+        const PeerIdentity predecessor = peer_identity("gate1", 1000);
+        sim_kill(world, pair.server);
+        server = (Server){.self = peer_identity(SUCCESSORS[i].id, SUCCESSORS[i].life)};
+        sim_start(world, pair.server, server_start, &server);
         run_for(world, 100);
-        ask = begin(&asker, before, 41, 500);
+        ask = begin(&asker, predecessor, 41, 500);
         run_for(world, 1000);
-        assert_int_equal(ask->status, NEXT[i].status);
+        assert_int_equal(ask->status, SUCCESSORS[i].status);
         assert_int_equal(server.served, 0);
         ask = begin(&asker, server.self, 41, 500);
         run_for(world, 1000);
         assert_int_equal(ask->status, STATUS_OK);
     }
-    /* one that has had to say that it is newer is the same process still */
+    /* a process that had to raise its incarnation is still the same process */
     const PeerIdentity born = server.self;
     rpc_set_self(server.rpc, peer_identity("gate1", 3000));
     ask = begin(&asker, born, 41, 500);
@@ -123,7 +123,7 @@
 
 /* --- late answers, ended connections ------------------------------------------------------ */
 
-/* A question that was given up: its answer comes while another waits on the same line. */
+/* The answer to an expired request arrives while other requests wait on the same connection. */
 static void late_answer(void **state)
 {
     (void)state;
@@ -145,8 +145,8 @@
     talloc_free(mem);
 }
 
-/* A connection ends with questions on it: each is told that its outcome is not known, and
- * none gets an answer of the next connection. */
+/* A connection ends with requests pending: each fails with an unknown outcome, and none gets an answer from the next
+ * connection. */
 static void ended_line(void **state)
 {
     (void)state;
@@ -160,8 +160,8 @@
         lost[i] = begin(&asker, (PeerIdentity){0}, 1000 + (uint64_t)i, 5000);
     run_for(world, 300);
     assert_int_equal(server.served, 3);
-    sim_kill(world, pair.machine);
-    sim_start(world, pair.machine, server_start, &server);
+    sim_kill(world, pair.server);
+    sim_start(world, pair.server, server_start, &server);
     run_for(world, 100);
     const Ask *next = begin(&asker, (PeerIdentity){0}, 1003, 5000);
     run_for(world, 3000);
@@ -174,7 +174,7 @@
     talloc_free(mem);
 }
 
-/* A question that waits for a connection and is given up is not sent once there is one. */
+/* A request that is cancelled while it waits for a connection is not sent when there is one. */
 static void cancelled(void **state)
 {
     (void)state;
@@ -185,13 +185,13 @@
         RpcSending sending = {0};
         const Pair pair = pair_start(mem, &asker, &server);
         SimWorld *world = pair.world;
-        sim_cut(world, pair.client, pair.machine, true);
+        sim_cut(world, pair.client, pair.server, true);
         Ask *ask = begin(&asker, (PeerIdentity){0}, 7, 3000);
         ask->sending = &sending;
         run_for(world, 300);
         assert_false(sending.sent);
         sending.cancelled = cancel == 1;
-        sim_cut(world, pair.client, pair.machine, false);
+        sim_cut(world, pair.client, pair.server, false);
         run_for(world, 3000);
         assert_int_equal(ask->status, cancel ? STATUS_UNREACHABLE : STATUS_OK);
         assert_int_equal(server.served, !cancel);
@@ -200,12 +200,13 @@
     }
 }
 
-/* A question of another version, and one that nobody knows: typed, and not carried out. */
+/* Requests of another protocol version, of another cluster or of an unknown kind are answered with a status of their
+ * own and not carried out. */
 static void refused_questions(void **state)
 {
     (void)state;
     static const struct {
-        OldFrame question;
+        OldFrame request;
         Status status;
     } ROWS[] = {
         {{.version = WIRE_VERSION, .cluster = CLUSTER, .kind = MESSAGE_KNOW, .call = 1}, STATUS_OK},
@@ -219,12 +220,12 @@
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
-        RawQuestion one = {.loop = asker.loop, .question = ROWS[i].question};
-        loop_spawn(asker.loop, "hand", raw_question_main, &one);
+        RawRequest one = {.loop = asker.loop, .request = ROWS[i].request};
+        loop_spawn(asker.loop, "hand", raw_request_main, &one);
         run_for(world, 1000);
         assert_true(one.answered);
         assert_int_equal(one.answer.status, ROWS[i].status);
-        assert_int_equal(one.answer.call, ROWS[i].question.call);
+        assert_int_equal(one.answer.call, ROWS[i].request.call);
     }
     assert_int_equal(server.served, 1);
     assert_int_equal(rpc_counts(server.rpc)->other_versions, 1);
--- a/packages/sim/test/quota.c
+++ b/packages/sim/test/quota.c
@@ -1,5 +1,5 @@
-/* What a tenant has running on all workers never exceeds its quota. The checker counts each attempt at the workers
- * themselves, whether or not the leader still has it. */
+/* A tenant's attempts that run on all workers together never exceed its quota. The checker counts the attempts on the
+ * workers themselves, whether or not the leader still knows of them. */
 #include <stdio.h>
 #include <string.h>
 
@@ -7,6 +7,7 @@
 
 #define QUOTA_CPU 8
 
+/* A configuration with these tenants and two queues. */
 static const char *config_text(Fleet *fleet, const char *tenants)
 {
     return talloc_asprintf(fleet,
@@ -16,12 +17,14 @@
                            tenants);
 }
 
-static const char *bounded(Fleet *fleet, uint64_t cpu)
+/* A configuration in which tenant t may use so many cores, and another tenant has no quota. */
+static const char *quota_config(Fleet *fleet, uint64_t cpu)
 {
     return config_text(fleet,
                        talloc_asprintf(fleet, "\"t\":{\"quota\":{\"cpu\":%u,\"memMb\":0}},\"free\":{}", (unsigned)cpu));
 }
 
+/* Replaces the newest version of the configuration. */
 static void configure(Fleet *fleet, const char *config)
 {
     const HttpCall read = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
@@ -41,7 +44,7 @@
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000));
     const HttpCall call =
-        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", bounded(fleet, QUOTA_CPU));
+        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", quota_config(fleet, QUOTA_CPU));
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.result.data);
     checker_quota(fleet->checker, "t", (Resources){QUOTA_CPU * 1000, 0, 0}, TENANT_IN);
@@ -49,18 +52,18 @@
     return fleet;
 }
 
-/* A step of 2 cores a task; more: further members of it, with a comma before. */
+/* A step with 2 cores a task; more: further JSON members, each with a comma before. */
 #define STEP(count, mem_mb, run_ms, more)                                                                \
     "{\"name\":\"a\",\"count\":" #count ",\"room\":{\"cpu\":2,\"memMb\":" #mem_mb "},\"estMs\":" #run_ms \
     ",\"payload\":{\"runMs\":" #run_ms "}" more "}"
 
-/* more: further members of the job, with a comma before. */
+/* Submits a job to queue bulk; more: further JSON members, each with a comma before. */
 static void submit(Fleet *fleet, const char *id, const char *step, const char *more)
 {
     case_submit(fleet, id, "bulk", more, step);
 }
 
-/* The number of a worker that the table has a task of the job on; -1: none. */
+/* The number of a worker that has a task of the job according to the leader's table; -1: none. */
 static int worker_of(const Fleet *fleet, const char *id)
 {
     const Job *job = fleet_job(fleet, id);
@@ -70,7 +73,7 @@
     return -1;
 }
 
-/* Guards against the count dropping members of a gang that are still being stopped once one of them has finished. */
+/* Guards against gang members that are still being stopped no longer counting once one member has finished. */
 static void gang_members_count_until_they_have_stopped(void **state)
 {
     (void)state;
@@ -81,7 +84,7 @@
         submit(fleet, "gang", STEP(4, 100000, 1500, ",\"gang\":true"), "");
         submit(fleet, "after", STEP(16, 64, 700, ""), "");
         fleet_run(fleet, 1000);
-        for (int i = 1; i < 6; i += 2) /* the slow ones hear of no stop */
+        for (int i = 1; i < 6; i += 2) /* the slow workers do not receive the stops */
             fleet_isolate(fleet, FLEET_AGENT, i, true);
         fleet_run(fleet, 20000);
         assert_int_equal(case_in_phase(fleet, "after", TASK_DONE), 16);
@@ -89,7 +92,8 @@
     }
 }
 
-/* Guards against a copy being started beside an attempt on a silent worker, which runs on until its lease lapses. */
+/* Guards against a copy being started over the quota beside an attempt on a silent worker, which runs on until its
+ * lease lapses. */
 static void copies_count_beside_what_they_replace(void **state)
 {
     (void)state;
@@ -101,12 +105,12 @@
         assert_true(at >= 0);
         fleet_isolate(fleet, FLEET_AGENT, at, true);
         fleet_run(fleet, 15000);
-        assert_int_equal(case_in_phase(fleet, "copied", TASK_DONE), 4); /* what the lost worker ran counts no longer */
+        assert_int_equal(case_in_phase(fleet, "copied", TASK_DONE), 4); /* the lost worker's attempts no longer count */
         case_end(fleet);
     }
 }
 
-/* ... nor by a leader that took over since: it has not heard of what the silent worker runs. */
+/* Guards against the same after a change of leader: the new leader has not heard what the silent worker runs. */
 static void copies_count_for_a_new_leader(void **state)
 {
     (void)state;
@@ -128,7 +132,7 @@
     }
 }
 
-/* ... nor gang members whose gang has finished. */
+/* Guards against a new leader no longer counting gang members that still run after another member has finished. */
 static void gang_members_count_for_a_new_leader(void **state)
 {
     (void)state;
@@ -149,7 +153,7 @@
     }
 }
 
-/* Guards against jobs that are cancelled being counted as gone before their workers have stopped them. */
+/* Guards against the tasks of a cancelled job no longer counting before their workers have stopped them. */
 static void cancelled_counts_until_it_has_stopped(void **state)
 {
     (void)state;
@@ -187,7 +191,7 @@
     }
 }
 
-/* Guards against a lowered limit that is passed by starts decided before it, or after. */
+/* Guards against a lowered quota being exceeded by starts that were decided before or after the change. */
 static void lowered_limit_is_kept(void **state)
 {
     (void)state;
@@ -196,7 +200,7 @@
         submit(fleet, "a", STEP(30, 64, 700, ""), "");
         fleet_run(fleet, 1200 + 37 * (int64_t)seed);
         checker_quota(fleet->checker, "t", (Resources){4000, 0, 0}, TENANT_ASKED);
-        configure(fleet, bounded(fleet, 4));
+        configure(fleet, quota_config(fleet, 4));
         checker_quota(fleet->checker, "t", (Resources){4000, 0, 0}, TENANT_IN);
         fleet_run(fleet, 20000);
         assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 30);
@@ -204,7 +208,8 @@
     }
 }
 
-/* Guards against a tenant that was taken out running without bound, and being over its limit when it comes back. */
+/* Guards against a tenant that was removed from the configuration running tasks without a limit, and exceeding its
+ * quota when it is added again. */
 static void removed_tenant_keeps_its_limit(void **state)
 {
     (void)state;
@@ -217,14 +222,14 @@
         if (seed % 2 == 0)
             fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
         fleet_run(fleet, 6000);
-        configure(fleet, bounded(fleet, QUOTA_CPU));
+        configure(fleet, quota_config(fleet, QUOTA_CPU));
         fleet_run(fleet, 15000);
         assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 40);
         case_end(fleet);
     }
 }
 
-/* What the first waiting task of the job is shown to wait for. */
+/* What the first waiting task of the job waits for, as the job's representation shows it. */
 static const char *waits_for(Fleet *fleet, const char *id)
 {
     const char *path = talloc_asprintf(fleet, "/v1/jobs/%s", id);
@@ -246,7 +251,7 @@
     fleet_run(fleet, 1000);
     assert_string_equal(waits_for(fleet, "a"), "quota");
     assert_string_equal(waits_for(fleet, "gang"), "quota");
-    configure(fleet, bounded(fleet, 1000));
+    configure(fleet, quota_config(fleet, 1000));
     checker_quota(fleet->checker, "t", (Resources){1000000, 0, 0}, TENANT_IN);
     fleet_run(fleet, 5000);
     assert_int_equal(case_in_phase(fleet, "a", TASK_DONE), 6);
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -1,9 +1,9 @@
-/* What callers, workers and operators ask: good, bad, twice and at once. */
+/* Requests of callers, workers and operators: valid, malformed, repeated and concurrent ones. */
 #include <stdio.h>
 
 #include "job_fixture.h"
 
-/* What is rejected with which status, and what its text names. */
+/* Jobs that are rejected: the HTTP code, the status, and a text that the answer must hold. */
 static const struct {
     const char *body;
     int code;
@@ -86,7 +86,7 @@
     memset(large, ' ', JOB_BODY_MAX + 50);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", large, NULL), 413);
     fleet_run(fleet, 5000);
-    assert_int_equal(checker_starts(fleet->checker), 0); /* nothing of it ran */
+    assert_int_equal(checker_starts(fleet->checker), 0); /* no task of them was started */
     const char *text;
     assert_int_equal(ask(fleet, "GET", "/v1/jobs", NULL, &text), 200);
     assert_string_equal(text, "{\"jobs\":[]}\n");
@@ -144,7 +144,7 @@
             fail_msg("%s: %d", BAD[i], call.code);
     }
     static const char GOOD[] = "{\"boot\":\"other\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1}}";
-    /* a second process of the same name while the first one's lease runs */
+    /* a second process with the same name, while the first one's lease runs */
     fleet_run(fleet, 2000);
     HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
     if (call.code != 409)
@@ -156,7 +156,7 @@
     case_end(fleet);
 }
 
-/* The same job at two entry points at once counts once; another body is refused. */
+/* The same job submitted at several entry points at once is accepted once; the same id with another body is refused. */
 static void twice_at_once(void **state)
 {
     (void)state;
@@ -172,7 +172,7 @@
     fleet_run(fleet, 20000);
     const char *text;
     assert_int_equal(ask(fleet, "GET", "/v1/jobs?limit=1000", NULL, &text), 200);
-    /* three callers draw other classes for the same numbers: each id is one job */
+    /* the three callers submit different jobs under the same ids: each id is one job */
     for (int i = 0; i < fleet->caller_count; i++) {
         CallerJob *const *jobs;
         const size_t count = caller_jobs(fleet->callers[i], &jobs);
@@ -227,7 +227,7 @@
         if (code != 422 || strstr(text, BAD[i].path) == NULL)
             fail_msg("%s: %d %s", BAD[i].body, code, text);
     }
-    /* refused ones took no effect; a leader's death loses nothing */
+    /* refused changes had no effect, and the loss of the leader loses no version */
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 6000);
     assert_int_equal(ask(fleet, "GET", "/v1/config", NULL, &text), 200);
@@ -235,7 +235,7 @@
     case_end(fleet);
 }
 
-/* One change through all nodes, while one of them is down. */
+/* The trace of a change shows its way through all nodes, and names a node that is down as silent. */
 static void traced(void **state)
 {
     (void)state;
@@ -245,14 +245,14 @@
     fleet_run(fleet, 3000);
     fleet_kill(fleet, FLEET_ENTRY_POINT, 2);
     assert_int_equal(ask(fleet, "GET", "/v1/trace?key=job:seen", NULL, &text), 200);
-    static const char *const WAY[] = {"carried", "delivered", "fetched", "given", "runs", "over", "known"};
+    static const char *const TRACE_STEPS[] = {"carried", "delivered", "fetched", "given", "runs", "over", "known"};
     const char *at = text;
-    for (size_t i = 0; i < sizeof(WAY) / sizeof(WAY[0]); i++) {
+    for (size_t i = 0; i < sizeof(TRACE_STEPS) / sizeof(TRACE_STEPS[0]); i++) {
         char step[32];
-        snprintf(step, sizeof(step), "\"step\":\"%s\"", WAY[i]);
+        snprintf(step, sizeof(step), "\"step\":\"%s\"", TRACE_STEPS[i]);
         if ((at = strstr(i > 1 ? at : text, step)) ==
-            NULL) /* entry point and controller speak within one way there and back */
-            fail_msg("%s is not there, or not in its place: %s", WAY[i], text);
+            NULL) /* the order of the first two varies: entry point and controller record them within one round trip */
+            fail_msg("step %s is missing or out of order: %s", TRACE_STEPS[i], text);
     }
     for (int i = 1; i <= 3; i++) {
         char node[32];
@@ -268,9 +268,9 @@
     case_end(fleet);
 }
 
-/* A leader that freezes with requests on the way: nobody waits out a long time-out.
- * What carries an identity is asked of the new leader; a change of configuration
- * gets its 504 as soon as a newer term is heard of, reads their answer. */
+/* The leader freezes while requests are on their way to it. Guards against callers waiting for a long time-out: a
+ * request with an id is sent to the new leader, a configuration change without one gets 504 as soon as a newer term is
+ * heard of, and a read gets its answer. */
 static void leader_freezes(void **state)
 {
     (void)state;
@@ -280,30 +280,30 @@
     static const struct {
         const char *method, *path, *body;
         int code;
-    } ASKED[] = {{"POST", "/v1/jobs", JOB, 201},
-                 {"PATCH", "/v1/config?base=1", "{\"r\":0}", 504},
-                 {"GET", "/v1/config", NULL, 200}};
-    for (size_t i = 0; i < sizeof(ASKED) / sizeof(ASKED[0]); i++) {
+    } REQUESTS[] = {{"POST", "/v1/jobs", JOB, 201},
+                    {"PATCH", "/v1/config?base=1", "{\"r\":0}", 504},
+                    {"GET", "/v1/config", NULL, 200}};
+    for (size_t i = 0; i < sizeof(REQUESTS) / sizeof(REQUESTS[0]); i++) {
         Fleet *fleet = case_begin(3 + i, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
         fleet_run(fleet, 1000);
         fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 9000);
         const int64_t from_ms = sim_now_ms(fleet->world);
         const HttpCall call =
-            fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
+            fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, REQUESTS[i].method, REQUESTS[i].path, REQUESTS[i].body);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
-        print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)took_ms,
-                      call.code >= 400 ? 120 : 0, (const char *)call.result.data);
-        if (call.code == 503) /* every way was tried before a new leader was heard of */
-            assert_true(call.retry_after_s > 0 && ASKED[i].code != 504);
+        print_message("%s %s: %d after %lld ms %.*s\n", REQUESTS[i].method, REQUESTS[i].path, call.code,
+                      (long long)took_ms, call.code >= 400 ? 120 : 0, (const char *)call.result.data);
+        if (call.code == 503) /* all routes were tried before a new leader was heard of */
+            assert_true(call.retry_after_s > 0 && REQUESTS[i].code != 504);
         else
-            assert_int_equal(call.code, ASKED[i].code);
+            assert_int_equal(call.code, REQUESTS[i].code);
         assert_true(took_ms < 5000);
         assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
 
-/* /readyz tells the truth in each zone while one is cut off. */
+/* While a zone is cut off, /readyz is 503 in that zone and 200 in the others. */
 static void ready_in_a_cut(void **state)
 {
     (void)state;
--- a/packages/sim/test/rpc.c
+++ b/packages/sim/test/rpc.c
@@ -1,4 +1,4 @@
-/* Questions between two simulated nodes: answers, cuts, freezes, deaths. */
+/* Requests between two simulated nodes: answers, cut links, frozen and killed servers, malformed frames. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,7 +15,8 @@
 SHAPE(Echo, ECHO_FIELDS)
 SHAPE_TABLE(Echo, ECHO_FIELDS)
 
-typedef struct Seen {
+/* A client, at index 0, and a server, at index 1, with the outcomes of the client's requests. */
+typedef struct RpcFixture {
     Rpc *rpc[2];
     Loop *loop[2];
     char address[ADDRESS_MAX];
@@ -23,65 +24,66 @@
     uint64_t number[8];
     int count;
     unsigned served;
-    Status patient;
-    bool patient_done;
-} Seen;
+    Status long_wait_status;
+    bool long_wait_done;
+} RpcFixture;
 
 static Status echo(void *arg, void *mem, const void *ask, void *answer)
 {
-    Seen *seen = arg;
+    RpcFixture *fixture = arg;
     (void)mem;
-    seen->served++;
+    fixture->served++;
     ((Echo *)answer)->number = ((const Echo *)ask)->number + 1;
     return STATUS_OK;
 }
 
 static void server_start(void *arg, Loop *loop)
 {
-    Seen *seen = arg;
+    RpcFixture *fixture = arg;
     Recorder *recorder = recorder_new(loop, "server");
-    seen->rpc[1] = rpc_new(loop, loop, recorder);
-    rpc_set_cluster(seen->rpc[1], 7);
-    rpc_handle(seen->rpc[1], MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, seen);
-    assert_int_equal(rpc_listen(seen->rpc[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
+    fixture->rpc[1] = rpc_new(loop, loop, recorder);
+    rpc_set_cluster(fixture->rpc[1], 7);
+    rpc_handle(fixture->rpc[1], MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, fixture);
+    assert_int_equal(rpc_listen(fixture->rpc[1], "10.0.0.2:7000", fixture->address, NULL), STATUS_OK);
 }
 
-static void ask_one(Seen *seen, int64_t wait_ms)
+/* Sends a request and appends its outcome. */
+static void request_once(RpcFixture *fixture, int64_t wait_ms)
 {
-    Loop *loop = seen->loop[0];
+    Loop *loop = fixture->loop[0];
     void *mem = talloc_new(loop);
     const Echo ask = {41};
     Echo answer = {0};
-    const int at = seen->count++;
-    seen->status[at] =
-        rpc_ask(seen->rpc[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &Echo_shape, &ask, wait_ms, &Echo_shape, &answer);
-    seen->number[at] = answer.number;
+    const int at = fixture->count++;
+    fixture->status[at] =
+        rpc_ask(fixture->rpc[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &Echo_shape, &ask, wait_ms, &Echo_shape, &answer);
+    fixture->number[at] = answer.number;
     talloc_free(mem);
 }
 
 static void client_main(void *arg)
 {
-    Seen *seen = arg;
-    ask_one(seen, 500); /* 0: answered */
-    loop_sleep(seen->loop[0], 1000 - 500);
-    ask_one(seen, 500); /* 1: cut meanwhile: expired */
-    loop_sleep(seen->loop[0], 1000);
-    ask_one(seen, 500); /* 2: joined again: answered */
-    loop_sleep(seen->loop[0], 2000);
-    ask_one(seen, 3000); /* 3: server frozen: answered late */
-    ask_one(seen, 500);  /* 4: server dead: unreachable */
-    rpc_set_cluster(seen->rpc[0], 8);
-    loop_sleep(seen->loop[0], 3000);
-    ask_one(seen, 500); /* 5: of another cluster: stranger */
+    RpcFixture *fixture = arg;
+    request_once(fixture, 500); /* 0: answered */
+    loop_sleep(fixture->loop[0], 1000 - 500);
+    request_once(fixture, 500); /* 1: link cut: expired */
+    loop_sleep(fixture->loop[0], 1000);
+    request_once(fixture, 500); /* 2: link restored: answered */
+    loop_sleep(fixture->loop[0], 2000);
+    request_once(fixture, 3000); /* 3: server frozen: answered late */
+    request_once(fixture, 500);  /* 4: server dead: unreachable */
+    rpc_set_cluster(fixture->rpc[0], 8);
+    loop_sleep(fixture->loop[0], 3000);
+    request_once(fixture, 500); /* 5: of another cluster: stranger */
 }
 
 static void client_start(void *arg, Loop *loop)
 {
-    Seen *seen = arg;
-    seen->loop[0] = loop;
-    seen->rpc[0] = rpc_new(loop, loop, recorder_new(loop, "client"));
-    rpc_set_cluster(seen->rpc[0], 7);
-    loop_spawn(loop, "client", client_main, seen);
+    RpcFixture *fixture = arg;
+    fixture->loop[0] = loop;
+    fixture->rpc[0] = rpc_new(loop, loop, recorder_new(loop, "client"));
+    rpc_set_cluster(fixture->rpc[0], 7);
+    loop_spawn(loop, "client", client_main, fixture);
 }
 
 static void life(void **state)
@@ -89,10 +91,10 @@
     (void)state;
     void *mem = talloc_new(NULL);
     SimWorld *world = sim_world_new(mem, 1);
-    Seen seen = {0};
+    RpcFixture fixture = {0};
     const int client = sim_machine(world), server = sim_machine(world);
-    sim_start(world, server, server_start, &seen);
-    sim_start(world, client, client_start, &seen);
+    sim_start(world, server, server_start, &fixture);
+    sim_start(world, client, client_start, &fixture);
     sim_run_until(world, 1300);
     sim_cut(world, client, server, true);
     sim_run_until(world, 2400);
@@ -102,101 +104,103 @@
     sim_run_until(world, 6300);
     sim_kill(world, server);
     sim_run_until(world, 8000);
-    sim_start(world, server, server_start, &seen);
+    sim_start(world, server, server_start, &fixture);
     sim_run_until(world, 30000);
-    assert_int_equal(seen.count, 6);
-    assert_int_equal(seen.status[0], STATUS_OK);
-    assert_int_equal(seen.number[0], 42);
-    assert_int_equal(seen.status[1], STATUS_EXPIRED);
-    assert_int_equal(seen.status[2], STATUS_OK);
-    assert_int_equal(seen.status[3], STATUS_OK);
-    assert_int_equal(seen.status[5], STATUS_STRANGER);
+    assert_int_equal(fixture.count, 6);
+    assert_int_equal(fixture.status[0], STATUS_OK);
+    assert_int_equal(fixture.number[0], 42);
+    assert_int_equal(fixture.status[1], STATUS_EXPIRED);
+    assert_int_equal(fixture.status[2], STATUS_OK);
+    assert_int_equal(fixture.status[3], STATUS_OK);
+    assert_int_equal(fixture.status[5], STATUS_STRANGER);
     talloc_free(mem);
 }
 
-/* --- frames that are none --------------------------------------------------------- */
+/* --- malformed frames --------------------------------------------------------------- */
 
-typedef struct Spoiler {
+/* A client that sends malformed frames, and how many connections ended or were answered. */
+typedef struct BadFrameSender {
     Loop *loop;
     int ended, answered;
-} Spoiler;
+} BadFrameSender;
 
-static void spoil_main(void *arg)
+static void bad_frames_main(void *arg)
 {
-    Spoiler *spoiler = arg;
+    BadFrameSender *sender = arg;
     static const uint8_t FRAMES[][12] = {
         {0},                                                                /* not an envelope */
-        {0xff, 0xff, 0xff, 0xff},                                           /* nor this */
-        {0x97, 0x01, 0x07, 0x03, 0x01, 0xc3, 0x00, 0xc4, 0x00},             /* an answer where a question belongs */
-        {0x97, 0x01, 0x07, 0x1f, 0x01, 0xc2, 0x00, 0xc4, 0x00},             /* a kind that nobody handles */
-        {0x97, 0x01, 0x07, 0xcd, 0xff, 0xff, 0x01, 0xc2, 0x00, 0xc4, 0x00}, /* a kind out of all bounds */
+        {0xff, 0xff, 0xff, 0xff},                                           /* not an envelope either */
+        {0x97, 0x01, 0x07, 0x03, 0x01, 0xc3, 0x00, 0xc4, 0x00},             /* an answer in place of a request */
+        {0x97, 0x01, 0x07, 0x1f, 0x01, 0xc2, 0x00, 0xc4, 0x00},             /* a kind without a handler */
+        {0x97, 0x01, 0x07, 0xcd, 0xff, 0xff, 0x01, 0xc2, 0x00, 0xc4, 0x00}, /* a kind out of range */
         {0x97, 0x01, 0x07, 0x03, 0x01, 0xc2, 0x00, 0xc4, 0x01, 0xc1},       /* a body that does not parse */
     };
     static const size_t COUNTS[] = {1, 4, 9, 9, 11, 10};
     for (size_t i = 0; i < sizeof(COUNTS) / sizeof(COUNTS[0]); i++) {
-        void *mem = talloc_new(spoiler->loop);
+        void *mem = talloc_new(sender->loop);
         Channel *channel;
-        assert_int_equal(loop_open(spoiler->loop, mem, "10.0.0.2:7000", 500, &channel), STATUS_OK);
+        assert_int_equal(loop_open(sender->loop, mem, "10.0.0.2:7000", 500, &channel), STATUS_OK);
         channel_send(channel, (Bytes){(uint8_t *)(uintptr_t)FRAMES[i], COUNTS[i], 0});
         Bytes frame;
         Status status;
-        while ((status = channel_receive(channel, mem, loop_now_ms(spoiler->loop) + 500, &frame)) == STATUS_OK)
-            spoiler->answered++; /* a refusal may come before the end */
-        spoiler->ended += status == STATUS_CLOSED;
+        while ((status = channel_receive(channel, mem, loop_now_ms(sender->loop) + 500, &frame)) == STATUS_OK)
+            sender->answered++; /* a refusal may arrive before the connection ends */
+        sender->ended += status == STATUS_CLOSED;
         channel_close(channel);
         talloc_free(mem);
     }
 }
 
-static void spoil_start(void *arg, Loop *loop)
+static void bad_frames_start(void *arg, Loop *loop)
 {
-    Spoiler *spoiler = arg;
-    spoiler->loop = loop;
-    loop_spawn(loop, "spoil", spoil_main, spoiler);
+    BadFrameSender *sender = arg;
+    sender->loop = loop;
+    loop_spawn(loop, "spoil", bad_frames_main, sender);
 }
 
-/* Each ends its connection and is counted; the server goes on serving others. */
+/* Each malformed frame ends its connection and is counted; the server goes on serving other clients. */
 static void broken_frames(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     SimWorld *world = sim_world_new(mem, 1);
-    Seen seen = {0};
-    Spoiler spoiler = {0};
+    RpcFixture fixture = {0};
+    BadFrameSender sender = {0};
     const int client = sim_machine(world), server = sim_machine(world), other = sim_machine(world);
-    sim_start(world, server, server_start, &seen);
-    sim_start(world, other, spoil_start, &spoiler);
+    sim_start(world, server, server_start, &fixture);
+    sim_start(world, other, bad_frames_start, &sender);
     sim_run_until(world, 6000);
-    assert_int_equal(spoiler.ended, 6);
-    assert_int_equal(rpc_counts(seen.rpc[1])->bad_frames, 6);
-    sim_start(world, client, client_start, &seen);
+    assert_int_equal(sender.ended, 6);
+    assert_int_equal(rpc_counts(fixture.rpc[1])->bad_frames, 6);
+    sim_start(world, client, client_start, &fixture);
     sim_run_until(world, 7000);
-    assert_int_equal(seen.status[0], STATUS_OK);
+    assert_int_equal(fixture.status[0], STATUS_OK);
     talloc_free(mem);
 }
 
-/* Both sides count the same frames, by kind and part; what waits on a slow link is seen, and is gone afterwards. */
+/* Both sides count the same frames by message kind, and requests apart from answers; the bytes that wait for a slow
+ * link are counted too, and no longer when they have been sent. */
 static void traffic(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     SimWorld *world = sim_world_new(mem, 1);
-    Seen seen = {0};
+    RpcFixture fixture = {0};
     const int client = sim_machine(world), server = sim_machine(world);
     sim_link_rate(world, client, 1); /* a frame of 13 bytes takes 13 ms */
-    sim_start(world, server, server_start, &seen);
-    sim_start(world, client, client_start, &seen);
+    sim_start(world, server, server_start, &fixture);
+    sim_start(world, client, client_start, &fixture);
     const int64_t from_ms = sim_now_ms(world);
-    const RpcTraffic *asked = rpc_traffic(seen.rpc[0], MESSAGE_KNOW, RPC_REQUESTS);
+    const RpcTraffic *asked = rpc_traffic(fixture.rpc[0], MESSAGE_KNOW, RPC_REQUESTS);
     while (asked->frames_sent == 0 && sim_now_ms(world) < from_ms + 500)
         sim_run_until(world, sim_now_ms(world) + 1);
-    const int64_t waiting_bytes = rpc_link(seen.rpc[0]).waiting_bytes;
+    const int64_t waiting_bytes = rpc_link(fixture.rpc[0]).waiting_bytes;
     assert_true(waiting_bytes > 0);
     sim_run_until(world, from_ms + 400);
-    assert_int_equal(seen.status[0], STATUS_OK);
-    const RpcTraffic *came = rpc_traffic(seen.rpc[1], MESSAGE_KNOW, RPC_REQUESTS);
-    const RpcTraffic *answered = rpc_traffic(seen.rpc[1], MESSAGE_KNOW, RPC_ANSWERS);
-    const RpcTraffic *got = rpc_traffic(seen.rpc[0], MESSAGE_KNOW, RPC_ANSWERS);
+    assert_int_equal(fixture.status[0], STATUS_OK);
+    const RpcTraffic *came = rpc_traffic(fixture.rpc[1], MESSAGE_KNOW, RPC_REQUESTS);
+    const RpcTraffic *answered = rpc_traffic(fixture.rpc[1], MESSAGE_KNOW, RPC_ANSWERS);
+    const RpcTraffic *got = rpc_traffic(fixture.rpc[0], MESSAGE_KNOW, RPC_ANSWERS);
     assert_int_equal(asked->frames_sent, 1);
     assert_int_equal(came->frames_received, 1);
     assert_int_equal(asked->bytes_sent, waiting_bytes);
@@ -205,7 +209,7 @@
     assert_true(answered->bytes_sent > 0);
     assert_int_equal(got->bytes_received, answered->bytes_sent);
     assert_int_equal(asked->bytes_received + came->bytes_sent + answered->bytes_received + got->bytes_sent, 0);
-    const RpcLink link = rpc_link(seen.rpc[0]);
+    const RpcLink link = rpc_link(fixture.rpc[0]);
     assert_int_equal(link.waiting_bytes, 0);
     assert_int_equal(link.waiting_most_bytes, waiting_bytes);
     assert_true(link.answer_ms >= waiting_bytes);
@@ -215,74 +219,74 @@
 
 /* --- a slow link ---------------------------------------------------------------------- */
 
-/* Answers after a second. */
+/* Answers one second late. */
 static Status echo_late(void *arg, void *mem, const void *ask, void *answer)
 {
-    Seen *seen = arg;
-    loop_sleep(seen->loop[1], 1000);
+    RpcFixture *fixture = arg;
+    loop_sleep(fixture->loop[1], 1000);
     return echo(arg, mem, ask, answer);
 }
 
 static void late_server_start(void *arg, Loop *loop)
 {
-    Seen *seen = arg;
-    seen->loop[1] = loop;
+    RpcFixture *fixture = arg;
+    fixture->loop[1] = loop;
     server_start(arg, loop);
-    rpc_handle(seen->rpc[1], MESSAGE_FORWARD, &Echo_shape, &Echo_shape, echo_late, seen);
+    rpc_handle(fixture->rpc[1], MESSAGE_FORWARD, &Echo_shape, &Echo_shape, echo_late, fixture);
 }
 
-static void hasty_main(void *arg)
+static void short_waits_main(void *arg)
 {
-    Seen *seen = arg;
+    RpcFixture *fixture = arg;
     for (int i = 0; i < 4; i++) {
-        ask_one(seen, 300); /* given up before its answer comes */
-        loop_sleep(seen->loop[0], 50);
+        request_once(fixture, 300); /* expires before its answer arrives */
+        loop_sleep(fixture->loop[0], 50);
     }
 }
 
-static void patient_main(void *arg)
+static void long_wait_main(void *arg)
 {
-    Seen *seen = arg;
-    Loop *loop = seen->loop[0];
+    RpcFixture *fixture = arg;
+    Loop *loop = fixture->loop[0];
     loop_sleep(loop, 20);
     void *mem = talloc_new(loop);
     const Echo ask = {41};
     Echo answer = {0};
-    seen->patient =
-        rpc_ask(seen->rpc[0], mem, "10.0.0.2:7000", MESSAGE_FORWARD, &Echo_shape, &ask, 5000, &Echo_shape, &answer);
-    seen->patient_done = true;
+    fixture->long_wait_status =
+        rpc_ask(fixture->rpc[0], mem, "10.0.0.2:7000", MESSAGE_FORWARD, &Echo_shape, &ask, 5000, &Echo_shape, &answer);
+    fixture->long_wait_done = true;
     talloc_free(mem);
 }
 
 static void slow_link_start(void *arg, Loop *loop)
 {
-    Seen *seen = arg;
-    seen->loop[0] = loop;
-    seen->rpc[0] = rpc_new(loop, loop, recorder_new(loop, "client"));
-    rpc_set_cluster(seen->rpc[0], 7);
-    loop_spawn(loop, "hasty", hasty_main, seen);
-    loop_spawn(loop, "patient", patient_main, seen);
+    RpcFixture *fixture = arg;
+    fixture->loop[0] = loop;
+    fixture->rpc[0] = rpc_new(loop, loop, recorder_new(loop, "client"));
+    rpc_set_cluster(fixture->rpc[0], 7);
+    loop_spawn(loop, "hasty", short_waits_main, fixture);
+    loop_spawn(loop, "patient", long_wait_main, fixture);
 }
 
-/* Guards against: on a full link answers came too late, the connection was taken for dead and ended though they came,
- * and every other request on it, callers' too, lost its answer. */
+/* Guards against a connection being taken for dead and closed because answers arrive late on a full link: every other
+ * request on it, callers' included, would lose its answer. */
 static void late_answers_keep_the_connection(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     SimWorld *world = sim_world_new(mem, 1);
-    Seen seen = {0};
+    RpcFixture fixture = {0};
     const int client = sim_machine(world), server = sim_machine(world);
-    sim_far(world, server, 200); /* there and back: 400 ms and a little */
-    sim_start(world, server, late_server_start, &seen);
-    sim_start(world, client, slow_link_start, &seen);
+    sim_far(world, server, 200); /* a round trip takes a little more than 400 ms */
+    sim_start(world, server, late_server_start, &fixture);
+    sim_start(world, client, slow_link_start, &fixture);
     sim_run_until(world, sim_now_ms(world) + 6000);
-    assert_int_equal(seen.count, 4);
+    assert_int_equal(fixture.count, 4);
     for (int i = 0; i < 4; i++)
-        assert_int_equal(seen.status[i], STATUS_EXPIRED);
-    assert_true(seen.patient_done);
-    assert_int_equal(seen.patient, STATUS_OK);
-    assert_int_equal(rpc_counts(seen.rpc[0])->connections_opened, 1);
+        assert_int_equal(fixture.status[i], STATUS_EXPIRED);
+    assert_true(fixture.long_wait_done);
+    assert_int_equal(fixture.long_wait_status, STATUS_OK);
+    assert_int_equal(rpc_counts(fixture.rpc[0])->connections_opened, 1);
     talloc_free(mem);
 }
 
