--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -1,6 +1,5 @@
-/* Changes of the configuration that race, and calls that are sent again unchanged: to any
- * node, through changes of the leader, after losses of disks, after many later changes. In
- * virtual time. */
+/* Concurrent changes of the configuration, and calls that are resent unchanged: to any node, during changes of leader,
+ * after the loss of disks, and after many later changes. In virtual time. */
 #include <inttypes.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,17 +16,18 @@
 #define CONTROLLERS 3
 #define ENTRY_POINTS 3
 #define NODES (CONTROLLERS + ENTRY_POINTS)
-#define TRIES_MOST 200   /* count; of one call until it is answered clearly */
-#define ASK_WAIT_MS 1000 /* ms; a caller gives an answer up after this */
-#define RACERS 8         /* count; so many orders may be under way at once */
+#define SEND_ATTEMPTS 200    /* to send one call, until it gets a definite answer */
+#define CALL_TIMEOUT_MS 1000 /* ms; a caller's time-out */
+#define CALLS_AT_ONCE 8      /* the most changes that may be in progress at once */
 
+/* A change of the configuration that is sent until it gets a definite answer. */
 typedef struct Call {
     Fleet *fleet;
     uint64_t base, version;
     const char *method, *body;
-    int node;     /* where it is sent first; then to the next */
-    int code;     /* the first clear answer; 0: none yet */
-    bool refused; /* one was: whatever came before or after it */
+    int node;     /* the node that it is sent to first; each further attempt goes to the next */
+    int code;     /* the first definite answer; 0: none yet */
+    bool refused; /* some attempt was refused, whatever came before or after it */
     bool done;
 } Call;
 
@@ -36,6 +36,7 @@
     return case_begin(seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 3, MIX_TRENTVALE, 0});
 }
 
+/* Nodes are numbered around: first the entry points, then the controllers. */
 static const FleetNode *node_at(Fleet *fleet, int number)
 {
     const int at = number % NODES;
@@ -48,7 +49,7 @@
     return talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, call->base, call->version);
 }
 
-/* The first document with a note of its own. */
+/* The mix's configuration with this note. */
 static const char *whole_body(Fleet *fleet, const char *note)
 {
     return talloc_asprintf(fleet, "{\"note\":\"%s\",%s", note, mix_config(fleet->shape.mix) + 1);
@@ -59,7 +60,7 @@
     return talloc_asprintf(fleet, "{\"note\":\"%s\"}", note);
 }
 
-/* 0: no clear answer. */
+/* Sends the call to the node. return: the HTTP code; 0: no definite answer. */
 static int send_once(const Call *call, int node)
 {
     Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
@@ -68,7 +69,7 @@
                      .address = node_at(call->fleet, node)->settings.http,
                      .method = call->method,
                      .path = path_of(mem, call),
-                     .wait_ms = ASK_WAIT_MS};
+                     .wait_ms = CALL_TIMEOUT_MS};
     bytes_add(mem, &sent.body, call->body, strlen(call->body));
     const int code = loop_call(loop, &sent) == STATUS_OK && sent.code < 500 ? sent.code : 0;
     talloc_free(mem);
@@ -79,7 +80,7 @@
 {
     Call *call = arg;
     Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
-    for (int i = 0; i < TRIES_MOST && call->code == 0; i++) {
+    for (int i = 0; i < SEND_ATTEMPTS && call->code == 0; i++) {
         call->code = send_once(call, call->node + i);
         loop_sleep(loop, 20);
     }
@@ -98,8 +99,8 @@
             fleet_run(fleet, 5);
 }
 
-/* Sends it once more, unchanged, to the node. */
-static int again(const Call *call, int node)
+/* Sends the call to the node once more, unchanged. return: the HTTP code. */
+static int resend(const Call *call, int node)
 {
     void *mem = talloc_new(NULL);
     const FleetNode *at = node_at(call->fleet, node);
@@ -109,13 +110,14 @@
     return code;
 }
 
-static void again_everywhere(const Call *call, int code)
+/* Fails unless every node answers the call with this code. */
+static void resend_everywhere(const Call *call, int code)
 {
     for (int i = 0; i < NODES; i++)
-        assert_int_equal(again(call, i), code);
+        assert_int_equal(resend(call, i), code);
 }
 
-static uint64_t newest(Fleet *fleet)
+static uint64_t newest_version(Fleet *fleet)
 {
     void *mem = talloc_new(NULL);
     const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
@@ -126,30 +128,31 @@
     return version;
 }
 
-/* So many patches, one upon the other. */
-static void changes_more(Fleet *fleet, int count)
+/* Applies so many patches in sequence. */
+static void patches_apply(Fleet *fleet, int count)
 {
-    uint64_t base = newest(fleet);
+    uint64_t base = newest_version(fleet);
     for (int i = 0; i < count; i++, base++) {
         const Call more = {.fleet = fleet,
                            .base = base,
                            .version = base + 1,
                            .method = "PATCH",
                            .body = patch_body(fleet, i % 2 == 0 ? "even" : "odd")};
-        assert_int_equal(again(&more, i % ENTRY_POINTS), 200);
+        assert_int_equal(resend(&more, i % ENTRY_POINTS), 200);
     }
 }
 
-static Call taken(Fleet *fleet, const char *method, const char *note)
+/* A change with the note that has just been accepted. */
+static Call change_accepted(Fleet *fleet, const char *method, const char *note)
 {
-    const uint64_t base = newest(fleet);
+    const uint64_t base = newest_version(fleet);
     Call call = {.fleet = fleet, .base = base, .version = base + 3, .method = method};
     call.body = strcmp(method, "PUT") == 0 ? whole_body(fleet, note) : patch_body(fleet, note);
-    assert_int_equal(again(&call, 0), 200);
+    assert_int_equal(resend(&call, 0), 200);
     return call;
 }
 
-/* Kills leaders until the controller leads. */
+/* Kills and restarts leaders until this controller leads. */
 static void make_lead(Fleet *fleet, int controller)
 {
     for (int i = 0; i < 12 && fleet_leader(fleet) != controller; i++) {
@@ -167,65 +170,75 @@
 
 /* --- races ---------------------------------------------------------------------------------- */
 
-typedef enum Upset { UPSET_NONE, UPSET_KILL, UPSET_FREEZE, UPSET_CUT, UPSET_COUNT } Upset;
-
-static void upset(Fleet *fleet, Upset how, int leader, bool begins)
+/* What happens to the leader during a race. */
+typedef enum LeaderFault {
+    LEADER_FAULT_NONE,
+    LEADER_FAULT_KILL,
+    LEADER_FAULT_FREEZE,
+    LEADER_FAULT_CUT,
+    LEADER_FAULTS
+} LeaderFault;
+
+/* Begins or ends the fault. */
+static void leader_fault_apply(Fleet *fleet, LeaderFault fault, int leader, bool begins)
 {
-    if (how == UPSET_KILL && begins)
+    if (fault == LEADER_FAULT_KILL && begins)
         fleet_kill(fleet, FLEET_CONTROLLER, leader);
-    else if (how == UPSET_KILL)
+    else if (fault == LEADER_FAULT_KILL)
         fleet_start_node(fleet, FLEET_CONTROLLER, leader);
-    else if (how == UPSET_FREEZE && begins)
+    else if (fault == LEADER_FAULT_FREEZE && begins)
         fleet_freeze(fleet, FLEET_CONTROLLER, leader, 3000);
-    else if (how == UPSET_CUT)
+    else if (fault == LEADER_FAULT_CUT)
         fleet_isolate(fleet, FLEET_CONTROLLER, leader, begins);
 }
 
-/* Two calls on one base at the same moment; the leader is lost some ms after they were sent. */
-static void race_once(Fleet *fleet, Call pair[2], Upset how, int64_t after_ms)
+/* Sends two calls on the same base at once; the fault begins after_ms after they were sent. */
+static void race_once(Fleet *fleet, Call pair[2], LeaderFault fault, int64_t after_ms)
 {
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     for (int k = 0; k < 2; k++)
         call_start(&pair[k]);
-    if (how != UPSET_NONE) {
+    if (fault != LEADER_FAULT_NONE) {
         checker_fault(fleet->checker);
         fleet_run(fleet, after_ms);
-        upset(fleet, how, leader, true);
+        leader_fault_apply(fleet, fault, leader, true);
         fleet_run(fleet, 3000);
-        upset(fleet, how, leader, false);
+        leader_fault_apply(fleet, fault, leader, false);
     }
     calls_wait(fleet, pair, 2);
-    fleet_run(fleet, how != UPSET_NONE ? 5000 : 50);
+    fleet_run(fleet, fault != LEADER_FAULT_NONE ? 5000 : 50);
 }
 
+/* Guards against two changes on the same base both being accepted, both being refused, or being answered otherwise when
+ * they are resent. */
 static void races_of(uint64_t seed, const char *method_a, const char *method_b)
 {
     Fleet *fleet = begin(seed);
-    int firsts = 0, attempts = 0;
-    for (int how = 0; how < UPSET_COUNT; how++)
+    int first_wins = 0, attempts = 0;
+    for (int fault = 0; fault < LEADER_FAULTS; fault++)
         for (int64_t after_ms = 1; after_ms <= 9; after_ms += 2, attempts++) {
-            const uint64_t base = newest(fleet);
+            const uint64_t base = newest_version(fleet);
             Call pair[2];
             for (int k = 0; k < 2; k++) {
                 const char *method = k == 0 ? method_a : method_b;
                 const char *note = talloc_asprintf(fleet, "r%d-%d", attempts, k);
                 pair[k] = (Call){.fleet = fleet, .base = base, .version = base + 2, .method = method};
-                pair[k].version += (uint64_t)(attempts % 2 * k); /* one number, or one each */
+                pair[k].version += (uint64_t)(attempts % 2 * k); /* both calls have the same version, or each its own */
                 pair[k].body = strcmp(method, "PUT") == 0 ? whole_body(fleet, note) : patch_body(fleet, note);
                 pair[k].node = attempts + 2 * k;
             }
-            race_once(fleet, pair, (Upset)how, after_ms);
+            race_once(fleet, pair, (LeaderFault)fault, after_ms);
             const bool first = pair[0].code == 200 && pair[1].code == 409;
             if (!first && !(pair[0].code == 409 && pair[1].code == 200))
-                fail_msg("%s against %s, upset %d after %d ms: %d and %d", method_a, method_b, how, (int)after_ms,
-                         pair[0].code, pair[1].code);
-            firsts += first;
-            assert_int_equal(newest(fleet), pair[first ? 0 : 1].version);
+                fail_msg("%s against %s, leader fault %d after %d ms: %d and %d", method_a, method_b, fault,
+                         (int)after_ms, pair[0].code, pair[1].code);
+            first_wins += first;
+            assert_int_equal(newest_version(fleet), pair[first ? 0 : 1].version);
             for (int k = 0; k < 2; k++)
-                again_everywhere(&pair[k], pair[k].code);
+                resend_everywhere(&pair[k], pair[k].code);
         }
-    print_message("%s against %s: the first won %d of %d\n", method_a, method_b, firsts, attempts);
+    print_message("%s against %s: the first won %d of %d\n", method_a, method_b, first_wins, attempts);
     if (checker_broken_all(fleet->checker) > 0)
         fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
@@ -249,57 +262,57 @@
     races_of(63, "PATCH", "PATCH");
 }
 
-/* Eight at once, each with a body of its own, some with the same number: one is confirmed. Then the
- * same call eight times: it is one change, and confirmed to all. */
+/* Eight changes at once with different bodies, some with the same version: one is accepted. Then the same call eight
+ * times at once: it is one change, and accepted every time. */
 static void eight_at_once(void **state)
 {
     (void)state;
     Fleet *fleet = begin(64);
     for (int attempt = 0; attempt < 20; attempt++) {
-        Call calls[RACERS];
-        const uint64_t base = newest(fleet);
+        Call calls[CALLS_AT_ONCE];
+        const uint64_t base = newest_version(fleet);
         const bool same = attempt % 2 == 1;
-        for (int i = 0; i < RACERS; i++) {
+        for (int i = 0; i < CALLS_AT_ONCE; i++) {
             const char *note = talloc_asprintf(fleet, "e%d-%d", attempt, same ? 0 : i);
             const uint64_t version = base + 5 + (same ? 0 : (uint64_t)(i % 3));
             calls[i] = (Call){.fleet = fleet, .base = base, .version = version, .node = i, .method = "PATCH"};
             calls[i].body = patch_body(fleet, note);
             call_start(&calls[i]);
         }
-        calls_wait(fleet, calls, RACERS);
+        calls_wait(fleet, calls, CALLS_AT_ONCE);
         int confirmed = 0;
-        for (int i = 0; i < RACERS; i++) {
+        for (int i = 0; i < CALLS_AT_ONCE; i++) {
             assert_true(calls[i].code == 200 || calls[i].code == 409);
             confirmed += calls[i].code == 200;
             if (calls[i].code == 200)
-                assert_int_equal(newest(fleet), calls[i].version);
+                assert_int_equal(newest_version(fleet), calls[i].version);
         }
-        assert_int_equal(confirmed, same ? RACERS : 1);
+        assert_int_equal(confirmed, same ? CALLS_AT_ONCE : 1);
     }
     talloc_free(fleet);
 }
 
-/* One body, and one number, on two bases: it is not the same call. */
+/* Calls with the same body, or the same version, on different bases are different calls. */
 static void other_base(void **state)
 {
     (void)state;
     Fleet *fleet = begin(65);
-    const Call first = taken(fleet, "PATCH", "a");
-    changes_more(fleet, 1);
+    const Call first = change_accepted(fleet, "PATCH", "a");
+    patches_apply(fleet, 1);
     Call other = first;
-    other.base = newest(fleet);
+    other.base = newest_version(fleet);
     other.version = other.base + 1;
-    assert_int_equal(again(&other, 1), 200);
-    again_everywhere(&first, 200);
+    assert_int_equal(resend(&other, 1), 200);
+    resend_everywhere(&first, 200);
     Call number = other;
     number.base = first.base;
-    again_everywhere(&number, 409);
+    resend_everywhere(&number, 409);
     talloc_free(fleet);
 }
 
-/* --- sent again -------------------------------------------------------------------------------- */
+/* --- resent calls ------------------------------------------------------------------------------ */
 
-/* The controller loses power and its disk. */
+/* The controller loses power, and its disk is wiped. */
 static void disk_lose(Fleet *fleet, int controller)
 {
     checker_fault(fleet->checker);
@@ -307,57 +320,57 @@
     sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine);
 }
 
-/* A disk is lost and brought up to date by a snapshot; then its controller leads. */
+/* A controller that lost its disk is brought up to date by a snapshot, and then leads. */
 static void after_wipe(void **state)
 {
     (void)state;
     Fleet *fleet = begin(66);
-    const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
+    const Call whole = change_accepted(fleet, "PUT", "w"), patch = change_accepted(fleet, "PATCH", "p");
     const int lost = (fleet_leader(fleet) + 1) % CONTROLLERS;
     disk_lose(fleet, lost);
-    for (int i = 0; i < ENTRY_POINTS; i++) /* while it is away */
-        assert_int_equal(again(&patch, i), 200);
+    for (int i = 0; i < ENTRY_POINTS; i++) /* while the controller is down */
+        assert_int_equal(resend(&patch, i), 200);
     fleet_start_node(fleet, FLEET_CONTROLLER, lost);
     fleet_run(fleet, 20000);
     make_lead(fleet, lost);
-    again_everywhere(&whole, 200);
-    again_everywhere(&patch, 200);
+    resend_everywhere(&whole, 200);
+    resend_everywhere(&patch, 200);
     talloc_free(fleet);
 }
 
-/* All lose power; the disks keep what they synced. */
+/* All controllers lose power, and their disks keep what they have synced. */
 static void after_power(void **state)
 {
     (void)state;
     Fleet *fleet = begin(67);
-    const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
+    const Call whole = change_accepted(fleet, "PUT", "w"), patch = change_accepted(fleet, "PATCH", "p");
     checker_fault(fleet->checker);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
-    again_everywhere(&patch, 200);
-    again_everywhere(&whole, 200);
+    resend_everywhere(&patch, 200);
+    resend_everywhere(&whole, 200);
     talloc_free(fleet);
 }
 
-/* An order whose answers were all lost is sent on for as long as its operator likes, while
- * others make hundreds of changes; through a log shortened into a snapshot as well. */
+/* A change whose answers were all lost may be resent at any later time, after hundreds of other changes, and after the
+ * log was compacted into a snapshot. */
 static void after_hundreds(void **state)
 {
     (void)state;
     Fleet *fleet = begin(68);
-    const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
-    changes_more(fleet, 5);
-    again_everywhere(&whole, 200);
-    changes_more(fleet, 500);
-    again_everywhere(&whole, 200);
-    again_everywhere(&patch, 200);
+    const Call whole = change_accepted(fleet, "PUT", "w"), patch = change_accepted(fleet, "PATCH", "p");
+    patches_apply(fleet, 5);
+    resend_everywhere(&whole, 200);
+    patches_apply(fleet, 500);
+    resend_everywhere(&whole, 200);
+    resend_everywhere(&patch, 200);
     const int lost = (fleet_leader(fleet) + 1) % CONTROLLERS;
     disk_lose(fleet, lost);
     fleet_start_node(fleet, FLEET_CONTROLLER, lost);
     fleet_run(fleet, 20000);
     make_lead(fleet, lost);
-    again_everywhere(&whole, 200);
-    again_everywhere(&patch, 200);
+    resend_everywhere(&whole, 200);
+    resend_everywhere(&patch, 200);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -1,4 +1,4 @@
-/* What an attempt has saved is where the next goes on, whoever was lost meanwhile. */
+/* An attempt resumes from the progress that the previous one saved, whichever process was lost meanwhile. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,10 +14,11 @@
     "{\"id\":\"s\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"one\"," \
     "\"saves\":true,\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":9000,\"saveMs\":500}}]}"
 
-/* A lease that outlives a change of leader. */
+/* ms; a lease that outlasts a change of leader */
 #define LEASE_MS 8000
 
-static Fleet *begun(uint64_t seed)
+/* A fleet in which a task that saves its progress has been submitted. */
+static Fleet *begin(uint64_t seed)
 {
     Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 2, 5, MIX_VARIED, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
@@ -31,6 +32,7 @@
     return fleet;
 }
 
+/* The number of the worker that the task is on; -1: none. */
 static int worker_of(Fleet *fleet)
 {
     const Job *job = fleet_job(fleet, "s");
@@ -42,6 +44,7 @@
     return -1;
 }
 
+/* Runs until the job is done. return: that time; INT64_MAX: it was not done within 15 s. */
 static int64_t ended_ms(Fleet *fleet)
 {
     for (int i = 0; i < 300; i++) {
@@ -53,37 +56,37 @@
     return INT64_MAX;
 }
 
-/* The machine of the worker and its agent loses power; the rest of the work is done elsewhere. Ends the case. */
+/* The worker and its agent lose power; the rest of the work is done on another worker. Frees the fleet. */
 static void resumed_after_loss(Fleet *fleet)
 {
     const int at = worker_of(fleet);
     fleet_power_off(fleet, FLEET_AGENT, at);
     fleet_power_off(fleet, FLEET_WORKER, at);
     const int64_t off_ms = sim_now_ms(fleet->world);
-    /* the lease, and what was left of the work: not all of it again */
+    /* the lease and the rest of the work, not all of it again */
     assert_in_range(ended_ms(fleet) - off_ms, 1, LEASE_MS + 4500);
     assert_int_equal(checker_resumes(fleet->checker), 1);
     assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
-/* The machine goes dark seven seconds into nine; nobody tells what it came to. */
+/* The worker and its agent lose power after seven of the task's nine seconds, and send no last report. */
 static void machine_lost(void **state)
 {
     (void)state;
-    Fleet *fleet = begun(3);
+    Fleet *fleet = begin(3);
     fleet_run(fleet, 7000);
     resumed_after_loss(fleet);
 }
 
-/* The leader dies first; the next one hears it all from the heartbeats. */
+/* The leader is killed first; the new leader learns the saved progress from the heartbeats. */
 static void leader_lost_before(void **state)
 {
     (void)state;
-    Fleet *fleet = begun(4);
+    Fleet *fleet = begin(4);
     fleet_run(fleet, 2000);
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
-    fleet_run(fleet, 5000); /* another leads; heartbeats have come */
+    fleet_run(fleet, 5000); /* another controller leads and has received heartbeats */
     assert_true(fleet_leader(fleet) >= 0);
     resumed_after_loss(fleet);
 }
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -1,5 +1,6 @@
-/* A gang of which only one member is known to run: its placement was lost with the
- * disks, and the other member's machine with them. It is stopped and goes again whole. */
+/* Guards against a gang running on with part of its members: its placement is lost with the controllers' disks and one
+ * member's machine with it, so that only the other member is known to run. That one is stopped, and the whole gang is
+ * started again. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,12 +12,13 @@
 
 #include "fleet_fixture.h"
 
-#define LEASE_MS 8000 /* ms; no controller leads for some 4 s */
+#define LEASE_MS 8000 /* ms; longer than the some 4 s for which no controller leads */
 
 #define BODY                                                                                                                 \
     "{\"id\":\"g\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\",\"gang\":true," \
     "\"count\":2,\"room\":{\"cpu\":60,\"memMb\":64},\"payload\":{\"runMs\":25000}}]}"
 
+/* How many of the gang's tasks run. */
 static size_t running(Fleet *fleet)
 {
     const Job *job = fleet_job(fleet, "g");
@@ -39,7 +41,7 @@
 {
     (void)state;
     Fleet *fleet = fleet_new(NULL, 5, (FleetShape){3, 3, 5, MIX_TRENTVALE, 0});
-    /* what runs outlives the loss of all controllers */
+    /* attempts that run outlast the loss of all controllers */
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
             fleet->nodes[role][i].settings.bounds.lease_ms = fleet->nodes[role][i].settings.bounds.worker_lease_ms =
@@ -56,10 +58,10 @@
     assert_int_equal(running(fleet), 2);
     assert_int_equal(job->tasks[0].attempt, job->tasks[1].attempt);
     const uint64_t attempt = job->tasks[0].attempt;
-    const int gone = worker_number(fleet, job->tasks[0].worker);
+    const int lost = worker_number(fleet, job->tasks[0].worker);
     checker_fault(fleet->checker);
-    fleet_power_off(fleet, FLEET_WORKER, gone);
-    fleet_power_off(fleet, FLEET_AGENT, gone);
+    fleet_power_off(fleet, FLEET_WORKER, lost);
+    fleet_power_off(fleet, FLEET_AGENT, lost);
     case_power_cycle(fleet);
     fleet_run(fleet, 15000);
     job = fleet_job(fleet, "g");
@@ -71,7 +73,7 @@
     assert_int_equal(job->tasks[0].attempt, job->tasks[1].attempt);
     fleet_run(fleet, 30000);
     assert_int_equal(fleet_job(fleet, "g")->phase, JOB_DONE);
-    /* claims are longer than the checker's bound for them, by the lease above */
+    /* the lease above makes claims last longer than the bound that the checker has for them */
     if (checker_broken_all(fleet->checker) > checker_broken(fleet->checker, INVARIANT_EARLY_RESTART))
         fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
--- a/packages/sim/test/state_full.c
+++ b/packages/sim/test/state_full.c
@@ -1,5 +1,5 @@
-/* A state that comes near what a snapshot can hold: submissions are refused, with when to come back, before the journal
- * would grow without end; when the state is smaller again they are taken, without a restart. */
+/* Guards against the journal growing without bound when the state nearly exceeds what a snapshot can hold: submissions
+ * are refused with a retry-after, and accepted again, without a restart, once the state is smaller. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 #include "controller_set.h"
 #include "large_state.h"
 
-#define SHRUNK_MS 12000 /* ms; a state that is smaller again has been noticed by a submission within this */
+#define SHRUNK_MS 12000 /* ms; within this a submission is accepted again after the state has shrunk */
 
 static HttpCall submit(Fleet *fleet, const char *id)
 {
@@ -32,7 +32,7 @@
     return fleet;
 }
 
-static void must_refuse(Fleet *fleet, const char *id)
+static void submission_must_be_refused(Fleet *fleet, const char *id)
 {
     const HttpCall call = submit(fleet, id);
     assert_int_equal(call.code, 503);
@@ -40,8 +40,8 @@
     assert_non_null(strstr((const char *)call.result.data, "\"state-full\""));
 }
 
-/* Submits until it is taken. */
-static void must_take(Fleet *fleet, const char *id)
+/* Submits the job until it is accepted; fails after SHRUNK_MS. */
+static void submission_must_be_accepted(Fleet *fleet, const char *id)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + SHRUNK_MS;
     int code = 503;
@@ -52,8 +52,8 @@
     assert_int_equal(code, 201);
 }
 
-/* The journal of whoever leads stays bounded, whatever is submitted. */
-static void journal_bounded(Fleet *fleet)
+/* Fails if the leader's log or snapshot exceeds SNAPSHOT_MAX_BYTES. */
+static void journal_must_be_bounded(Fleet *fleet)
 {
     const Replication *replication = replication_of(fleet, fleet_leader(fleet));
     assert_true(replication->log->bytes <= SNAPSHOT_MAX_BYTES);
@@ -66,31 +66,32 @@
     for (uint64_t seed = 1; seed <= 3; seed++) {
         Fleet *fleet = begin_configured(seed);
         state_grow(fleet, 20, LABEL_BYTES);
-        must_take(fleet, "taken");
+        submission_must_be_accepted(fleet, "taken");
         state_grow(fleet, 44, LABEL_BYTES);
-        must_refuse(fleet, "refused");
-        assert_int_equal(submit(fleet, "taken").code, 200); /* what was accepted is known all the same */
-        must_refuse(fleet, "refused-again");
-        journal_bounded(fleet);
+        submission_must_be_refused(fleet, "refused");
+        assert_int_equal(submit(fleet, "taken").code, 200); /* a job that was accepted earlier is still known */
+        submission_must_be_refused(fleet, "refused-again");
+        journal_must_be_bounded(fleet);
         state_grow(fleet, 44, 1);
-        must_take(fleet, "taken-again");
-        journal_bounded(fleet);
+        submission_must_be_accepted(fleet, "taken-again");
+        journal_must_be_bounded(fleet);
         talloc_free(fleet);
     }
 }
 
-/* One that is too large for a snapshot, by what is not refused, is made one as soon as it is small enough. */
+/* A state that is too large for a snapshot, because of changes that are not refused, is written to a snapshot as soon
+ * as it is small enough. */
 static void too_large_then_smaller(void **state)
 {
     (void)state;
     Fleet *fleet = begin_configured(4);
     state_grow(fleet, 56, LABEL_BYTES);
-    must_refuse(fleet, "refused");
+    submission_must_be_refused(fleet, "refused");
     const uint64_t base_index = replication_of(fleet, fleet_leader(fleet))->log->base_index;
     state_grow(fleet, 56, 1);
-    must_take(fleet, "taken");
+    submission_must_be_accepted(fleet, "taken");
     assert_true(replication_of(fleet, fleet_leader(fleet))->log->base_index > base_index);
-    journal_bounded(fleet);
+    journal_must_be_bounded(fleet);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -1,7 +1,6 @@
-/* Kills and freezes placed by step: from a trigger on, the node is struck at its
- * first turn, its second, and so on, until the whole way has been walked. A turn
- * is one run of its event loop, so between any two sends, syncs and results of
- * its own there is one. SPANCART_STEPS=all walks each; else every few. */
+/* Kills and freezes at each step: after a trigger, a node is killed or frozen at its first turn, in the next run at its
+ * second, and so on to the end of the sequence. A turn is one run of the node's event loop, so there is one between any
+ * two of its sends, syncs and results. SPANCART_STEPS=all tries every turn; otherwise every few turns are tried. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,39 +13,43 @@
 
 #include "fleet_fixture.h"
 
-static int stride(int some)
+/* The distance between two turns that are tried. */
+static int stride(int usual)
 {
     const char *text = getenv("SPANCART_STEPS");
 #if defined(__SANITIZE_ADDRESS__)
-    some *= 4; /* some ten times slower there */
+    usual *= 4; /* the sanitizer makes it some ten times slower */
 #endif
-    return text != NULL && strcmp(text, "all") == 0 ? 1 : some;
+    return text != NULL && strcmp(text, "all") == 0 ? 1 : usual;
 }
 
+/* What happens just before the fault. */
 typedef enum Trigger { ON_SUBMIT, ON_CONFIG, ON_LEADER_KILLED, ON_POWER_LOST } Trigger;
 
-typedef struct Walk {
+/* A trigger, the fault, and how many turns it is tried at. */
+typedef struct FaultSequence {
     Trigger trigger;
-    FleetRole role;    /* who is struck; of controllers: the leader, or its follower after a kill */
-    int64_t freeze_ms; /* 0: killed */
-    int steps_most;
-} Walk;
-
-/* The node that the walk strikes; after a loss of the leader, the controller that is
- * about to take over is not known yet: each of the two in turn. */
-static FleetNode *victim(Fleet *fleet, const Walk *walk, int leader, int step)
+    FleetRole role;    /* of the node that fails; of controllers: the leader, or a follower after the leader's loss */
+    int64_t freeze_ms; /* 0: the node is killed */
+    int steps_max;
+} FaultSequence;
+
+/* The node that fails. After the loss of the leader it is not known yet which controller takes over, so the others are
+ * taken in turn. */
+static FleetNode *failing_node(Fleet *fleet, const FaultSequence *sequence, int leader, int step)
 {
-    if (walk->role != FLEET_CONTROLLER)
-        return fleet_node(fleet, walk->role, 0);
-    if (walk->trigger == ON_SUBMIT || walk->trigger == ON_CONFIG)
+    if (sequence->role != FLEET_CONTROLLER)
+        return fleet_node(fleet, sequence->role, 0);
+    if (sequence->trigger == ON_SUBMIT || sequence->trigger == ON_CONFIG)
         return fleet_node(fleet, FLEET_CONTROLLER, leader);
-    return fleet_node(fleet, FLEET_CONTROLLER, walk->trigger == ON_POWER_LOST ? step % 3 : (leader + 1 + step % 2) % 3);
+    return fleet_node(fleet, FLEET_CONTROLLER,
+                      sequence->trigger == ON_POWER_LOST ? step % 3 : (leader + 1 + step % 2) % 3);
 }
 
-static void trigger(Fleet *fleet, const Walk *walk, int leader)
+static void trigger(Fleet *fleet, const FaultSequence *sequence, int leader)
 {
     checker_fault(fleet->checker);
-    switch (walk->trigger) {
+    switch (sequence->trigger) {
     case ON_LEADER_KILLED:
         fleet_kill(fleet, FLEET_CONTROLLER, leader);
         break;
@@ -58,24 +61,24 @@
     }
 }
 
-/* One run, struck at the given turn; false: the way was shorter. */
-static bool strike(const Walk *walk, int step)
+/* One run with the fault at the given turn, counted from 0. return: false if the node has fewer turns. */
+static bool run_with_fault_at(const FaultSequence *sequence, int step)
 {
     Fleet *fleet = case_begin(11, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    for (int i = 0; i < 3 && walk->trigger == ON_POWER_LOST; i++)
+    for (int i = 0; i < 3 && sequence->trigger == ON_POWER_LOST; i++)
         sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     checker_config_set(fleet->checker, 1);
-    fleet_call(fleet, "c", 20000, 600); /* a dozen jobs about the strike */
+    fleet_call(fleet, "c", 20000, 600); /* a dozen jobs around the fault */
     fleet_run(fleet, 200);
     const int leader = fleet_leader(fleet);
-    FleetNode *node = victim(fleet, walk, leader, step);
-    trigger(fleet, walk, leader);
+    FleetNode *node = failing_node(fleet, sequence, leader, step);
+    trigger(fleet, sequence, leader);
     const int64_t until_ms = sim_now_ms(fleet->world) + 6000;
     bool reached = true;
     for (int i = 0; i <= step && reached; i++)
         reached = sim_turn(fleet->world, node->machine, until_ms);
-    if (reached && walk->freeze_ms > 0)
-        fleet_freeze(fleet, node->role, node->number, walk->freeze_ms);
+    if (reached && sequence->freeze_ms > 0)
+        fleet_freeze(fleet, node->role, node->number, sequence->freeze_ms);
     else if (reached)
         fleet_kill(fleet, node->role, node->number);
     checker_fault(fleet->checker);
@@ -85,63 +88,64 @@
             fleet_start_node(fleet, (FleetRole)role, i);
     const bool finished = fleet_finish(fleet, 60000);
     if (checker_broken_all(fleet->checker) > 0 || !finished)
-        fail_msg("trigger %d, role %d, turn %d: %s", (int)walk->trigger, (int)walk->role, step,
+        fail_msg("trigger %d, role %d, turn %d: %s", (int)sequence->trigger, (int)sequence->role, step,
                  checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "jobs have not ended");
     talloc_free(fleet);
     return reached;
 }
 
-static void walked(const Walk *walk, int some)
+/* Runs the sequence with the fault at each turn, or at every usual-th one. */
+static void run_all_steps(const FaultSequence *sequence, int usual)
 {
     int runs = 0;
-    for (int step = 0; step < walk->steps_most && strike(walk, step); step += stride(some))
+    for (int step = 0; step < sequence->steps_max && run_with_fault_at(sequence, step); step += stride(usual))
         runs++;
-    print_message("%d turns of %d struck\n", runs, walk->steps_most);
+    print_message("faults at %d turns of at most %d\n", runs, sequence->steps_max);
     assert_true(runs > 0);
 }
 
-/* Between taking, ordering, committing, answering; between an order and its record. */
+/* The leader is killed between accepting, ordering, committing and answering, and between an order and its record. */
 static void leader_killed(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_CONTROLLER, 0, 160}, 8);
+    run_all_steps(&(FaultSequence){ON_SUBMIT, FLEET_CONTROLLER, 0, 160}, 8);
 }
 
 static void leader_frozen(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_CONTROLLER, 5000, 160}, 16);
+    run_all_steps(&(FaultSequence){ON_SUBMIT, FLEET_CONTROLLER, 5000, 160}, 16);
 }
 
 static void entry_point_killed(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_ENTRY_POINT, 0, 80}, 8);
+    run_all_steps(&(FaultSequence){ON_SUBMIT, FLEET_ENTRY_POINT, 0, 80}, 8);
 }
 
 static void agent_killed(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_AGENT, 0, 120}, 8);
+    run_all_steps(&(FaultSequence){ON_SUBMIT, FLEET_AGENT, 0, 120}, 8);
 }
 
 static void agent_frozen(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_AGENT, 4000, 120}, 16);
+    run_all_steps(&(FaultSequence){ON_SUBMIT, FLEET_AGENT, 4000, 120}, 16);
 }
 
-/* Each step of a change of view: one of three is dead, the next is struck too. */
+/* At each step of a change of view: one of three controllers is dead, and the next one is killed too. */
 static void during_view_change(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_LEADER_KILLED, FLEET_CONTROLLER, 0, 200}, 14);
+    run_all_steps(&(FaultSequence){ON_LEADER_KILLED, FLEET_CONTROLLER, 0, 200}, 14);
 }
 
 static void during_repair(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_POWER_LOST, FLEET_CONTROLLER, 0, 200}, 14);
+    run_all_steps(&(FaultSequence){ON_POWER_LOST, FLEET_CONTROLLER, 0, 200}, 14);
 }
 
 int main(void)
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -1,4 +1,4 @@
-/* Fixed seeds of the sweep: those that broke once, and a few more. */
+/* Runs the sweep with fixed seeds: those that once broke a safety property, and a few more. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,10 +8,11 @@
 
 #include "sim/sweep.h"
 
-static void seeds_at(SweepSite site, Mix mix, const uint64_t *list, size_t count)
+/* Runs the sweep with each seed. */
+static void seeds_run(SweepSite site, Mix mix, const uint64_t *list, size_t count)
 {
 #if defined(__SANITIZE_ADDRESS__)
-    count = count < 2 ? count : 2; /* some ten times slower there */
+    count = count < 2 ? count : 2; /* the sanitizer makes it some ten times slower */
 #endif
     for (size_t i = 0; i < count; i++) {
         SweepResult result;
@@ -24,46 +25,46 @@
     }
 }
 
-/* Each a case of its own, so that they are walked side by side. */
-#define SWEPT_AT(name, site, mix, ...)                             \
-    static void name(void **state)                                 \
-    {                                                              \
-        static const uint64_t LIST[] = {__VA_ARGS__};              \
-        (void)state;                                               \
-        seeds_at(site, mix, LIST, sizeof(LIST) / sizeof(LIST[0])); \
+/* Each list is a test case of its own, so that the lists can be run in parallel. */
+#define SWEPT_AT(name, site, mix, ...)                              \
+    static void name(void **state)                                  \
+    {                                                               \
+        static const uint64_t LIST[] = {__VA_ARGS__};               \
+        (void)state;                                                \
+        seeds_run(site, mix, LIST, sizeof(LIST) / sizeof(LIST[0])); \
     }
 #define SWEPT(name, mix, ...) SWEPT_AT(name, SWEEP_PLAIN, mix, __VA_ARGS__)
 
-/* 8, 28: views opened anew without end; 80, 88, 260: terms forgotten; 28, 416:
- * accepted jobs not told again; 809: an order given while its worker's loss was
- * decided but not yet committed; 866: a repair that a change of view cut short */
+/* 8, 28: views were opened again and again without end; 80, 88, 260: terms were forgotten; 28, 416: accepted jobs were
+ * not sent to the new leader again; 809: an order was given while its worker's loss was decided but not yet committed;
+ * 866: a change of view interrupted a repair */
 SWEPT(trentvale1, MIX_TRENTVALE, 1, 2, 3)
 SWEPT(trentvale8, MIX_TRENTVALE, 8, 28, 80)
 SWEPT(trentvale88, MIX_TRENTVALE, 88, 260, 416)
 SWEPT(trentvale809, MIX_TRENTVALE, 809, 866)
 
-/* 1572: finished, then handed in again */
+/* 1572: a job was submitted again after it had finished */
 SWEPT(atlas4, MIX_ATLAS, 4, 5, 6)
 SWEPT(atlas140, MIX_ATLAS, 140, 178, 512)
 SWEPT(atlas520, MIX_ATLAS, 520, 1572)
 
-/* 5, 14: a gang, some of whose members had finished, never started again; 17: one
- * whose members rest unequally; 23, 65: a controller with a new disk at an address where
- * a voter's disk had stood answered for it; 80: a repair that took a commit for each
- * change told again; 110: claims and a worker's new boot. Of the others' seeds above,
- * 512: a controller whose disk fails went on proposing itself; 178: a disk that takes 1.4 s,
- * just too little to leave the view; 86: an entry point cut one way from the leader alone */
+/* 5, 14: a gang of which some members had finished was never started again; 17: a gang whose members have to wait for
+ * different times before they restart; 23, 65: a controller with a new disk answered for the voter's disk that had been
+ * at its address; 80: a repair took a commit for each change that was sent again; 110: claims and a worker's new boot;
+ * 86: an entry point was cut off in one direction, from the leader only. Of the seeds of Atlas above, 512: a controller
+ * whose disk had failed went on proposing itself; 178: a disk took 1.4 s, just too little for its voter to leave the
+ * view */
 SWEPT(varied5, MIX_VARIED, 5, 80, 86)
 SWEPT(varied14, MIX_VARIED, 14, 23, 17)
 SWEPT(varied65, MIX_VARIED, 65, 77, 110)
 
-/* 9030: two that stood asked each other for ever while the third's disk was slow; 9038: a list
- * of voters was ordered that nobody was there to commit */
+/* 9030: two controllers that stood for election asked each other for ever while the third's disk was slow; 9038: a list
+ * of voters was proposed when too few controllers were there to commit it */
 SWEPT(trentvale9030, MIX_TRENTVALE, 9030)
 SWEPT(varied9038, MIX_VARIED, 9038)
 
-/* 71: a snapshot older than a voter's log took it back to the founding; 14, 20, 38: a delay was
- * counted by the clock of a voter that had started before the holder */
+/* 71: a snapshot older than a voter's log set the log back to the founding; 14, 20, 38: a delay was measured with the
+ * clock of a voter that had started before the lock's holder */
 SWEPT_AT(three71, SWEEP_THREE, MIX_VARIED, 71, 14, 20, 38)
 SWEPT_AT(six101, SWEEP_SIX, MIX_ATLAS, 101, 202)
 SWEPT_AT(eight102, SWEEP_EIGHT, MIX_VARIED, 102, 104)
--- a/packages/sim/test/tenants.c
+++ b/packages/sim/test/tenants.c
@@ -1,19 +1,20 @@
-/* Calls under tenants' keys: what runs, what is refused and where, through changes of keys, cuts and changes of leader.
- * In virtual time; simulated calls have a connection each. */
+/* Calls under tenants' keys: which are accepted and which are refused, at each node, during changes of keys, cuts and
+ * changes of leader. In virtual time; each simulated call has a connection of its own. */
 #include "tenants_fixture.h"
 
-static void change(Fleet *fleet, int entry_point, uint64_t base, const char *tenants)
+/* Changes tenants of the configuration whose version is base. */
+static void tenants_patch(Fleet *fleet, int entry_point, uint64_t base, const char *tenants)
 {
     const char *path = talloc_asprintf(fleet, "/v1/config?base=%d&revision=%d", (int)base, (int)base + 1);
     const char *body = talloc_asprintf(fleet, "{\"cells\":{\"c\":{\"tenants\":%s}}}", tenants);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, "PATCH", path, body).code, 200);
 }
 
-#define ASSERT_CODE(want, code)                             \
-    do {                                                    \
-        const int got = (code);                             \
-        if (got != (want))                                  \
-            fail_msg("%d, not %d: %s", got, (want), #code); \
+#define ASSERT_CODE(want, code)                                        \
+    do {                                                               \
+        const int got = (code);                                        \
+        if (got != (want))                                             \
+            fail_msg("code %d instead of %d: %s", got, (want), #code); \
     } while (0)
 
 static const char *numbered(Fleet *fleet, const char *before, int number)
@@ -21,7 +22,7 @@
     return talloc_asprintf(fleet, "%s%d", before, number);
 }
 
-/* ROUTE: a call under a key that no configuration has held was run. */
+/* ROUTE: guards against a call under a key that was in no configuration being run. */
 static void unknown_key_never_runs(void **state)
 {
     static const char *const KEYS[] = {NULL, "", "key-1", "key-1a ", "KEY-1A", "key-1aa", "one"};
@@ -34,12 +35,12 @@
             ASSERT_CODE(401, ask(fleet, FLEET_ENTRY_POINT, at, "GET", "/v1/entry/q/", KEYS[i], NULL));
             ASSERT_CODE(401, ask(fleet, FLEET_ENTRY_POINT, at, "GET", "/v1/entry/q/never", KEYS[i], NULL));
             ASSERT_CODE(401, ask(fleet, FLEET_ENTRY_POINT, at, "DELETE", "/v1/entry/q/never", KEYS[i], NULL));
-            /* which queues there are is no tenant's secret */
+            /* which queues exist is not secret */
             ASSERT_CODE(404, post(fleet, at, "/v1/entry/other/never", KEYS[i]));
         }
     fleet_run(fleet, 3000);
     assert_null(fleet_job(fleet, "never"));
-    /* a known key names the tenant, at every node */
+    /* a known key identifies the tenant, at every node */
     for (int at = 0; at < ENTRY_POINTS; at++) {
         const char *path = numbered(fleet, "/v1/entry/q/known-", at);
         ASSERT_CODE(201, ask(fleet, FLEET_CONTROLLER, at, "POST", path, at == 0 ? "key-1a" : "key-2a", BODY(1)));
@@ -50,7 +51,7 @@
     case_end(fleet);
 }
 
-/* ROUTE: a job was shown to, or cancelled by, callers of another tenant. */
+/* ROUTE: guards against a job being shown to, or cancelled by, callers of another tenant. */
 static void job_is_shown_to_its_tenant_only(void **state)
 {
     (void)state;
@@ -71,7 +72,7 @@
     case_end(fleet);
 }
 
-/* ROUTE: a public queue asked for a key, or took a job in another tenant's name. */
+/* ROUTE: guards against a public queue requiring a key, or accepting a job in another tenant's name. */
 static void public_queue_needs_no_key(void **state)
 {
     (void)state;
@@ -82,18 +83,18 @@
     assert_string_equal(fleet_job(fleet, "nobody")->spec.tenant, "none");
     assert_string_equal(fleet_job(fleet, "stranger")->spec.tenant, "none");
     assert_string_equal(fleet_job(fleet, "own")->spec.tenant, "two");
-    /* a job of a tenant that is not called by key is whoever's may call the queue */
+    /* a job of a tenant without keys is visible to every caller who may call the queue */
     ASSERT_CODE(200, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/open/nobody", NULL, NULL));
     ASSERT_CODE(200, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/open/nobody", "key-1a", NULL));
     ASSERT_CODE(200, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/q/nobody", "key-1a", NULL));
     ASSERT_CODE(200, post(fleet, 0, "/v1/entry/q/nobody", "key-1a"));
     ASSERT_CODE(401, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/q/nobody", NULL, NULL));
-    /* a call that needs no key is not refused for want of one; through another queue it is */
+    /* a call that needs no key is not refused for lack of one; through another queue the same job needs one */
     ASSERT_CODE(200, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/open/own", NULL, NULL));
     ASSERT_CODE(201, post(fleet, 1, "/v1/entry/q/closed", "key-2a"));
     ASSERT_CODE(403, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/open/closed", NULL, NULL));
     ASSERT_CODE(200, ask(fleet, FLEET_ENTRY_POINT, 0, "DELETE", "/v1/entry/open/nobody", "key-1a", NULL));
-    /* it is public no more */
+    /* the queue is no longer public */
     const char *shut = "{\"cells\":{\"c\":{\"queues\":{\"open\":{\"public\":false}}}}}";
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1", shut).code, 200);
     for (int at = 0; at < ENTRY_POINTS; at++)
@@ -101,8 +102,8 @@
     case_end(fleet);
 }
 
-/* CONFIG: a key that was taken away was still taken after the acknowledgement, or one added was refused: at a node that
- * had been cut off, at one just started, with a new leader. */
+/* CONFIG: guards against a removed key being accepted after the change was acknowledged, or an added key being refused:
+ * at a node that had been cut off, at one that was just started, and after a change of leader. */
 static void keys_change_at_every_node_at_once(void **state)
 {
     (void)state;
@@ -110,15 +111,15 @@
     ASSERT_CODE(201, post(fleet, 0, "/v1/entry/q/before", "key-1a"));
     fleet_isolate(fleet, FLEET_ENTRY_POINT, 2, true);
     fleet_kill(fleet, FLEET_ENTRY_POINT, 1);
-    change(fleet, 0, 1, "{\"one\":{\"keys\":[\"key-1b\"]}}");
+    tenants_patch(fleet, 0, 1, "{\"one\":{\"keys\":[\"key-1b\"]}}");
     ASSERT_CODE(401, post(fleet, 0, "/v1/entry/q/old", "key-1a"));
     ASSERT_CODE(201, post(fleet, 0, "/v1/entry/q/new-0", "key-1b"));
     for (int at = 0; at < CONTROLLERS; at++) {
         ASSERT_CODE(401, ask(fleet, FLEET_CONTROLLER, at, "POST", "/v1/entry/q/old", "key-1a", BODY(1)));
         ASSERT_CODE(200, ask(fleet, FLEET_CONTROLLER, at, "GET", "/v1/entry/q/before", "key-1b", NULL));
     }
-    /* one that can't show that it is not late says so, neither 200 nor 401; while it does not know yet that it is cut
-     * off, the request is on its way to the leader */
+    /* an entry point that cannot prove that its configuration is current answers neither 200 nor 401; while it does not
+     * know yet that it is cut off, the request is on its way to the leader */
     ASSERT_CODE(504, post(fleet, 2, "/v1/entry/q/cut", "key-1b"));
     fleet_run(fleet, 3000);
     ASSERT_CODE(503, post(fleet, 2, "/v1/entry/q/cut", "key-1b"));
@@ -143,7 +144,8 @@
     case_end(fleet);
 }
 
-/* CONFIG: a document in which two tenants share a key came into force. */
+/* CONFIG: guards against a configuration in which two tenants share a key, or with other wrong keys or weights, being
+ * accepted. */
 static void shared_key_is_refused(void **state)
 {
     static const char *const TENANTS[] = {
@@ -158,7 +160,7 @@
         assert_int_equal(call.code, 422);
         const char *text = (const char *)call.result.data;
         assert_non_null(strstr(text, "cells.c.tenants."));
-        assert_null(strstr(text, "key-1a")); /* no key is told */
+        assert_null(strstr(text, "key-1a")); /* the answer reveals no key */
         ASSERT_CODE(200 + (i == 0), post(fleet, 0, "/v1/entry/q/one", "key-1a"));
         ASSERT_CODE(200 + (i == 0), post(fleet, 1, "/v1/entry/q/two", "key-2a"));
     }
@@ -168,19 +170,19 @@
     case_end(fleet);
 }
 
-/* LOST: a job that was accepted ended with its tenant's last key, or with its tenant. */
+/* LOST: guards against an accepted job ending when its tenant's last key, or the tenant itself, is removed. */
 static void accepted_jobs_outlive_key_and_tenant(void **state)
 {
     (void)state;
     Fleet *fleet = tenants_begin(66);
     ASSERT_CODE(201, ask(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/q/a", "key-1a", BODY(6000)));
     ASSERT_CODE(201, ask(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/q/b", "key-2a", BODY(6000)));
-    change(fleet, 0, 1, "{\"one\":{\"keys\":[]},\"two\":null}");
-    /* the last key is gone: nobody is let in by that */
+    tenants_patch(fleet, 0, 1, "{\"one\":{\"keys\":[]},\"two\":null}");
+    /* without any key, the tenant cannot be called at all */
     ASSERT_CODE(401, post(fleet, 0, "/v1/entry/q/c", NULL));
     ASSERT_CODE(401, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/q/a", "key-1a", NULL));
     fleet_run(fleet, 1000);
-    change(fleet, 1, 2, "{\"two\":{\"keys\":[\"key-2b\"]}}");
+    tenants_patch(fleet, 1, 2, "{\"two\":{\"keys\":[\"key-2b\"]}}");
     ASSERT_CODE(200, ask(fleet, FLEET_ENTRY_POINT, 2, "GET", "/v1/entry/q/b", "key-2b", NULL));
     ASSERT_CODE(403, ask(fleet, FLEET_ENTRY_POINT, 2, "GET", "/v1/entry/q/a", "key-2b", NULL));
     fleet_run(fleet, 9000);
@@ -189,6 +191,7 @@
     case_end(fleet);
 }
 
+/* A submission that is waiting for its answer. */
 typedef struct Posting {
     Fleet *fleet;
     int code; /* 0: not answered yet */
@@ -211,8 +214,8 @@
     posting->code = call.code;
 }
 
-/* A job is taken by a leader whose answer is lost with it; the configuration changes under the next leader; then the
- * entry point, which was cut off meanwhile, sends the request again. The code that the caller is told. */
+/* A leader accepts a job and is lost with its answer; the configuration changes under the next leader; then the entry
+ * point, which was cut off meanwhile, sends the request again. return: the code that the caller gets. */
 static int taken_before_change(Fleet *fleet, const char *patch)
 {
     Posting *posting = talloc_zero(fleet, Posting);
@@ -233,8 +236,8 @@
     return posting->code;
 }
 
-/* REFUSED: a job that the leader had taken ran although its caller was told 401: its key was taken away before the
- * entry point sent the request again. */
+/* REFUSED: guards against a job running although its caller got 401: the leader had accepted the job, and its key was
+ * removed before the entry point sent the request again. */
 static void taken_job_is_not_refused_when_its_key_goes(void **state)
 {
     (void)state;
@@ -244,7 +247,7 @@
     case_end(fleet);
 }
 
-/* REFUSED: the same with 404, where the queue was taken away. */
+/* REFUSED: guards against the same with 404, when the queue is removed. */
 static void taken_job_is_not_refused_when_its_queue_goes(void **state)
 {
     (void)state;
--- a/packages/sim/test/tenants_fixture.h
+++ b/packages/sim/test/tenants_fixture.h
@@ -1,7 +1,7 @@
 #ifndef SIM_TEST_TENANTS_FIXTURE_H
 #define SIM_TEST_TENANTS_FIXTURE_H
 
-/* A fleet whose queues are called by tenants' keys. */
+/* Fixture of the tenant tests: a fleet whose queues are called with the keys of tenants. */
 #include <string.h>
 
 #include "config_fixture.h"
@@ -10,16 +10,18 @@
 #define ENTRY_POINTS 3
 #define CONTROLLERS 3
 
+/* The JSON member of a queue that gives it an entry path. */
 #define ENTRY(prefix) "\"entry\":{\"host\":\"" HOST "\",\"prefix\":\"" prefix "\"}"
 
-/* Tenants one and two with a key each, and one that is not called by key, the first; a queue that needs keys, and one
- * that does not. */
+/* Tenant none, the first, without keys, and tenants one and two with a key each; queue q, which needs keys, and queue
+ * open, which is public. */
 static const char TENANTS_CONFIG[] =
     "{\"cells\":{\"c\":{\"strict\":false,"
     "\"tenants\":{\"none\":{},\"one\":{\"keys\":[\"key-1a\"],\"weight\":2},"
     "\"two\":{\"keys\":[\"key-2a\"]}},"
     "\"queues\":{\"q\":{" ENTRY("/q/") "},\"open\":{\"public\":true," ENTRY("/open/") "}}}}}";
 
+/* A job that runs for so long. */
 #define BODY(run_ms) \
     "{\"steps\":[{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":" #run_ms "}}]}"
 
@@ -28,7 +30,7 @@
     return case_configured(seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 6, MIX_TRENTVALE, 0}, TENANTS_CONFIG);
 }
 
-/* key null: none. The code; 0: no answer. */
+/* Sends one call under the key (null: none). return: the HTTP code; 0: no answer. */
 static inline int ask(Fleet *fleet, FleetRole role, int number, const char *method, const char *path, const char *key,
                       const char *body)
 {
@@ -41,6 +43,7 @@
     return code;
 }
 
+/* Submits a job at the entry point. return: the HTTP code; 0: no answer. */
 static inline int post(Fleet *fleet, int entry_point, const char *path, const char *key)
 {
     return ask(fleet, FLEET_ENTRY_POINT, entry_point, "POST", path, key, BODY(2000));
--- a/packages/sim/test/timelines.c
+++ b/packages/sim/test/timelines.c
@@ -1,5 +1,4 @@
-/* Timelines of failures; each is drawn under several seeds, and every never is
- * checked at each step of each. */
+/* Timelines of faults. Each is run with several seeds, and all safety properties are checked at each step. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,14 +8,15 @@
 
 #include "sim/timeline.h"
 
-/* Under the sanitizers, some ten times slower, one seed each. */
+/* With sanitizers, which make it some ten times slower, each timeline is run with one seed. */
 #if defined(__SANITIZE_ADDRESS__)
 #define SEEDS_MAX 1
 #else
 #define SEEDS_MAX UINT64_MAX
 #endif
 
-static void drawn(FleetShape shape, const char *text, uint64_t seeds)
+/* Runs the timeline with the seeds from 1 on. */
+static void seeds_run(FleetShape shape, const char *text, uint64_t seeds)
 {
     char why[512];
     if (seeds > SEEDS_MAX)
@@ -29,11 +29,12 @@
 static const FleetShape TRENTVALE = {3, 3, 11, MIX_TRENTVALE, 0};
 static const FleetShape ATLAS = {3, 4, 11, MIX_ATLAS, 0};
 
+/* A test case of its own for each timeline. Columns are nodes, rows are moments. */
 #define TIMELINE(name, shape, seeds, text) \
     static void name(void **state)         \
     {                                      \
         (void)state;                       \
-        drawn(shape, text, seeds);         \
+        seeds_run(shape, text, seeds);     \
     }
 
 TIMELINE(founding, TRENTVALE, 3,
@@ -95,7 +96,7 @@
          "26000  .       join    .      .\n"
          "30000  .       .       .      end+gap<6000\n")
 
-/* An agent is started again after its wall clock was set back: it is not taken for an older one. */
+/* An agent is restarted after its wall clock was set back: guards against it being taken for an older process. */
 TIMELINE(agent_clock_set_back, TRENTVALE, 6,
          "ms     agent1       worker1  callers\n"
          "0      .            .        call:20\n"
@@ -106,7 +107,7 @@
          "9000   .            runs     .\n"
          "20000  .            .        end+allDone\n")
 
-/* So much work that no worker is without a start for two seconds by chance. */
+/* There is so much work that no worker is left without a start for two seconds by chance. */
 TIMELINE(agent_cut, ATLAS, 3,
          "ms     agent1  worker1  agent2  callers\n"
          "0      .       .        .       call:18\n"
@@ -212,8 +213,8 @@
          "8000   start  .            .\n"
          "12000  .      .            end+gap<2000\n")
 
-/* A new version rolled out over the running fleet, one process at a time: no
- * job fails, and nobody waits longer than for one change of leader. */
+/* A new version is rolled out over the running fleet, one process at a time: no job fails, and no caller waits longer
+ * than for one change of leader. */
 TIMELINE(rolled_out, TRENTVALE, 2,
          "ms     leader  second  third  gate1  gate2  gate3  agent1  agent2  agent3  callers\n"
          "0      .       .       .      .      .      .      .       .       .       call:20\n"
@@ -228,8 +229,7 @@
          "41000  .       .       .      .      .      .      .       .       roll    .\n"
          "50000  up      up      up     up     up     up     up      up      up      end+allDone+gap<3000\n")
 
-/* A leader that reaches the voters but no other member is not in the best
- * partition: it hands the lock over. */
+/* A leader that reaches the voters but no other member is not in the best partition, and gives up the lock. */
 TIMELINE(leader_blind, TRENTVALE, 3,
          "ms     leader  second  third  callers\n"
          "0      leads   .       .      call:10\n"
@@ -238,8 +238,8 @@
          "30000  sees    .       .      .\n"
          "40000  .       .       .      end+gap<12000\n")
 
-/* A worker that fails everything while it claims health: jobs succeed on others
- * (allDone), it is left alone for growing spans, and has work again once it works. */
+/* A worker fails every task while it reports itself healthy: jobs succeed on other workers (allDone), the worker is
+ * given no tasks for growing periods, and gets tasks again once it has recovered. */
 TIMELINE(worker_fails, TRENTVALE, 3,
          "ms     worker1  worker2  callers\n"
          "0      .        .        call:20\n"
@@ -248,14 +248,14 @@
          "30000  heals    .        .\n"
          "90000  runs     .        end+allDone+gap<1000\n")
 
-/* All that was handed in is cancelled while long tasks run: they are stopped. */
+/* All jobs are cancelled while long tasks run: the tasks are stopped. */
 TIMELINE(cancelled, TRENTVALE, 3,
          "ms     worker1  callers\n"
          "0      .        call:20/12000\n"
          "9000   runs     cancel\n"
          "22000  idle     end\n")
 
-/* Half the fleet fails: no more than a quarter is left alone. */
+/* Almost half of the workers fail: no more than a quarter of all workers go without tasks. */
 TIMELINE(many_fail, TRENTVALE, 2,
          "ms     worker1  worker2  worker3  worker4  worker5  callers\n"
          "0      .        .        .        .        .        call:10\n"
@@ -265,9 +265,8 @@
 
 static const FleetShape SPARES = {3, 3, 11, MIX_TRENTVALE, 2};
 
-/* Two controllers replaced in sequence by empty ones at new addresses whose seeds are
- * others; the first returns with its old disk; in the end only the new two are
- * left of the voters that vote. */
+/* Two controllers are replaced in sequence by empty ones at new addresses, which have other seeds. The first one
+ * returns with its old disk. In the end, the two new controllers are the only voters left that vote. */
 TIMELINE(controllers_replaced, SPARES, 3,
          "ms     core1  core2  core3  core4  core5  callers\n"
          "0      .      .      .      .      .      call:10\n"
--- a/packages/sim/test/traces.c
+++ b/packages/sim/test/traces.c
@@ -1,11 +1,12 @@
-/* A trace is gathered from all members, wherever it is asked for. */
+/* A trace is collected from all members, whichever node is asked for it. */
 #include <string.h>
 
 #include "fleet_fixture.h"
 
-#define AGENTS 20 /* count; more than an entry point knows by itself */
+#define AGENTS 20 /* more than an entry point knows by itself */
 
-/* An entry point knows only a part of the fleet: its trace would pass over the rest without a word. */
+/* Guards against a trace silently leaving out the members that the entry point does not know: it knows only a part of
+ * the fleet. */
 static void trace_misses_members_beyond_the_view(void **state)
 {
     (void)state;
--- a/packages/sim/test/without_features.c
+++ b/packages/sim/test/without_features.c
@@ -1,9 +1,10 @@
-/* Whatever feature a deployment runs without, and without all of them: no safety property breaks, and work is done. */
+/* With each optional feature off, and with all of them off, no safety property breaks and jobs are run. */
 #include "fleet_fixture.h"
 
 #include "settings/features.h"
 
-static void played(int64_t features_off, Mix mix)
+/* Runs a fleet without these features (a bit mask) through the loss of a worker, of an agent and of the leader. */
+static void run_with_features_off(int64_t features_off, Mix mix)
 {
     Fleet *fleet = fleet_new(NULL, 90, (FleetShape){3, 3, 9, mix, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
@@ -29,14 +30,14 @@
 {
     (void)state;
     for (int i = 0; i < FEATURE_COUNT; i++)
-        played(INT64_C(1) << i, i % 2 == 0 ? MIX_VARIED : MIX_TRENTVALE);
+        run_with_features_off(INT64_C(1) << i, i % 2 == 0 ? MIX_VARIED : MIX_TRENTVALE);
 }
 
 static void all_switched_off(void **state)
 {
     (void)state;
-    played((INT64_C(1) << FEATURE_COUNT) - 1, MIX_VARIED);
-    played((INT64_C(1) << FEATURE_COUNT) - 1, MIX_ATLAS);
+    run_with_features_off((INT64_C(1) << FEATURE_COUNT) - 1, MIX_VARIED);
+    run_with_features_off((INT64_C(1) << FEATURE_COUNT) - 1, MIX_ATLAS);
 }
 
 int main(void)
