--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -10,11 +10,13 @@
 
 #include "fleet_fixture.h"
 
+/* Two queues with latency targets; plans need not survive any loss. */
 #define CONFIG                                                       \
     "{\"r\":0,\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{" \
     "\"bulk\":{\"stretch\":2,\"targetMs\":2000,\"rounds\":4},"       \
     "\"urgent\":{\"priority\":1,\"stretch\":1.5,\"targetMs\":1000,\"rounds\":4}}}}}"
 
+/* One queue with a latency target; every plan must survive the loss of one worker. */
 #define CONFIG_LOSSES                                                \
     "{\"r\":1,\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{" \
     "\"urgent\":{\"priority\":1,\"stretch\":1.5,\"targetMs\":1000,\"rounds\":4}}}}}"
@@ -217,7 +219,7 @@
 }
 
 /* A worker that leaves in four seconds keeps the attempts that end by then; attempts that save their progress are moved
- * to other workers. */
+ * to other workers, and nothing new is placed on it. */
 static void leaves(void **state)
 {
     (void)state;
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -9,6 +9,7 @@
     bool answered;
 } RawRequest;
 
+/* Sends the frame on a connection of its own and waits for the answer. */
 static void raw_request_main(void *arg)
 {
     RawRequest *raw = arg;
@@ -29,6 +30,7 @@
 
 /* --- requests for another process ------------------------------------------------------ */
 
+/* A server, how many requests it has served, and the sum of their numbers. */
 typedef struct Server {
     PeerIdentity self;
     Rpc *rpc;
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -113,7 +113,7 @@
             assert_true(inside_request->task->retry_after_s > 0);
         sim_cut(fleet->world, leader, entry_point, false);
         fleet_run(fleet, 3000);
-        assert_string_equal(state_of(fleet, fleet), first); /* applied once */
+        assert_string_equal(state_of(fleet, fleet), first); /* the change was applied once */
         assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -9,10 +9,10 @@
     const int fresh = 3;
     fleet_start_node(fleet, FLEET_CONTROLLER, fresh);
     fleet_run(fleet, FOLLOWED_MS);
-    fleet_leave(fleet, FLEET_CONTROLLER, drawn(fleet, fresh, leader_goes));
+    fleet_leave(fleet, FLEET_CONTROLLER, pick_controller(fleet, fresh, leader_goes));
     fleet_run(fleet, SYNC_MS);
     must_lead(fleet, "after a planned replacement");
-    fleet_power_off(fleet, FLEET_CONTROLLER, drawn(fleet, fresh, leader_lost));
+    fleet_power_off(fleet, FLEET_CONTROLLER, pick_controller(fleet, fresh, leader_lost));
     fleet_run(fleet, 1000);
     must_lead(fleet, "after a planned replacement and one more loss");
     finish(fleet);
@@ -32,7 +32,7 @@
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         for (int loss = 0; loss < 2; loss++) {
-            fleet_power_off(fleet, FLEET_CONTROLLER, drawn(fleet, -1, (seed + (uint64_t)loss) % 2 == 0));
+            fleet_power_off(fleet, FLEET_CONTROLLER, pick_controller(fleet, -1, (seed + (uint64_t)loss) % 2 == 0));
             fleet_run(fleet, SYNC_MS);
             must_lead(fleet, "after losses without notice");
         }
@@ -40,8 +40,8 @@
     }
 }
 
-/* A voter whose machine is lost without its disk, and that was replaced meanwhile, returns as a learner and becomes a
- * voter again after the next loss. */
+/* A voter is lost, keeps its disk and is replaced meanwhile: it returns as a learner and becomes a voter again after
+ * the next loss. */
 static void returns_as_learner(void **state)
 {
     (void)state;
@@ -98,9 +98,13 @@
 #define ATTEMPTS 10
 #define OUT_MS 1000 /* ms; from a loss until the machine, or its replacement, starts */
 
+/* LOSS_WIPED: the machine returns with an empty disk; LOSS_REPLACED: a spare starts in place of the lost controller;
+ * LOSS_PLANNED: a spare follows the log before the controller is shut down. */
 typedef enum LossKind { LOSS_WIPED, LOSS_REPLACED, LOSS_PLANNED, LOSS_KINDS } LossKind;
+/* Which voter is lost; oldest: by the age of its disk. */
 typedef enum Target { TARGET_ANY, TARGET_OLDEST, TARGET_LEADER, TARGETS } Target;
 
+/* A fleet, the age of its controllers' disks and the next spare to start. */
 typedef struct Trial {
     Fleet *fleet;
     int64_t disk_since_ms[FLEET_EACH_MAX]; /* when each controller began with its present disk */
@@ -115,14 +119,14 @@
 }
 
 /* A voter that runs and is not the spared one (-1: none). */
-static int target_drawn(Trial *trial, Target target, int spared)
+static int target_voter(Trial *trial, Target target, int spared)
 {
     Fleet *fleet = trial->fleet;
     if (target != TARGET_OLDEST) {
         for (;;) {
             const int controller = target == TARGET_LEADER && fleet_leader(fleet) != spared
                                        ? fleet_leader(fleet)
-                                       : drawn(fleet, spared, false);
+                                       : pick_controller(fleet, spared, false);
             if (votes(fleet, controller))
                 return controller;
         }
@@ -170,7 +174,7 @@
         fleet_run(fleet, kind == LOSS_PLANNED ? FOLLOWED_MS : 0);
         must_lead(fleet, "before a loss");
         for (int i = 0; i < site->losses; i++)
-            lost[i] = target_drawn(&trial, i == 0 ? target : TARGET_ANY, lost[0]);
+            lost[i] = target_voter(&trial, i == 0 ? target : TARGET_ANY, lost[0]);
         for (int i = 0; i < site->losses; i++)
             controller_lose(&trial, lost[i], kind);
         fleet_run(fleet, OUT_MS);
--- a/packages/sim/test/replaced_fixture.h
+++ b/packages/sim/test/replaced_fixture.h
@@ -16,7 +16,7 @@
 
 #define SYNC_MS 4000     /* ms; a loss counts until this long after the machine's return */
 #define FOLLOWED_MS 2000 /* ms; within this a controller that starts follows the log: founding and one snapshot */
-#define SERVED_MS 6000   /* ms; within this after a loss another controller leads */
+#define TAKEOVER_MS 6000 /* ms; within this after a loss another controller leads */
 
 /* One controller may be lost at a time. */
 static const FleetSite ONE_LOSS = {
@@ -45,10 +45,10 @@
     talloc_free(fleet);
 }
 
-/* Fails, and prints all flight recorders, unless a controller leads within SERVED_MS. when: for the message. */
+/* Fails, and prints all flight recorders, unless a controller leads within TAKEOVER_MS. when: for the message. */
 static inline void must_lead(Fleet *fleet, const char *when)
 {
-    const int64_t until_ms = sim_now_ms(fleet->world) + SERVED_MS;
+    const int64_t until_ms = sim_now_ms(fleet->world) + TAKEOVER_MS;
     while (fleet_leader(fleet) < 0 && sim_now_ms(fleet->world) < until_ms)
         fleet_run(fleet, 50);
     if (fleet_leader(fleet) >= 0)
@@ -58,7 +58,7 @@
 }
 
 /* A random controller that runs, or the leader if that is asked for; never the one that is spared (-1: none). */
-static inline int drawn(Fleet *fleet, int spared, bool leader)
+static inline int pick_controller(Fleet *fleet, int spared, bool leader)
 {
     const int leads = fleet_leader(fleet);
     if (leader && leads != spared)
@@ -89,7 +89,7 @@
 static inline int voter_drawn(Fleet *fleet, bool leader)
 {
     for (;;) {
-        const int controller = drawn(fleet, -1, leader);
+        const int controller = pick_controller(fleet, -1, leader);
         if (votes(fleet, controller) && (controller == fleet_leader(fleet)) == leader)
             return controller;
     }
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -250,8 +250,8 @@
     for (size_t i = 0; i < sizeof(TRACE_STEPS) / sizeof(TRACE_STEPS[0]); i++) {
         char step[32];
         snprintf(step, sizeof(step), "\"step\":\"%s\"", TRACE_STEPS[i]);
-        if ((at = strstr(i > 1 ? at : text, step)) ==
-            NULL) /* the order of the first two varies: entry point and controller record them within one round trip */
+        /* the order of the first two varies: entry point and controller record them within one round trip */
+        if ((at = strstr(i > 1 ? at : text, step)) == NULL)
             fail_msg("step %s is missing or out of order: %s", TRACE_STEPS[i], text);
     }
     for (int i = 1; i <= 3; i++) {
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -36,7 +36,7 @@
     return case_begin(seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 3, MIX_TRENTVALE, 0});
 }
 
-/* Nodes are numbered around: first the entry points, then the controllers. */
+/* Nodes are numbered from 0, the entry points before the controllers; higher numbers wrap around. */
 static const FleetNode *node_at(Fleet *fleet, int number)
 {
     const int at = number % NODES;
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -17,8 +17,7 @@
 #define ENTRY_POINTS 3
 #define READ_PAUSE_MS 40     /* ms; between two reads of one reader */
 #define CALL_TIMEOUT_MS 1000 /* ms; a caller's time-out */
-#define CHANGE_PAUSE_MS \
-    7 /* ms; between two changes of the operator: short, so that one is accepted as soon as the lock has moved */
+#define CHANGE_PAUSE_MS 7    /* ms; between two of the operator's changes: one is sent as soon as the lock has moved */
 
 /* CUT_IN, CUT_OUT: one direction only; CUT_BOTH: both directions of the links to other controllers; CUT_ALL: the links
  * to all nodes; CUT_REFUSED: connections are refused and reset; CUT_FREEZE: the process is frozen. */
@@ -59,6 +58,7 @@
     return at != NULL ? strtoull(at + strlen(key), NULL, 10) : 0;
 }
 
+/* Records the answer if it is the first stale one. what: what the answer states. */
 static void stale_answer(Observations *observations, const Reader *reader, const char *what, uint64_t reported,
                          uint64_t known)
 {
@@ -92,6 +92,7 @@
         stale_answer(observations, reader, "a refusal", reported, known);
 }
 
+/* Asks for the job that was accepted last. */
 static void read_job(const Reader *reader, Loop *loop, void *mem)
 {
     Observations *observations = reader->observations;
@@ -183,6 +184,7 @@
     return observations;
 }
 
+/* Begins or ends the cut of the controller. */
 static void cut_controller(Fleet *fleet, int victim, CutKind kind, int64_t span_ms, bool cut)
 {
     if (kind == CUT_FREEZE) { /* it wakes by itself, and receives all that was sent to it meanwhile */
@@ -224,6 +226,7 @@
     int64_t rate, others_rate;
 } CutCase;
 
+/* Runs the case and fails if an answer is stale, or if no changes are accepted during and after the cut. */
 static void cut_case_run(uint64_t seed, const CutCase *one)
 {
     Fleet *fleet = begin(seed);
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -14,13 +14,13 @@
 #include "fleet_fixture.h"
 
 /* The distance between two turns that are tried. */
-static int stride(int usual)
+static int stride(int default_stride)
 {
     const char *text = getenv("SPANCART_STEPS");
 #if defined(__SANITIZE_ADDRESS__)
-    usual *= 4; /* the sanitizer makes it some ten times slower */
+    default_stride *= 4; /* the sanitizer makes it some ten times slower */
 #endif
-    return text != NULL && strcmp(text, "all") == 0 ? 1 : usual;
+    return text != NULL && strcmp(text, "all") == 0 ? 1 : default_stride;
 }
 
 /* What happens just before the fault. */
@@ -46,7 +46,8 @@
                       sequence->trigger == ON_POWER_LOST ? step % 3 : (leader + 1 + step % 2) % 3);
 }
 
-static void trigger(Fleet *fleet, const FaultSequence *sequence, int leader)
+/* Does what precedes the fault; for a submission or a configuration change that is nothing. */
+static void trigger_apply(Fleet *fleet, const FaultSequence *sequence, int leader)
 {
     checker_fault(fleet->checker);
     switch (sequence->trigger) {
@@ -72,7 +73,7 @@
     fleet_run(fleet, 200);
     const int leader = fleet_leader(fleet);
     FleetNode *node = failing_node(fleet, sequence, leader, step);
-    trigger(fleet, sequence, leader);
+    trigger_apply(fleet, sequence, leader);
     const int64_t until_ms = sim_now_ms(fleet->world) + 6000;
     bool reached = true;
     for (int i = 0; i <= step && reached; i++)
@@ -94,11 +95,11 @@
     return reached;
 }
 
-/* Runs the sequence with the fault at each turn, or at every usual-th one. */
-static void run_all_steps(const FaultSequence *sequence, int usual)
+/* Runs the sequence with the fault at every default_stride-th turn, or at every turn. */
+static void run_all_steps(const FaultSequence *sequence, int default_stride)
 {
     int runs = 0;
-    for (int step = 0; step < sequence->steps_max && run_with_fault_at(sequence, step); step += stride(usual))
+    for (int step = 0; step < sequence->steps_max && run_with_fault_at(sequence, step); step += stride(default_stride))
         runs++;
     print_message("faults at %d turns of at most %d\n", runs, sequence->steps_max);
     assert_true(runs > 0);
--- a/packages/sim/test/tenants.c
+++ b/packages/sim/test/tenants.c
@@ -178,7 +178,7 @@
     ASSERT_CODE(201, ask(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/q/a", "key-1a", BODY(6000)));
     ASSERT_CODE(201, ask(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/q/b", "key-2a", BODY(6000)));
     tenants_patch(fleet, 0, 1, "{\"one\":{\"keys\":[]},\"two\":null}");
-    /* without any key, the tenant cannot be called at all */
+    /* removing a tenant's last key lets nobody in without a key */
     ASSERT_CODE(401, post(fleet, 0, "/v1/entry/q/c", NULL));
     ASSERT_CODE(401, ask(fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/entry/q/a", "key-1a", NULL));
     fleet_run(fleet, 1000);
--- a/packages/sim/test/tenants_fixture.h
+++ b/packages/sim/test/tenants_fixture.h
@@ -25,6 +25,7 @@
 #define BODY(run_ms) \
     "{\"steps\":[{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":" #run_ms "}}]}"
 
+/* A fleet with TENANTS_CONFIG; it is on no parent. */
 static inline Fleet *tenants_begin(uint64_t seed)
 {
     return case_configured(seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 6, MIX_TRENTVALE, 0}, TENANTS_CONFIG);
