--- a/packages/sim/test/rpc.c
+++ b/packages/sim/test/rpc.c
@@ -155,7 +155,7 @@
 {
     BadFrameSender *sender = arg;
     sender->loop = loop;
-    loop_spawn(loop, "spoil", bad_frames_main, sender);
+    loop_spawn(loop, "bad frames", bad_frames_main, sender);
 }
 
 /* Each malformed frame ends its connection and is counted; the server goes on serving other clients. */
@@ -264,8 +264,8 @@
     fixture->loop[0] = loop;
     fixture->rpc[0] = rpc_new(loop, loop, recorder_new(loop, "client"));
     rpc_set_cluster(fixture->rpc[0], 7);
-    loop_spawn(loop, "hasty", short_waits_main, fixture);
-    loop_spawn(loop, "patient", long_wait_main, fixture);
+    loop_spawn(loop, "short waits", short_waits_main, fixture);
+    loop_spawn(loop, "long wait", long_wait_main, fixture);
 }
 
 /* Guards against a connection being taken for dead and closed because answers arrive late on a full link: every other
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -180,7 +180,7 @@
         loop_spawn(loop, "reader", reader_main, reader);
     }
     loop_spawn(loop, "operator", operator_main, observations);
-    loop_spawn(loop, "sender", submitter_main, observations);
+    loop_spawn(loop, "submitter", submitter_main, observations);
     return observations;
 }
 
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -1,4 +1,4 @@
-/* Runs the sweep with fixed seeds: those that once broke a safety property, and a few more. */
+/* Runs the sweep with fixed seeds: those that once failed, and a few more. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
