--- a/packages/sim/test/learners.c
+++ b/packages/sim/test/learners.c
@@ -35,7 +35,7 @@
     Fleet *fleet = begin(seed, (FleetShape){5, 3, 2, MIX_TRENTVALE, 0}, &ONE_LOSS);
     for (int i = 0; i < 5; i++)
         learns[i] = !votes(fleet, i);
-    fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, false));
+    fleet_power_off(fleet, FLEET_CONTROLLER, pick_voter(fleet, false));
     return fleet;
 }
 
@@ -114,8 +114,8 @@
             fleet_start_node(fleet, FLEET_CONTROLLER, candidate);
             fleet_run(fleet, READ_MS);
             above += replication_at(fleet, candidate)->lock.promised > replication_at(fleet, fleet_leader(fleet))->term;
-            fleet_run(fleet, FOLLOWED_MS);
-            fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed % 2 == 0));
+            fleet_run(fleet, CATCH_UP_MS);
+            fleet_power_off(fleet, FLEET_CONTROLLER, pick_voter(fleet, seed % 2 == 0));
             fleet_run(fleet, 2 * SYNC_MS);
             must_lead(fleet, "after one more loss");
             assert_true(votes(fleet, candidate));
--- a/packages/sim/test/leaving.c
+++ b/packages/sim/test/leaving.c
@@ -17,10 +17,10 @@
     (void)state;
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
-        const int gone = voter_drawn(fleet, seed % 2 == 0);
+        const int gone = pick_voter(fleet, seed % 2 == 0);
         leave_to_the_end(fleet, gone);
         must_lead(fleet, "after the shutdown of a voter");
-        fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed / 2 % 2 == 0));
+        fleet_power_off(fleet, FLEET_CONTROLLER, pick_voter(fleet, seed / 2 % 2 == 0));
         fleet_run(fleet, 100);
         must_lead(fleet, "after the shutdown of a voter and a loss right after it");
         finish(fleet);
@@ -37,7 +37,7 @@
         bool learns[5];
         for (int i = 0; i < 5; i++)
             learns[i] = !votes(fleet, i);
-        fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, false));
+        fleet_power_off(fleet, FLEET_CONTROLLER, pick_voter(fleet, false));
         int gone = -1;
         while (gone < 0) {
             fleet_run(fleet, 1);
@@ -49,7 +49,7 @@
         assert_false(replication_is_voter(own)); /* according to its own log */
         leave_to_the_end(fleet, gone);
         must_lead(fleet, "after the shutdown of a new voter");
-        fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed % 2 == 0));
+        fleet_power_off(fleet, FLEET_CONTROLLER, pick_voter(fleet, seed % 2 == 0));
         fleet_run(fleet, 100);
         must_lead(fleet, "after the shutdown of a new voter and a loss right after it");
         finish(fleet);
@@ -62,7 +62,7 @@
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
-        const int gone = voter_drawn(fleet, seed % 2 == 0);
+        const int gone = pick_voter(fleet, seed % 2 == 0);
         fleet_shut_down(fleet, FLEET_CONTROLLER, gone);
         fleet_run(fleet, 3000);
         assert_false(fleet_node(fleet, FLEET_CONTROLLER, gone)->up);
