--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -5,32 +5,34 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* A randomized explorer of the replicated log alone: replication, members and RPC endpoints run on simulated machines
- * with a small state instead of jobs, clients that submit changes, and an adversary. Every rule is checked after each
- * step. Used by its command (tool/explore.c) and its tests. The same plan gives the same run. */
-
-/* What the adversary does. Each act lasts for its for_ms, then it is undone. */
-#define ACT_LIST(X)                                                             \
-    X(KILL, "kill")           /* the process; started again */                  \
-    X(POWER, "power")         /* the machine: what was being written is torn */ \
-    X(BLACKOUT, "blackout")   /* power of all machines */                       \
-    X(WIPE, "wipe")           /* started again with an empty disk */            \
-    X(LEAVE, "leave")         /* a graceful shutdown, for good */               \
-    X(VANISH, "vanish")       /* it is gone for good at once */                 \
-    X(JOIN, "join")           /* a new machine with an empty disk */            \
-    X(FREEZE, "freeze")       /* the process stands still */                    \
-    X(CUT_BOTH, "cut")        /* from all others */                             \
-    X(CUT_OUT, "cut-out")     /* what it sends goes nowhere */                  \
-    X(CUT_IN, "cut-in")       /* nothing reaches it */                          \
-    X(CUT_ONE, "cut-one")     /* one way to one other */                        \
-    X(DELAY, "delay")         /* amount: ms at most, for every frame */         \
-    X(FAR, "far")             /* amount: ms more for each of its frames */      \
-    X(DROP, "drop")           /* amount: frames of a thousand that are lost */  \
-    X(REPEAT, "repeat")       /* amount: ... that come once more, late */       \
-    X(CLOCK, "clock")         /* amount: its rate, in percent */                \
-    X(DISK_SLOW, "disk-slow") /* amount: ms for each sync */                    \
-    X(DISK_FAIL, "disk-fail") /* writes fail */                                 \
-    X(STEP_DOWN, "step-down") /* the leader gives up its term */                \
+/* A randomized explorer of the replicated log: the log, its members and their RPC endpoints run on simulated
+ * machines, with a small state instead of jobs, clients that submit changes, and an adversary that injects faults.
+ * Every rule is checked after each step. Used by the command spancart-explore (tool/explore.c) and the tests. The
+ * same plan gives the same run. */
+
+/* The kinds of acts of the adversary, with the words that name them. An act with a duration is undone after its
+ * duration_ms. */
+#define ACT_LIST(X)                                                                     \
+    X(KILL, "kill")           /* kills the process; started again */                    \
+    X(POWER, "power")         /* powers the machine off; a write in progress is torn */ \
+    X(BLACKOUT, "blackout")   /* powers all machines off */                             \
+    X(WIPE, "wipe")           /* powers off, empties the disk, starts again */          \
+    X(LEAVE, "leave")         /* shuts down gracefully, permanently */                  \
+    X(VANISH, "vanish")       /* removes the machine permanently at once */             \
+    X(JOIN, "join")           /* adds a machine with an empty disk */                   \
+    X(FREEZE, "freeze")       /* suspends the process */                                \
+    X(CUT_BOTH, "cut")        /* cuts the node off from all others */                   \
+    X(CUT_OUT, "cut-out")     /* loses all that the node sends */                       \
+    X(CUT_IN, "cut-in")       /* loses all that is sent to the node */                  \
+    X(CUT_ONE, "cut-one")     /* cuts one direction to one other node */                \
+    X(DELAY, "delay")         /* amount: maximum delay of every frame, in ms */         \
+    X(FAR, "far")             /* amount: extra delay of each of its frames, in ms */    \
+    X(DROP, "drop")           /* amount: lost frames, in thousandths */                 \
+    X(REPEAT, "repeat")       /* amount: duplicated frames, in thousandths */           \
+    X(CLOCK, "clock")         /* amount: rate of its clock, in percent */               \
+    X(DISK_SLOW, "disk-slow") /* amount: duration of each sync, in ms */                \
+    X(DISK_FAIL, "disk-fail") /* disk writes fail */                                    \
+    X(STEP_DOWN, "step-down") /* the leader gives up its term */                        \
     X(CHANGES, "changes")     /* amount: changes submitted at once */
 
 typedef enum ActKind {
@@ -40,7 +42,7 @@
         ACT_KINDS
 } ActKind;
 
-/* To which node it does it, chosen when it does. */
+/* The target of an act: any node of this role at the time of the act. */
 #define WHO_LIST(X)       \
     X(LEADER, "leader")   \
     X(VOTER, "voter")     \
@@ -54,7 +56,7 @@
         WHO_KINDS
 } Who;
 
-/* Steps of the protocol that an act waits for. */
+/* Moments: steps of the protocol at which an act can begin or end. */
 #define MOMENT_LIST(X)                                    \
     X(NONE, "by the clock")                               \
     X(ELECTION, "a node begins to stand for election")    \
@@ -69,39 +71,42 @@
         MOMENT_KINDS
 } Moment;
 
+/* One act of the adversary. */
 typedef struct Act {
-    int64_t at_ms; /* since the cluster was founded */
+    int64_t at_ms; /* ms since the cluster was founded */
     ActKind kind;
     Who who;
-    unsigned pick; /* which of them: modulo their number */
-    int64_t for_ms;
-    unsigned amount;
-    Moment from;  /* it begins at the first such step after at_ms, or MOMENT_MOST_MS after it */
-    Moment until; /* it ends at the first such step, or after for_ms */
+    unsigned pick; /* chooses among the matching nodes, modulo their number */
+    int64_t duration_ms;
+    unsigned amount; /* meaning depends on the kind, see ACT_LIST */
+    Moment from;     /* the act begins at the first such moment after at_ms, or MOMENT_WAIT_MAX_MS after at_ms */
+    Moment until;    /* the act ends at the first such moment, or after duration_ms */
 } Act;
 
-#define MOMENT_MOST_MS 3000 /* ms; for so long an act waits for its moment */
+#define MOMENT_WAIT_MAX_MS 3000 /* ms; the longest time that an act waits for its moment to begin */
 
 #define EXPLORE_ACTS_MAX 80 /* count */
 
-/* Invariant: acts are in order of time. */
+/* A run's parameters and acts.
+ *
+ * Invariant: acts are sorted by at_ms. */
 typedef struct ExplorePlan {
-    uint64_t seed, world;  /* of the plan; of the world: delays, disks, clients */
-    int losses;            /* disks that may be lost at once: twice that and one voters are wanted */
-    int spares;            /* machines beyond the voters, from the start on */
-    bool by_votes;         /* founded by the seeds' votes; else by three empty disks */
-    bool precise;          /* acts begin and end at moments */
-    bool pace;             /* disks are lost one after another, each once the last loss must have been repaired */
-    bool beyond;           /* more disks may be lost than the log tolerates: then only safety is required */
-    size_t snapshot;       /* entries after which a snapshot replaces the log */
-    int64_t voter_back_ms; /* as the setting of that meaning: a lost voter is replaced within this */
-    int64_t length_ms;     /* of the adversary */
+    uint64_t seed, world; /* random seeds of the plan, and of the world (delays, disks, clients) */
+    int losses;           /* losses tolerated at once: 2 * losses + 1 voters are configured */
+    int spares;           /* machines in addition to the voters, present from the start */
+    bool by_votes;        /* the cluster is founded by votes of the seeds; otherwise by three empty disks */
+    bool precise;         /* acts may begin and end at moments */
+    bool pace;            /* disks are lost one after another, each when the previous loss must have been repaired */
+    bool excess_losses;   /* more disks may be lost than the log tolerates: then only safety is required */
+    size_t snapshot;      /* number of entries after which a snapshot replaces the log */
+    int64_t voter_replacement_ms; /* as in ReplicationSettings */
+    int64_t length_ms;            /* duration of the adversary, in ms */
     Act acts[EXPLORE_ACTS_MAX];
-    bool skipped[EXPLORE_ACTS_MAX];
+    bool skipped[EXPLORE_ACTS_MAX]; /* acts that are left out */
     size_t act_count;
 } ExplorePlan;
 
-/* The rules: what must never happen. */
+/* The safety and liveness rules, with texts that say how each is broken. */
 #define RULE_LIST(X)                                                                    \
     X(NONE, "none")                                                                     \
     X(TWO_LEADERS, "two nodes lead in one epoch")                                       \
@@ -133,31 +138,36 @@
         RULE_COUNT
 } Rule;
 
+/* The outcome of a run. */
 typedef struct ExploreResult {
-    Rule rule; /* the first that was broken */
+    Rule rule; /* the first rule that was broken */
     int64_t at_ms;
-    char why[240];
-    uint64_t steps, committed, acknowledged, leads, voter_changes;
-    uint64_t done[ACT_KINDS]; /* acts that found a node */
-    bool lived;               /* liveness was required */
-    int64_t live_ms;          /* from the end of the adversary to the first acknowledgement */
-    int64_t whole_ms;         /* ... until as many voters as are wanted are there */
+    char detail[240]; /* the circumstances of the break */
+    /* Events of the world; client changes committed and acknowledged; terms with a leader; committed changes of the
+     * voters. */
+    uint64_t steps, committed, acknowledged, terms_led, voter_changes;
+    uint64_t performed[ACT_KINDS]; /* acts performed, by kind */
+    bool liveness_checked;         /* liveness was required, as a majority of the voters was left */
+    int64_t recovery_ms;           /* from the end of the adversary to the first acknowledgement */
+    int64_t voters_complete_ms;    /* from the end of the adversary until all configured voters are present */
 } ExploreResult;
 
-/* The plan of a seed; it stays the same as long as the drawing is not changed. */
-void explore_plan_of(uint64_t seed, ExplorePlan *plan);
-/* A plan of losses one after another and nothing else, each once the last must have been repaired. */
-void explore_pace_of(uint64_t seed, ExplorePlan *plan);
-/* A plan as explore_plan_of draws it, of which many acts begin or end at moments, with clocks at their bounds and
- * restarts as quick as they can be. */
-void explore_precise_of(uint64_t seed, ExplorePlan *plan);
-/* Runs the plan; loud: prints what happens, and the flight recorders when a rule breaks. Blocks. */
-void explore_run(const ExplorePlan *plan, bool loud, ExploreResult *result);
-/* Leaves out every act that the break does not need. return: false when the plan breaks no rule. */
+/* Generates the plan of a seed. The result stays the same as long as the generator does not change. */
+void explore_plan_random(uint64_t seed, ExplorePlan *plan);
+/* Generates a pace plan: disk losses one after another and no other act, each when the previous loss must have been
+ * repaired. */
+void explore_plan_pace(uint64_t seed, ExplorePlan *plan);
+/* Generates the plan of explore_plan_random with many acts beginning or ending at moments, with clock rates at their
+ * bounds, and with restarts as fast as possible. */
+void explore_plan_precise(uint64_t seed, ExplorePlan *plan);
+/* Runs the plan and fills in the result. verbose: prints each event, and the flight recorders if a rule breaks.
+ * Blocks. */
+void explore_run(const ExplorePlan *plan, bool verbose, ExploreResult *result);
+/* Skips every act of the plan that is not needed to break its rule. Returns false if the plan breaks no rule. */
 bool explore_shrink(ExplorePlan *plan, ExploreResult *result);
-/* Prints the plan as rows of C, without the acts that are skipped. */
+/* Prints the plan as a C initializer, without the skipped acts. */
 void explore_print(const ExplorePlan *plan);
-/* What the rule says is broken. */
+/* Returns the text that says how the rule is broken. */
 const char *rule_text(Rule rule);
 
 #endif
--- a/packages/explore/src/act.h
+++ b/packages/explore/src/act.h
@@ -1,14 +1,14 @@
 #ifndef EXPLORE_SRC_ACT_H
 #define EXPLORE_SRC_ACT_H
 
-/* The adversary (act.c). */
+/* The adversary: injects the acts of a plan (act.c). */
 
 #include "state.h"
 
-/* Does it to the node that it finds, and undoes it later; no effect when there is none, or when a loss would be one too
- * many. */
-void act_do(Explore *explore, const Act *act);
-/* Undoes all that it has done, and starts every node that is not gone for good. */
-void acts_end(Explore *explore);
+/* Performs the act on a node chosen now, and schedules its undoing. Has no effect if no node matches, or if the act
+ * would lose more disks than the plan permits. An act that waits for a moment is performed later. */
+void act_perform(Explore *explore, const Act *act);
+/* Ends the adversary: undoes the effects of all acts, and starts every node that is not permanently gone. */
+void acts_undo_all(Explore *explore);
 
 #endif
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -1,4 +1,4 @@
-/* Clients: submit changes and remember what they were told of each. */
+/* Clients: submit changes and record the outcome reported for each. */
 #include <string.h>
 #include <talloc.h>
 
@@ -8,8 +8,8 @@
 #include "nodes.h"
 #include "report.h"
 
-#define CLIENT_EACH_MS 60 /* ms; between two changes */
-#define CLIENT_BYTES 160  /* bytes; of a change at most */
+#define CLIENT_INTERVAL_MS 60  /* ms; mean interval between two changes */
+#define CLIENT_PADDING_MAX 160 /* bytes; maximum size of the padding of a change */
 
 typedef struct Submission {
     Explore *explore;
@@ -18,12 +18,13 @@
     Bytes payload;
 } Submission;
 
-static void acknowledged(Explore *explore, uint64_t number)
+/* Records that a change was acknowledged; check_step checks it after the step. */
+static void record_acknowledgement(Explore *explore, uint64_t number)
 {
     explore->acks =
         array_grow(explore, explore->acks, sizeof(*explore->acks), explore->ack_count, &explore->ack_capacity);
     explore->acks[explore->ack_count++] = number;
-    explore->orders[number - 1].acknowledged = true;
+    explore->client_changes[number - 1].acknowledged = true;
     explore->result->acknowledged++;
 }
 
@@ -34,32 +35,32 @@
     ChangeResult result = {0};
     const Status status =
         replication_submit(submission->node->replication, REPLICATION_CHANGE_FIRST, submission->payload, &result);
-    Order *order = &explore->orders[submission->number - 1];
+    ClientChange *change = &explore->client_changes[submission->number - 1];
     if (status == STATUS_OK)
-        acknowledged(explore, submission->number);
+        record_acknowledgement(explore, submission->number);
     else if (status == STATUS_NOT_LEADER || status == STATUS_BUSY)
-        order->refused = true;
+        change->refused = true;
     if (status == STATUS_OK && result.number != submission->number)
-        explore_break(explore, RULE_ACK_LOST, "the result is that of another change");
-    if (order->refused && order->index != 0)
-        explore_break(explore, RULE_REFUSED_TAKEN, "refused when it was committed already");
+        explore_report_break(explore, RULE_ACK_LOST, "the result is that of another change");
+    if (change->refused && change->index != 0)
+        explore_report_break(explore, RULE_REFUSED_TAKEN, "refused when it was committed already");
 }
 
 void client_submit(Explore *explore, Node *node)
 {
-    explore->orders =
-        array_grow(explore, explore->orders, sizeof(*explore->orders), explore->order_count, &explore->order_capacity);
-    explore->orders[explore->order_count++] = (Order){0};
+    explore->client_changes = array_grow(explore, explore->client_changes, sizeof(*explore->client_changes),
+                                         explore->client_change_count, &explore->client_change_capacity);
+    explore->client_changes[explore->client_change_count++] = (ClientChange){0};
     Loop *loop = sim_loop(explore->world, node->machine);
     Submission *submission = talloc_zero(loop, Submission);
-    *submission = (Submission){explore, node, explore->order_count, {0}};
+    *submission = (Submission){explore, node, explore->client_change_count, {0}};
     bytes_add(submission, &submission->payload, &submission->number, sizeof(submission->number));
-    static const uint8_t INSTALL_SNAPSHOT[CLIENT_BYTES] = {0};
-    bytes_add(submission, &submission->payload, INSTALL_SNAPSHOT, sim_random(explore->world) % CLIENT_BYTES);
+    static const uint8_t INSTALL_SNAPSHOT[CLIENT_PADDING_MAX] = {0};
+    bytes_add(submission, &submission->payload, INSTALL_SNAPSHOT, sim_random(explore->world) % CLIENT_PADDING_MAX);
     loop_spawn(loop, "client", submit_main, submission);
 }
 
-/* Mostly the leader, sometimes any node that runs; null: that one does not. */
+/* Chooses the leader with a probability of 3/4, otherwise a random node. Returns null if that node is not running. */
 static Node *target(Explore *explore)
 {
     Node *leader = sim_random(explore->world) % 4 != 0 ? node_leader(explore) : NULL;
@@ -76,8 +77,8 @@
     if (node != NULL)
         client_submit(explore, node);
     sim_at(explore->world,
-           sim_now_ms(explore->world) + 1 + (int64_t)(sim_random(explore->world) % (2 * CLIENT_EACH_MS)), client_tick,
-           explore);
+           sim_now_ms(explore->world) + 1 + (int64_t)(sim_random(explore->world) % (2 * CLIENT_INTERVAL_MS)),
+           client_tick, explore);
 }
 
 void client_start(Explore *explore)
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -1,5 +1,5 @@
-/* What the disks hold, by the blocks that were synced, and what must never happen to a disk: a promise that falls, a
- * log that gets shorter, another cluster. */
+/* Models of the disks' contents, built from the blocks that were synced, and the rules for a single disk: its
+ * promise never falls, its log gets no shorter, its cluster never changes. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -10,7 +10,7 @@
 #include "moment.h"
 #include "report.h"
 
-DiskModel *disk_of(const Explore *explore, uint64_t disk)
+DiskModel *disk_model_find(const Explore *explore, uint64_t disk)
 {
     for (size_t i = 0; i < explore->disk_count; i++)
         if (explore->disks[i]->disk == disk)
@@ -30,7 +30,7 @@
     return model->base_index + model->entries.count;
 }
 
-const Item *disk_list_after(const DiskModel *model, uint64_t index)
+const Item *disk_voters_after(const DiskModel *model, uint64_t index)
 {
     for (uint64_t i = last_index(model); i > index && i > model->base_index; i--) {
         const Item *item = disk_item(model, i);
@@ -40,8 +40,8 @@
     return NULL;
 }
 
-/* The term at the index; false: it is not known there. */
-static bool term_at(const DiskModel *model, uint64_t index, uint64_t *term)
+/* Sets term to the term of the entry at the index. Returns false if the disk does not hold that entry. */
+static bool known_term_at(const DiskModel *model, uint64_t index, uint64_t *term)
 {
     const Item *item = disk_item(model, index);
     if (item == NULL && index != model->base_index)
@@ -67,15 +67,15 @@
         model->entries.count--;
 }
 
-static void rebase(DiskModel *model, const Record *snapshot)
+static void install_snapshot(DiskModel *model, const Record *snapshot)
 {
     model->entries.count = 0;
     model->base_index = snapshot->index;
     model->base_term = snapshot->term;
 }
 
-/* Applies a record, as the replicated log does when it reads its journal. */
-static void take(void *arg, const Record *record)
+/* Applies a journal record to the model, as the replicated log does when it reads its journal. */
+static void apply_record(void *arg, const Record *record)
 {
     DiskModel *model = arg;
     switch (record->kind) {
@@ -90,7 +90,7 @@
         break;
     case RECORD_ENTRY:
         if (record->index == last_index(model) + 1) {
-            const Item item = item_of(model, record);
+            const Item item = item_from_record(model, record);
             items_add(model, &model->entries, &item);
         }
         break;
@@ -98,35 +98,36 @@
         trim_to(model, record->index);
         break;
     case RECORD_SNAPSHOT:
-        rebase(model, record);
+        install_snapshot(model, record);
         break;
     default:
         break;
     }
 }
 
-/* Whether the newer holds less than the older, and nothing else. */
-static bool shortened(const DiskModel *older, const DiskModel *newer)
+/* Whether the newer log is a proper prefix of the older one. */
+static bool is_shortened(const DiskModel *older, const DiskModel *newer)
 {
     uint64_t before, after;
-    return last_index(newer) < last_index(older) && term_at(older, last_index(newer), &before) &&
-           term_at(newer, last_index(newer), &after) && before == after;
+    return last_index(newer) < last_index(older) && known_term_at(older, last_index(newer), &before) &&
+           known_term_at(newer, last_index(newer), &after) && before == after;
 }
 
-static void compare(Explore *explore, const DiskModel *older, const DiskModel *newer)
+/* Checks the rules for a disk across one sync, and raises MOMENT_PROMISE for a higher promise. */
+static void check_disk(Explore *explore, const DiskModel *older, const DiskModel *newer)
 {
     if (newer->promised < older->promised)
-        explore_break(explore, RULE_PROMISE_FELL, "on the disk of node %d, from %" PRIu64 " to %" PRIu64,
-                      newer->machine, term_counter(older->promised), term_counter(newer->promised));
-    if (shortened(older, newer))
-        explore_break(explore, RULE_LOG_SHORTER, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
-                      last_index(older), last_index(newer));
+        explore_report_break(explore, RULE_PROMISE_FELL, "on the disk of node %d, from %" PRIu64 " to %" PRIu64,
+                             newer->machine, term_counter(older->promised), term_counter(newer->promised));
+    if (is_shortened(older, newer))
+        explore_report_break(explore, RULE_LOG_SHORTER, "on the disk of node %d, from %" PRIu64 " to %" PRIu64,
+                             newer->machine, last_index(older), last_index(newer));
     if (newer->promised > older->promised)
         moment_raise(explore, MOMENT_PROMISE);
     if (newer->cluster != 0 && explore->cluster == 0)
         explore->cluster = newer->cluster;
     if (newer->cluster != 0 && newer->cluster != explore->cluster)
-        explore_break(explore, RULE_TWO_CLUSTERS, "node %d is of another cluster", newer->machine);
+        explore_report_break(explore, RULE_TWO_CLUSTERS, "node %d is of another cluster", newer->machine);
 }
 
 static DiskModel *model_new(Explore *explore, Node *node)
@@ -147,7 +148,7 @@
     return NULL;
 }
 
-void disk_changed(void *arg, int machine, const char *path, Bytes bytes, bool whole)
+void disk_changed(void *arg, int machine, const char *path, Bytes bytes, bool complete)
 {
     Explore *explore = arg;
     Node *node = node_at(explore, machine);
@@ -156,16 +157,16 @@
         return;
     DiskModel *model = node->model != NULL ? node->model : model_new(explore, node);
     DiskModel before = *model;
-    if (whole) {
+    if (complete) {
         model->entries = (Items){0};
         model->base_index = model->base_term = model->promised = 0;
     } else {
-        /* entries are only overwritten after a trim: the older ones are kept for the comparison */
+        /* Entries are only overwritten after a trim, so the older ones are copied for the comparison. */
         before.entries.list = talloc_memdup(explore, model->entries.list, sizeof(Item) * model->entries.count);
     }
-    size_t good;
-    (void)journal_read(bytes, take, model, &good, NULL); /* complete records count */
-    compare(explore, &before, model);
+    size_t valid_bytes;
+    (void)journal_read(bytes, apply_record, model, &valid_bytes, NULL); /* an incomplete record at the end is ignored */
+    check_disk(explore, &before, model);
     if (before.entries.list != model->entries.list)
         talloc_free(before.entries.list);
 }
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -1,4 +1,4 @@
-/* Plans: drawn from a seed, and printed. */
+/* Plans: generated from a seed, and printed. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,28 +6,29 @@
 #include "base/constants.h"
 #include "state.h"
 
-#define PACE_LOSSES 10      /* count; losses one after another */
-#define PACE_BEFORE_MS 2500 /* ms; a learner that is to replace another is started so long before, at most */
+#define PACE_LOSSES 10            /* number of losses in a pace plan */
+#define PACE_LEARNER_LEAD_MS 2500 /* ms; maximum time from the start of a replacement learner to the loss */
 
-typedef struct Draw {
+/* State of the random number generator. */
+typedef struct RandomGenerator {
     uint64_t state;
-} Draw;
+} RandomGenerator;
 
-/* splitmix64 */
-static uint64_t below(Draw *draw, uint64_t bound)
+/* Returns a random number in [0, bound), by splitmix64. */
+static uint64_t random_below(RandomGenerator *generator, uint64_t bound)
 {
-    uint64_t mixed_bits = (draw->state += 0x9e3779b97f4a7c15u);
+    uint64_t mixed_bits = (generator->state += 0x9e3779b97f4a7c15u);
     mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
     mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
     return (mixed_bits ^ (mixed_bits >> 31)) % bound;
 }
 
-/* How often an act is drawn, and within what its span and amount are. */
+/* The relative frequency of each kind of act, and the ranges of its duration and amount (see ACT_LIST). */
 static const struct {
     unsigned weight;
-    int64_t least_ms, most_ms;
-    unsigned least, most;
-} SHAPES[ACT_KINDS] = {
+    int64_t min_ms, max_ms;
+    unsigned min_amount, max_amount;
+} ACT_PARAMETERS[ACT_KINDS] = {
     [ACT_KILL] = {10, 0, 4000, 0, 0},
     [ACT_POWER] = {10, 0, 6000, 0, 0},
     [ACT_BLACKOUT] = {3, 0, 3000, 0, 0},
@@ -51,129 +52,139 @@
     [ACT_CHANGES] = {6, 0, 0, 5, 400},
 };
 
-static ActKind kind_of(Draw *draw)
+/* Draws a kind of act according to the weights. */
+static ActKind draw_kind(RandomGenerator *generator)
 {
     uint64_t sum = 0;
     for (int i = 0; i < ACT_KINDS; i++)
-        sum += SHAPES[i].weight;
-    uint64_t left = below(draw, sum);
+        sum += ACT_PARAMETERS[i].weight;
+    uint64_t left = random_below(generator, sum);
     int kind = 0;
-    while (left >= SHAPES[kind].weight)
-        left -= SHAPES[kind++].weight;
+    while (left >= ACT_PARAMETERS[kind].weight)
+        left -= ACT_PARAMETERS[kind++].weight;
     return (ActKind)kind;
 }
 
-static Who who_of(Draw *draw, ActKind kind)
+static Who draw_target(RandomGenerator *generator, ActKind kind)
 {
     static const Who WHOS[] = {WHO_LEADER, WHO_LEADER, WHO_VOTER, WHO_VOTER, WHO_VOTER, WHO_LEARNER, WHO_ANY, WHO_ANY};
-    const Who who = WHOS[below(draw, sizeof(WHOS) / sizeof(WHOS[0]))];
-    const bool leads = kind == ACT_STEP_DOWN || kind == ACT_CHANGES;
-    return leads ? WHO_LEADER : who;
+    const Who who = WHOS[random_below(generator, sizeof(WHOS) / sizeof(WHOS[0]))];
+    const bool targets_leader = kind == ACT_STEP_DOWN || kind == ACT_CHANGES;
+    return targets_leader ? WHO_LEADER : who;
 }
 
-/* Mostly one shortly after another, so that they overlap; sometimes a while of quiet. */
-static int64_t gap_of(Draw *draw, bool dense)
+/* Draws the time until the next act, in ms. Mostly short, so that acts overlap; occasionally a quiet period. dense:
+ * always short. */
+static int64_t draw_gap_ms(RandomGenerator *generator, bool dense)
 {
     if (dense)
-        return (int64_t)below(draw, 160);
-    const uint64_t span = below(draw, 8) == 0 ? 5000 : below(draw, 3) == 0 ? 1500 : 400;
-    return (int64_t)below(draw, span);
+        return (int64_t)random_below(generator, 160);
+    const uint64_t span = random_below(generator, 8) == 0 ? 5000 : random_below(generator, 3) == 0 ? 1500 : 400;
+    return (int64_t)random_below(generator, span);
 }
 
-void explore_plan_of(uint64_t seed, ExplorePlan *plan)
+void explore_plan_random(uint64_t seed, ExplorePlan *plan)
 {
-    Draw draw = {seed * 1000003 + 17};
+    RandomGenerator generator = {seed * 1000003 + 17};
     memset(plan, 0, sizeof(*plan));
     plan->seed = plan->world = seed;
-    plan->losses = below(&draw, 3) == 0 ? 2 : 1;
-    plan->spares = (int)below(&draw, 4);
-    plan->by_votes = below(&draw, 2) == 0;
-    plan->beyond = below(&draw, 6) == 0;
-    plan->snapshot = (size_t[]){5, 20, 80, 400}[below(&draw, 4)];
-    plan->voter_back_ms = (int64_t[]){0, 3000, 6000}[below(&draw, 3)];
-    const bool dense = below(&draw, 4) == 0;
-    plan->length_ms = dense ? 9000 : 20000 + (int64_t)below(&draw, 20000);
+    plan->losses = random_below(&generator, 3) == 0 ? 2 : 1;
+    plan->spares = (int)random_below(&generator, 4);
+    plan->by_votes = random_below(&generator, 2) == 0;
+    plan->excess_losses = random_below(&generator, 6) == 0;
+    plan->snapshot = (size_t[]){5, 20, 80, 400}[random_below(&generator, 4)];
+    plan->voter_replacement_ms = (int64_t[]){0, 3000, 6000}[random_below(&generator, 3)];
+    const bool dense = random_below(&generator, 4) == 0;
+    plan->length_ms = dense ? 9000 : 20000 + (int64_t)random_below(&generator, 20000);
     int64_t at_ms = 0;
     while (plan->act_count < EXPLORE_ACTS_MAX) {
-        at_ms += gap_of(&draw, dense);
+        at_ms += draw_gap_ms(&generator, dense);
         if (at_ms >= plan->length_ms)
             break;
-        const ActKind kind = kind_of(&draw);
+        const ActKind kind = draw_kind(&generator);
         Act *act = &plan->acts[plan->act_count++];
-        *act =
-            (Act){.at_ms = at_ms, .kind = kind, .who = who_of(&draw, kind), .pick = (unsigned)below(&draw, NODES_MAX)};
-        act->for_ms =
-            SHAPES[kind].least_ms + (int64_t)below(&draw, (uint64_t)(SHAPES[kind].most_ms - SHAPES[kind].least_ms + 1));
-        act->amount = SHAPES[kind].least + (unsigned)below(&draw, SHAPES[kind].most - SHAPES[kind].least + 1);
+        *act = (Act){.at_ms = at_ms,
+                     .kind = kind,
+                     .who = draw_target(&generator, kind),
+                     .pick = (unsigned)random_below(&generator, NODES_MAX)};
+        act->duration_ms = ACT_PARAMETERS[kind].min_ms +
+                           (int64_t)random_below(
+                               &generator, (uint64_t)(ACT_PARAMETERS[kind].max_ms - ACT_PARAMETERS[kind].min_ms + 1));
+        act->amount =
+            ACT_PARAMETERS[kind].min_amount +
+            (unsigned)random_below(&generator, ACT_PARAMETERS[kind].max_amount - ACT_PARAMETERS[kind].min_amount + 1);
     }
 }
 
-#define PRECISE_RESTART_MS 40 /* ms; a process that is restarted at once is there again within this */
+#define PRECISE_RESTART_MS 40 /* ms; a process that is restarted at once is running again within this time */
 
-/* ms; a sync that has begun goes on when its disk is well again: of the time until service must be back it takes no
- * more than half */
-#define PRECISE_SLOW_MS 1000
+/* ms; the longest excess of a sync over SUBMIT_TIMEOUT_MS. A sync in progress is completed when its disk has
+ * recovered: it must take at most half of the time within which service has to recover. */
+#define PRECISE_SYNC_EXCESS_MS 1000
 
-/* Whether acts of the kind have an end. */
-static bool ends(ActKind kind)
+/* Whether acts of the kind last for a while and are then undone. */
+static bool has_duration(ActKind kind)
 {
-    return SHAPES[kind].most_ms > 0 && kind != ACT_WIPE && kind != ACT_BLACKOUT;
+    return ACT_PARAMETERS[kind].max_ms > 0 && kind != ACT_WIPE && kind != ACT_BLACKOUT;
 }
 
-void explore_precise_of(uint64_t seed, ExplorePlan *plan)
+void explore_plan_precise(uint64_t seed, ExplorePlan *plan)
 {
-    explore_plan_of(seed, plan);
-    Draw draw = {seed * 1000003 + 41};
+    explore_plan_random(seed, plan);
+    RandomGenerator generator = {seed * 1000003 + 41};
     plan->precise = true;
     for (size_t i = 0; i < plan->act_count; i++) {
         Act *act = &plan->acts[i];
-        if (below(&draw, 3) == 0)
-            act->from = (Moment)(1 + below(&draw, MOMENT_KINDS - 1));
-        if (ends(act->kind) && below(&draw, 2) == 0)
-            act->until = (Moment)(1 + below(&draw, MOMENT_KINDS - 1));
-        if ((act->kind == ACT_KILL || act->kind == ACT_POWER) && below(&draw, 2) == 0)
-            act->for_ms = (int64_t)below(&draw, PRECISE_RESTART_MS);
-        if (act->kind == ACT_DISK_SLOW && below(&draw, 2) == 0) { /* longer than anybody waits for a commit */
+        if (random_below(&generator, 3) == 0)
+            act->from = (Moment)(1 + random_below(&generator, MOMENT_KINDS - 1));
+        if (has_duration(act->kind) && random_below(&generator, 2) == 0)
+            act->until = (Moment)(1 + random_below(&generator, MOMENT_KINDS - 1));
+        if ((act->kind == ACT_KILL || act->kind == ACT_POWER) && random_below(&generator, 2) == 0)
+            act->duration_ms = (int64_t)random_below(&generator, PRECISE_RESTART_MS);
+        if (act->kind == ACT_DISK_SLOW && random_below(&generator, 2) == 0) { /* longer than a submission waits */
             act->from = MOMENT_LIST;
-            act->for_ms = act->amount = SUBMIT_TIMEOUT_MS + (unsigned)below(&draw, PRECISE_SLOW_MS);
+            act->duration_ms = act->amount =
+                SUBMIT_TIMEOUT_MS + (unsigned)random_below(&generator, PRECISE_SYNC_EXCESS_MS);
         }
         if (act->kind == ACT_CLOCK)
-            act->amount = below(&draw, 2) == 0 ? SHAPES[ACT_CLOCK].least : SHAPES[ACT_CLOCK].most;
+            act->amount = random_below(&generator, 2) == 0 ? ACT_PARAMETERS[ACT_CLOCK].min_amount
+                                                           : ACT_PARAMETERS[ACT_CLOCK].max_amount;
     }
 }
 
-/* The loss of one voter. A learner is started shortly before, unless all of them run from the beginning. */
-static void pace_loss(Draw *draw, ExplorePlan *plan, int64_t at_ms, bool standing)
+/* Adds the loss of one voter at at_ms. Unless all learners run from the beginning (learners_standing), one is
+ * started shortly before. */
+static void add_pace_loss(RandomGenerator *generator, ExplorePlan *plan, int64_t at_ms, bool learners_standing)
 {
     static const ActKind LOSSES[] = {ACT_LEAVE, ACT_LEAVE, ACT_VANISH, ACT_WIPE};
-    const Who who = (Who[]){WHO_LEADER, WHO_VOTER, WHO_VOTER}[below(draw, 3)];
-    const ActKind kind = LOSSES[below(draw, sizeof(LOSSES) / sizeof(LOSSES[0]))];
-    const int64_t before_ms = (int64_t)below(draw, PACE_BEFORE_MS);
-    if (kind != ACT_WIPE && !standing) /* one that is wiped comes back as a learner itself */
+    const Who who = (Who[]){WHO_LEADER, WHO_VOTER, WHO_VOTER}[random_below(generator, 3)];
+    const ActKind kind = LOSSES[random_below(generator, sizeof(LOSSES) / sizeof(LOSSES[0]))];
+    const int64_t before_ms = (int64_t)random_below(generator, PACE_LEARNER_LEAD_MS);
+    if (kind != ACT_WIPE && !learners_standing) /* a wiped node returns as a learner itself */
         plan->acts[plan->act_count++] = (Act){.at_ms = at_ms - before_ms, .kind = ACT_JOIN, .who = WHO_ANY};
     plan->acts[plan->act_count++] = (Act){.at_ms = at_ms,
                                           .kind = kind,
                                           .who = who,
-                                          .pick = (unsigned)below(draw, NODES_MAX),
-                                          .for_ms = (int64_t)below(draw, 1000)};
+                                          .pick = (unsigned)random_below(generator, NODES_MAX),
+                                          .duration_ms = (int64_t)random_below(generator, 1000)};
 }
 
-void explore_pace_of(uint64_t seed, ExplorePlan *plan)
+void explore_plan_pace(uint64_t seed, ExplorePlan *plan)
 {
-    Draw draw = {seed * 1000003 + 29};
+    RandomGenerator generator = {seed * 1000003 + 29};
     memset(plan, 0, sizeof(*plan));
     plan->seed = plan->world = seed;
     plan->pace = true;
-    plan->losses = below(&draw, 3) == 0 ? 2 : 1;
-    const bool standing = below(&draw, 2) == 0;
-    plan->spares = standing ? PACE_LOSSES : (int)below(&draw, 2);
+    plan->losses = random_below(&generator, 3) == 0 ? 2 : 1;
+    const bool learners_standing = random_below(&generator, 2) == 0;
+    plan->spares = learners_standing ? PACE_LOSSES : (int)random_below(&generator, 2);
     plan->by_votes = true;
-    plan->snapshot = (size_t[]){5, 80, 4000}[below(&draw, 3)];
-    plan->voter_back_ms = (int64_t[]){4000, 6000}[below(&draw, 2)];
-    int64_t at_ms = PACE_BEFORE_MS;
+    plan->snapshot = (size_t[]){5, 80, 4000}[random_below(&generator, 3)];
+    plan->voter_replacement_ms = (int64_t[]){4000, 6000}[random_below(&generator, 2)];
+    int64_t at_ms = PACE_LEARNER_LEAD_MS;
     for (int i = 0; i < PACE_LOSSES; i++) {
-        pace_loss(&draw, plan, at_ms, standing);
-        at_ms += plan->voter_back_ms + PACE_BEFORE_MS + (int64_t)below(&draw, 500);
+        add_pace_loss(&generator, plan, at_ms, learners_standing);
+        at_ms += plan->voter_replacement_ms + PACE_LEARNER_LEAD_MS + (int64_t)random_below(&generator, 500);
     }
     plan->length_ms = at_ms;
 }
@@ -196,15 +207,15 @@
 #undef X
     };
     printf("{.seed = %" PRIu64 ", .world = %" PRIu64
-           ", .losses = %d, .spares = %d, .by_votes = %s, .pace = %s, .beyond = %s, .snapshot = %zu,\n"
-           " .voter_back_ms = %" PRId64 ", .length_ms = %" PRId64 ", .acts = {\n",
+           ", .losses = %d, .spares = %d, .by_votes = %s, .pace = %s, .excess_losses = %s, .snapshot = %zu,\n"
+           " .voter_replacement_ms = %" PRId64 ", .length_ms = %" PRId64 ", .acts = {\n",
            plan->seed, plan->world, plan->losses, plan->spares, plan->by_votes ? "true" : "false",
-           plan->pace ? "true" : "false", plan->beyond ? "true" : "false", plan->snapshot, plan->voter_back_ms,
-           plan->length_ms);
+           plan->pace ? "true" : "false", plan->excess_losses ? "true" : "false", plan->snapshot,
+           plan->voter_replacement_ms, plan->length_ms);
     for (size_t i = 0; i < plan->act_count; i++)
         if (!plan->skipped[i])
             printf("    {%" PRId64 ", %s, %s, %u, %" PRId64 ", %u, %s, %s},\n", plan->acts[i].at_ms,
-                   KINDS[plan->acts[i].kind], WHOS[plan->acts[i].who], plan->acts[i].pick, plan->acts[i].for_ms,
+                   KINDS[plan->acts[i].kind], WHOS[plan->acts[i].who], plan->acts[i].pick, plan->acts[i].duration_ms,
                    plan->acts[i].amount, MOMENTS[plan->acts[i].from], MOMENTS[plan->acts[i].until]);
     printf("}}\n");
 }
--- a/packages/explore/src/history.h
+++ b/packages/explore/src/history.h
@@ -1,13 +1,13 @@
 #ifndef EXPLORE_SRC_HISTORY_H
 #define EXPLORE_SRC_HISTORY_H
 
-/* What is committed (history.c). */
+/* The history: all entries that have been committed (history.c). */
 
 #include "state.h"
 
-/* Null: nothing is committed there yet. */
+/* Returns the committed entry at the index, or null if nothing is committed there yet. */
 const Item *history_item(const History *history, uint64_t index);
-/* Adds what the node has committed beyond the history, and checks each new item. */
-void history_follow(Explore *explore, const Node *node, const ReplicationInspection *window);
+/* Adds the entries that the node has committed beyond the end of the history, and checks each of them. */
+void history_update(Explore *explore, const Node *node, const ReplicationInspection *inspection);
 
 #endif
--- a/packages/explore/src/moment.c
+++ b/packages/explore/src/moment.c
@@ -1,60 +1,61 @@
-/* Moments: steps of the protocol at which a failure hurts most, so that acts of the adversary begin or end just there
- * and not by the clock alone: what was learnt in one step may be out of date in the next. */
+/* Moments: steps of the protocol at which a failure is most likely to expose a fault. Acts that begin or end at a
+ * moment, not only at a fixed time, hit the point where knowledge gained in one step may be outdated in the next. */
 #include <talloc.h>
 
 #include "moment.h"
 
-#define MOMENT_LATE_MS 8 /* ms; an act comes so long after its moment at most: one or two messages */
+#define MOMENT_DELAY_MAX_MS 8 /* ms; maximum delay of an act after its moment: the time of one or two messages */
 
-/* Something to be run once, at a moment or when it has been waited for too long. Kept as long as the run. */
-typedef struct Awaiting {
-    struct Awaiting *next;
+/* A call to be made once, at a moment or at a time limit. Kept until the run ends. */
+typedef struct MomentWait {
+    struct MomentWait *next;
     Moment moment;
     void (*run)(void *);
     void *arg;
-    bool raised; /* the moment has come, and its run is scheduled */
-    bool over;   /* it has run */
-} Awaiting;
+    bool raised;   /* the moment has occurred, and the call is scheduled */
+    bool finished; /* the call has been made */
+} MomentWait;
 
 static void run_once(void *arg)
 {
-    Awaiting *awaiting = arg;
-    if (awaiting->over)
+    MomentWait *wait = arg;
+    if (wait->finished)
         return;
-    awaiting->over = true;
-    awaiting->run(awaiting->arg);
+    wait->finished = true;
+    wait->run(wait->arg);
 }
 
-void moment_await(Explore *explore, Moment moment, int64_t most_ms, void (*run)(void *), void *arg)
+void moment_await(Explore *explore, Moment moment, int64_t max_wait_ms, void (*run)(void *), void *arg)
 {
-    const int64_t late_ms = sim_now_ms(explore->world) + most_ms;
+    const int64_t deadline_ms = sim_now_ms(explore->world) + max_wait_ms;
     if (moment == MOMENT_NONE) {
-        sim_at(explore->world, late_ms, run, arg);
+        sim_at(explore->world, deadline_ms, run, arg);
         return;
     }
-    Awaiting *awaiting = talloc_zero(explore, Awaiting);
-    *awaiting = (Awaiting){explore->awaiting, moment, run, arg, false, false};
-    explore->awaiting = awaiting;
-    sim_at(explore->world, late_ms, run_once, awaiting);
+    MomentWait *wait = talloc_zero(explore, MomentWait);
+    *wait = (MomentWait){explore->moment_waits, moment, run, arg, false, false};
+    explore->moment_waits = wait;
+    sim_at(explore->world, deadline_ms, run_once, wait);
 }
 
 void moment_raise(Explore *explore, Moment moment)
 {
-    for (Awaiting *awaiting = explore->awaiting; awaiting != NULL; awaiting = awaiting->next)
-        if (awaiting->moment == moment && !awaiting->raised && !awaiting->over) {
-            awaiting->raised = true;
-            sim_at(explore->world, sim_now_ms(explore->world) + (int64_t)(sim_random(explore->world) % MOMENT_LATE_MS),
-                   run_once, awaiting);
+    for (MomentWait *wait = explore->moment_waits; wait != NULL; wait = wait->next)
+        if (wait->moment == moment && !wait->raised && !wait->finished) {
+            wait->raised = true;
+            sim_at(explore->world,
+                   sim_now_ms(explore->world) + (int64_t)(sim_random(explore->world) % MOMENT_DELAY_MAX_MS), run_once,
+                   wait);
         }
 }
 
-void moment_observe(Explore *explore, Node *node, const ReplicationInspection *window)
+void moment_observe(Explore *explore, Node *node, const ReplicationInspection *inspection)
 {
-    if (window->phase == REPLICATION_ELECTING && node->phase_before != REPLICATION_ELECTING)
+    if (inspection->phase == REPLICATION_ELECTING && node->phase_before != REPLICATION_ELECTING)
         moment_raise(explore, MOMENT_ELECTION);
-    if (window->phase == REPLICATION_LEADING && node->phase_before != REPLICATION_LEADING)
+    if (inspection->phase == REPLICATION_LEADING && node->phase_before != REPLICATION_LEADING)
         moment_raise(explore, MOMENT_LEADS);
-    if (window->list_index > node->list_before && window->list_index > window->commit_index)
+    if (inspection->list_index > node->voters_index_before && inspection->list_index > inspection->commit_index)
         moment_raise(explore, MOMENT_LIST);
-    node->phase_before = window->phase;
+    node->phase_before = inspection->phase;
 }
--- a/packages/explore/src/moment.h
+++ b/packages/explore/src/moment.h
@@ -1,15 +1,16 @@
 #ifndef EXPLORE_SRC_MOMENT_H
 #define EXPLORE_SRC_MOMENT_H
 
-/* Steps of the protocol that acts of the adversary wait for (moment.c). */
+/* Moments: steps of the protocol at which acts of the adversary can begin or end (moment.c). */
 
 #include "state.h"
 
-/* Runs the function once: within MOMENT_LATE_MS of the next such step, or after most_ms. MOMENT_NONE: after most_ms. */
-void moment_await(Explore *explore, Moment moment, int64_t most_ms, void (*run)(void *), void *arg);
-/* Such a step has just happened. */
+/* Schedules one call of run(arg): up to MOMENT_DELAY_MAX_MS after the next such moment, or after max_wait_ms if the
+ * moment has not come by then. For MOMENT_NONE: after max_wait_ms. */
+void moment_await(Explore *explore, Moment moment, int64_t max_wait_ms, void (*run)(void *), void *arg);
+/* Signals that the moment has just occurred: schedules what waits for it. */
 void moment_raise(Explore *explore, Moment moment);
-/* Raises the moments of what a running node has just done. */
-void moment_observe(Explore *explore, Node *node, const ReplicationInspection *window);
+/* Detects the moments in the node's latest step from its inspection, and raises them. */
+void moment_observe(Explore *explore, Node *node, const ReplicationInspection *inspection);
 
 #endif
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -1,4 +1,4 @@
-/* Nodes: on each simulated machine a process with the replicated log (view), its members and its RPC endpoint. */
+/* Nodes: on each simulated machine, a process with the replicated log, its members and its RPC endpoint. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -11,17 +11,17 @@
 #include "report.h"
 
 #define NODE_DATA "journal"
-#define START_AGAIN_MS 500  /* ms; a process that could not open its disk is started again after this */
-#define LEAVE_GRACE_MS 3000 /* ms; one that shuts down is gone after this */
+#define RESTART_DELAY_MS 500 /* ms; a process that could not open its disk is restarted after this time */
+#define LEAVE_GRACE_MS 3000  /* ms; a node that shuts down is gone after this time */
 
-/* --- the state ------------------------------------------------------------------- */
+/* --- replicated state ---------------------------------------------------------------- */
 
 static void deliver(void *arg, const Record *change, ChangeResult *result)
 {
-    Chain *chain = arg;
+    StateHash *state_hash = arg;
     void *scratch = talloc_new(NULL);
-    const Item item = item_of(scratch, change);
-    chain->hash = chain_next(chain->hash, &item);
+    const Item item = item_from_record(scratch, change);
+    state_hash->hash = state_hash_next(state_hash->hash, &item);
     result->number = item.number;
     talloc_free(scratch);
 }
@@ -29,19 +29,19 @@
 static Bytes save(void *arg, void *mem)
 {
     Bytes saved = {0};
-    bytes_add(mem, &saved, arg, sizeof(Chain));
+    bytes_add(mem, &saved, arg, sizeof(StateHash));
     return saved;
 }
 
 static Status load(void *arg, Bytes saved)
 {
-    Chain *chain = arg;
-    *chain = (Chain){0};
+    StateHash *state_hash = arg;
+    *state_hash = (StateHash){0};
     if (saved.count == 0)
         return STATUS_OK;
-    if (saved.count != sizeof(Chain))
+    if (saved.count != sizeof(StateHash))
         return STATUS_BAD_FRAME;
-    memcpy(chain, saved.data, sizeof(Chain));
+    memcpy(state_hash, saved.data, sizeof(StateHash));
     return STATUS_OK;
 }
 
@@ -61,8 +61,8 @@
     return node;
 }
 
-/* The seeds are the oldest machines that are left. */
-static void seeds_of(const Explore *explore, const char *seeds[SEEDS])
+/* Fills in the seed addresses: the oldest machines that are left. */
+static void choose_seeds(const Explore *explore, const char *seeds[SEEDS])
 {
     int count = 0;
     for (int i = 0; i < explore->node_count && count < SEEDS; i++)
@@ -72,22 +72,23 @@
         seeds[i] = count > 0 ? seeds[0] : explore->nodes[0].listen;
 }
 
-static Status boot(Node *node, Loop *loop, Failure *failure)
+/* Opens the disk and starts the replicated log, the members and the RPC endpoint on the loop. */
+static Status boot_node(Node *node, Loop *loop, Failure *failure)
 {
     const Explore *explore = node->explore;
     const FoundingMode first = explore->plan->by_votes ? FOUNDING_BY_VOTES : FOUNDING_BY_THREE_DISKS;
     node->rpc = rpc_new(loop, loop, node->recorder);
-    const ReplicationSettings how = {.loop = loop,
-                                     .rpc = node->rpc,
-                                     .recorder = node->recorder,
-                                     .state = {&node->chain, deliver, save, load},
-                                     .losses = explore->plan->losses,
-                                     .founding_mode = node->founds ? first : FOUNDING_NEVER,
-                                     .disks_durable = true,
-                                     .voter_replacement_ms = explore->plan->voter_back_ms,
-                                     .snapshot_entries = explore->plan->snapshot};
-    node->founds = false;
-    node->replication = replication_new(loop, &how);
+    const ReplicationSettings settings = {.loop = loop,
+                                          .rpc = node->rpc,
+                                          .recorder = node->recorder,
+                                          .state = {&node->state_hash, deliver, save, load},
+                                          .losses = explore->plan->losses,
+                                          .founding_mode = node->may_found ? first : FOUNDING_NEVER,
+                                          .disks_durable = true,
+                                          .voter_replacement_ms = explore->plan->voter_replacement_ms,
+                                          .snapshot_entries = explore->plan->snapshot};
+    node->may_found = false;
+    node->replication = replication_new(loop, &settings);
     Status status = replication_open_disk(node->replication, NODE_DATA, node->name, failure);
     char address[ADDRESS_MAX];
     if (status == STATUS_OK)
@@ -106,7 +107,7 @@
         .empty = !replication_founded(node->replication),
     };
     const char *seeds[SEEDS];
-    seeds_of(explore, seeds);
+    choose_seeds(explore, seeds);
     node->members = members_new(loop, loop, node->rpc, node->recorder, &self, seeds);
     replication_start(node->replication, node->members);
     members_start(node->members);
@@ -120,29 +121,30 @@
     if (node->up)
         return;
     node_kill(node, false);
-    node_start_later(node, START_AGAIN_MS);
+    node_start_later(node, RESTART_DELAY_MS);
 }
 
 static void boot_main(void *arg)
 {
     Node *node = arg;
     Failure failure = {0};
-    const Status status = boot(node, sim_loop(node->explore->world, node->machine), &failure);
+    const Status status = boot_node(node, sim_loop(node->explore->world, node->machine), &failure);
     node->up = status == STATUS_OK;
-    if (status == STATUS_DISK_FAILED) /* the process ends and is started again */
+    if (status == STATUS_DISK_FAILED) /* The process ends and is started again. */
         sim_at(node->explore->world, sim_now_ms(node->explore->world), start_again, node);
     else if (!node->up)
-        explore_break(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
+        explore_report_break(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status),
+                             failure.text);
 }
 
 static void on_start(void *arg, Loop *loop)
 {
     Node *node = arg;
     node->up = false;
-    node->life++;
-    node->chain = (Chain){0};
-    node->promised_seen = node->commit_seen = node->held_term = node->led_term = node->list_seen = 0;
-    node->voters_before = node->list_before = 0;
+    node->start_count++;
+    node->state_hash = (StateHash){0};
+    node->promised_seen = node->commit_seen = node->last_lease_term = node->last_led_term = node->voters_index_seen = 0;
+    node->voter_count_before = node->voters_index_before = 0;
     node->phase_before = REPLICATION_FOLLOWING;
     loop_spawn(loop, "boot", boot_main, node);
 }
@@ -150,7 +152,7 @@
 void node_start(Node *node)
 {
     if (!node->gone && !sim_alive(node->explore->world, node->machine)) {
-        explore_say(node->explore, "%s starts", node->name);
+        explore_log(node->explore, "%s starts", node->name);
         sim_start(node->explore->world, node->machine, on_start, node);
     }
 }
@@ -165,9 +167,9 @@
     node_start_at(node, MOMENT_NONE, after_ms);
 }
 
-void node_start_at(Node *node, Moment moment, int64_t most_ms)
+void node_start_at(Node *node, Moment moment, int64_t max_wait_ms)
 {
-    moment_await(node->explore, moment, most_ms, start_later, node);
+    moment_await(node->explore, moment, max_wait_ms, start_later, node);
 }
 
 void node_kill(Node *node, bool power)
@@ -190,7 +192,7 @@
     node->gone = true;
 }
 
-static void left_now(void *arg)
+static void leave_expired(void *arg)
 {
     Node *node = arg;
     if (!node->gone)
@@ -217,7 +219,7 @@
     }
     node->leaving = true;
     loop_spawn(sim_loop(node->explore->world, node->machine), "leave", leave_main, node);
-    sim_at(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, left_now, node);
+    sim_at(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, leave_expired, node);
 }
 
 /* --- roles and losses --------------------------------------------------------------- */
@@ -235,7 +237,7 @@
     return NULL;
 }
 
-static bool has(const uint64_t *disks, size_t count, uint64_t disk)
+static bool contains(const uint64_t *disks, size_t count, uint64_t disk)
 {
     for (size_t i = 0; i < count; i++)
         if (disks[i] == disk)
@@ -245,63 +247,65 @@
 
 bool node_votes(const Explore *explore, const Node *node)
 {
-    return node->model != NULL && has(explore->history.voters, explore->history.voter_count, node->model->disk);
+    return node->model != NULL && contains(explore->history.voters, explore->history.voter_count, node->model->disk);
 }
 
-static size_t lost_of(const Explore *explore, const uint64_t *disks, size_t count)
+/* Number of the disks that are lost or unknown, or whose nodes are shutting down. */
+static size_t count_lost(const Explore *explore, const uint64_t *disks, size_t count)
 {
     size_t lost = 0;
     for (size_t i = 0; i < count; i++) {
-        const DiskModel *model = disk_of(explore, disks[i]);
+        const DiskModel *model = disk_model_find(explore, disks[i]);
         lost += model == NULL || model->lost;
     }
-    /* one that is shutting down counts as lost */
+    /* A node that is shutting down counts as lost. */
     for (int i = 0; i < explore->node_count; i++)
         lost += explore->nodes[i].leaving && !explore->nodes[i].gone && explore->nodes[i].model != NULL &&
-                has(disks, count, explore->nodes[i].model->disk);
+                contains(disks, count, explore->nodes[i].model->disk);
     return lost;
 }
 
-/* Whether the voters keep a majority without the node. */
-static bool bears(const Explore *explore, const Node *node, const uint64_t *disks, size_t count)
+/* Whether the voters in disks keep a majority without the node. */
+static bool keeps_majority(const Explore *explore, const Node *node, const uint64_t *disks, size_t count)
 {
-    if (!has(disks, count, node->model->disk))
+    if (!contains(disks, count, node->model->disk))
         return true;
-    return lost_of(explore, disks, count) + 1 <= count - lock_majority(count);
+    return count_lost(explore, disks, count) + 1 <= count - lock_majority(count);
 }
 
-/* Whether every list of voters that some disk holds beyond the committed one keeps a majority, also without the node
- * (null: as it is). A list counts from when it is in a log, whether its process runs or not: it is in the log of
- * whoever leads by that disk. */
-static bool ordered_lists_bear(const Explore *explore, const Node *node)
+/* Whether every configuration of voters that is on some disk beyond the committed one keeps a majority, without the
+ * node or, if node is null, as it is. A configuration counts once it is in a log, whether the node's process is
+ * running or not: any leader elected with that disk has it in its log. */
+static bool pending_voters_keep_majority(const Explore *explore, const Node *node)
 {
     for (size_t i = 0; i < explore->disk_count; i++) {
         const DiskModel *model = explore->disks[i];
-        const Item *list = model->lost ? NULL : disk_list_after(model, explore->history.list_index);
+        const Item *list = model->lost ? NULL : disk_voters_after(model, explore->history.list_index);
         if (list == NULL)
             continue;
-        const bool there =
-            lost_of(explore, list->voters, list->voter_count) <= list->voter_count - lock_majority(list->voter_count);
-        if (node != NULL ? !bears(explore, node, list->voters, list->voter_count) : !there)
+        const bool has_majority = count_lost(explore, list->voters, list->voter_count) <=
+                                  list->voter_count - lock_majority(list->voter_count);
+        if (node != NULL ? !keeps_majority(explore, node, list->voters, list->voter_count) : !has_majority)
             return false;
     }
     return true;
 }
 
-bool node_may_lose(const Explore *explore, const Node *node)
+bool node_may_be_lost(const Explore *explore, const Node *node)
 {
-    if (explore->plan->beyond || explore->plan->pace || node->model == NULL)
+    if (explore->plan->excess_losses || explore->plan->pace || node->model == NULL)
         return true;
-    if (!bears(explore, node, explore->history.voters, explore->history.voter_count) ||
-        !ordered_lists_bear(explore, node))
+    if (!keeps_majority(explore, node, explore->history.voters, explore->history.voter_count) ||
+        !pending_voters_keep_majority(explore, node))
         return false;
     for (int i = 0; i < explore->node_count; i++) {
         const Node *other = &explore->nodes[i];
         if (!other->up)
             continue;
-        ReplicationInspection window;
-        replication_inspect(other->replication, &window);
-        if (window.list_index > explore->history.list_index && !bears(explore, node, window.voters, window.voter_count))
+        ReplicationInspection inspection;
+        replication_inspect(other->replication, &inspection);
+        if (inspection.list_index > explore->history.list_index &&
+            !keeps_majority(explore, node, inspection.voters, inspection.voter_count))
             return false;
     }
     return true;
@@ -310,7 +314,7 @@
 size_t voters_left(const Explore *explore)
 {
     const History *history = &explore->history;
-    return history->voter_count - lost_of(explore, history->voters, history->voter_count);
+    return history->voter_count - count_lost(explore, history->voters, history->voter_count);
 }
 
 size_t disks_left(const Explore *explore)
@@ -321,7 +325,8 @@
     return count;
 }
 
-bool voters_there(const Explore *explore)
+bool voters_have_majority(const Explore *explore)
 {
-    return voters_left(explore) >= lock_majority(explore->history.voter_count) && ordered_lists_bear(explore, NULL);
+    return voters_left(explore) >= lock_majority(explore->history.voter_count) &&
+           pending_voters_keep_majority(explore, NULL);
 }
--- a/packages/explore/src/nodes.h
+++ b/packages/explore/src/nodes.h
@@ -1,39 +1,44 @@
 #ifndef EXPLORE_SRC_NODES_H
 #define EXPLORE_SRC_NODES_H
 
-/* Machines and their processes (nodes.c). */
+/* Simulated machines and the processes on them (nodes.c). */
 
 #include "state.h"
 
-/* A new machine, not started; null: there are NODES_MAX already. */
+/* Adds a machine without starting it. Returns null if there are NODES_MAX machines already. */
 Node *node_add(Explore *explore);
-/* No effect on one that runs or is gone for good; so for node_start_later. */
+/* Starts the node's process. Has no effect on a node that is running or permanently gone; the same holds for
+ * node_start_later and node_start_at. */
 void node_start(Node *node);
+/* Starts the node after after_ms. */
 void node_start_later(Node *node, int64_t after_ms);
-/* ... at the moment, or after most_ms. */
-void node_start_at(Node *node, Moment moment, int64_t most_ms);
-/* power: the machine loses power. */
+/* Starts the node at the moment, or after max_wait_ms if the moment has not come by then. */
+void node_start_at(Node *node, Moment moment, int64_t max_wait_ms);
+/* Stops the node's process. power: the machine loses power, so a write in progress may be torn; otherwise only the
+ * process is killed. */
 void node_kill(Node *node, bool power);
-/* Power off, and an empty disk. */
+/* Powers the machine off and empties its disk. */
 void node_wipe(Node *node);
-/* A graceful shutdown; then the machine is gone for good. */
+/* Shuts the node down gracefully; afterwards the machine is permanently gone. A node that is not running vanishes at
+ * once. */
 void node_leave(Node *node);
-/* The machine is gone for good at once. */
+/* Removes the machine permanently, without a shutdown. */
 void node_vanish(Node *node);
 
+/* Whether the node's process is running and leads the replicated log. */
 bool node_leads(const Node *node);
-/* Any node that leads; null: none. */
+/* Returns a node that leads, or null if there is none. */
 Node *node_leader(Explore *explore);
-/* Whether its disk is in the newest committed configuration of voters. */
+/* Whether the node's disk is in the newest committed configuration of voters. */
 bool node_votes(const Explore *explore, const Node *node);
-/* Whether its disk may be lost now: every configuration of voters keeps a majority without it, or the plan does not
- * ask for that. */
-bool node_may_lose(const Explore *explore, const Node *node);
-/* How many of the voters are there. */
+/* Whether the node's disk may be lost now: every configuration of voters, committed or pending, keeps a majority
+ * without it, or the plan does not require that. */
+bool node_may_be_lost(const Explore *explore, const Node *node);
+/* Number of voters in the newest committed configuration whose disks are neither lost nor leaving. */
 size_t voters_left(const Explore *explore);
-/* How many disks there are. */
+/* Number of disks that are neither lost nor leaving. */
 size_t disks_left(const Explore *explore);
-/* Whether a majority of the voters is there. */
-bool voters_there(const Explore *explore);
+/* Whether the committed configuration and every pending one have a majority of their voters left. */
+bool voters_have_majority(const Explore *explore);
 
 #endif
--- a/packages/explore/src/report.c
+++ b/packages/explore/src/report.c
@@ -1,13 +1,13 @@
-/* What a run reports: the first rule that broke, and what happens when it is loud. */
+/* Reporting: records the first broken rule and prints the log output of verbose mode. */
 #include "report.h"
 
 #include <inttypes.h>
 #include <stdarg.h>
 #include <stdio.h>
 
-void explore_say(const Explore *explore, const char *format, ...)
+void explore_log(const Explore *explore, const char *format, ...)
 {
-    if (!explore->loud)
+    if (!explore->verbose)
         return;
     va_list args;
     va_start(args, format);
@@ -27,7 +27,7 @@
     return TEXTS[rule];
 }
 
-void explore_break(Explore *explore, Rule rule, const char *format, ...)
+void explore_report_break(Explore *explore, Rule rule, const char *format, ...)
 {
     ExploreResult *result = explore->result;
     if (result->rule != RULE_NONE)
@@ -36,7 +36,7 @@
     result->at_ms = sim_now_ms(explore->world) - explore->start_ms;
     va_list args;
     va_start(args, format);
-    vsnprintf(result->why, sizeof(result->why), format, args);
+    vsnprintf(result->detail, sizeof(result->detail), format, args);
     va_end(args);
-    explore_say(explore, "BROKE %s: %s", rule_text(rule), result->why);
+    explore_log(explore, "BROKE %s: %s", rule_text(rule), result->detail);
 }
--- a/packages/explore/src/state.h
+++ b/packages/explore/src/state.h
@@ -1,26 +1,29 @@
 #ifndef EXPLORE_SRC_STATE_H
 #define EXPLORE_SRC_STATE_H
 
-/* The state of one run, shared by all files of this package. Layers, each calling only those before it: report (breaks
- * and output), items and moment (steps that acts wait for); disks (what disks hold); nodes; history (what is committed)
- * and client; check (the rules) and act (the adversary); run. draw and shrink stand apart: they make plans. */
+/* The state of one run, shared by all files of this package. Layers, each calling only those before it: report
+ * (broken rules and log output), items and moment (steps of the protocol that acts wait for); disks (contents of the
+ * disks); nodes; history (committed entries) and client; check (the rules) and act (the adversary); run. draw and
+ * shrink are independent of these layers: they produce plans. */
 
 #include "explore/explore.h"
 #include "sim/world.h"
 #include "replication/inspection.h"
 
-#define NODES_MAX 24   /* count; machines in one run */
-#define DISKS_MAX 96   /* count; disks that ever existed, wiped ones included */
-#define LIVE_MS 12000  /* ms; after a burst of failures service must be back within about 12 s */
-#define WHOLE_MS 30000 /* ms; ... and as many voters as are wanted, where there are disks for them */
+#define NODES_MAX 24 /* count; machines in one run at most */
+#define DISKS_MAX 96 /* count; disks in one run at most, wiped ones included */
+#define LIVENESS_LIMIT_MS \
+    12000 /* ms; required recovery time: after a burst of failures, a change must be committed within about 12 s */
+#define VOTERS_COMPLETE_LIMIT_MS \
+    30000 /* ms; by then the configured number of voters must be present, if there are enough disks */
 
-/* One change of the history, or an entry of a disk. */
+/* An entry of the history or of a disk's log. */
 typedef struct Item {
     uint64_t term;
-    uint64_t hash;
-    uint64_t chain;   /* of the state after it; history only */
-    uint64_t number;  /* of a client's change; 0: the replicated log's own entry */
-    uint64_t *voters; /* the configuration of voters that it holds; null: none */
+    uint64_t hash;       /* of the term, the kind of change and the payload */
+    uint64_t state_hash; /* State hash after the entry; set in the history only */
+    uint64_t number;     /* Number of the client's change; 0: an entry of the replicated log itself */
+    uint64_t *voters;    /* The configuration of voters in the entry; null: none */
     size_t voter_count;
 } Item;
 
@@ -29,86 +32,91 @@
     size_t count, capacity;
 } Items;
 
-/* What a disk holds, read from the blocks that were synced.
- * Invariant: entry i (from 0) has index base_index + 1 + i. */
+/* The contents of a disk, read from the synced blocks of its journal.
+ *
+ * Invariant: entry i (counted from 0) has index base_index + 1 + i. */
 typedef struct DiskModel {
     int machine;
-    bool lost; /* wiped, or its machine is gone for good */
-    uint64_t disk, cluster;
-    uint64_t promised;
-    uint64_t base_index, base_term;
+    bool lost;                      /* the disk was wiped, or its machine is permanently gone */
+    uint64_t disk, cluster;         /* ids; 0: not yet known */
+    uint64_t promised;              /* highest term that the disk has promised */
+    uint64_t base_index, base_term; /* last entry covered by the snapshot; 0: no snapshot */
     Items entries;
 } DiskModel;
 
-/* All that has been committed, and the newest committed configuration of voters.
- * Invariant: the item of index i is list[i - 1]. */
+/* All committed entries, and the newest committed configuration of voters.
+ *
+ * Invariant: the entry of index i is list[i - 1]. */
 typedef struct History {
     Items items;
-    uint64_t list_index;
+    uint64_t list_index; /* index of the entry that holds the voters */
     uint64_t voters[REPLICATION_VOTERS_MAX];
     size_t voter_count;
 } History;
 
-/* A client's change and what became of it. */
-typedef struct Order {
+/* A change submitted by a client, and its outcome. */
+typedef struct ClientChange {
     bool refused, acknowledged;
-    uint64_t index; /* where it was committed; 0: it was not */
-} Order;
+    uint64_t index; /* Index at which the change was committed; 0: not committed */
+} ClientChange;
 
-/* The replicated state: a hash over all changes. */
-typedef struct Chain {
+/* The replicated state: a hash over all delivered changes. */
+typedef struct StateHash {
     uint64_t hash;
-} Chain;
+} StateHash;
 
-/* A machine with its process. */
+/* A machine, its disk and its current process. */
 typedef struct Node {
     struct Explore *explore;
     int machine;
     const char *name, *listen;
     Recorder *recorder;
-    bool founds; /* its first start may found the cluster */
-    bool leaving, gone;
-    DiskModel *model; /* of its disk; null: the disk is new */
-    /* of its present process */
-    bool up;
-    uint64_t life;
+    bool may_found;     /* The node's first start may found the cluster */
+    bool leaving, gone; /* shutting down gracefully; permanently gone */
+    DiskModel *model;   /* model of its disk; null: nothing has been synced to the disk yet */
+    /* State of the current process; reset at each start. */
+    bool up;              /* the process has booted and its disk is open */
+    uint64_t start_count; /* number of process starts */
     Rpc *rpc;
     Replication *replication;
     Members *members;
-    Chain chain;
-    uint64_t promised_seen, commit_seen, held_term, led_term, list_seen;
-    size_t voters_before; /* in the configuration in force after the previous step */
-    uint64_t list_before; /* its index */
+    StateHash state_hash;
+    /* Values that the checks saw in the previous step; terms in which the node last won the lease and last led;
+     * index of the configuration of voters that was last checked on a leader. */
+    uint64_t promised_seen, commit_seen, last_lease_term, last_led_term, voters_index_seen;
+    size_t voter_count_before;    /* Number of voters in the configuration in force after the previous step */
+    uint64_t voters_index_before; /* index of that configuration */
+    /* Phase after the previous step. */
     ReplicationPhase phase_before;
 } Node;
 
-/* Who has led in which term. */
-typedef struct Lead {
+/* The disk that led in a term. */
+typedef struct TermLeader {
     uint64_t term, disk;
-} Lead;
+} TermLeader;
 
 typedef struct Explore {
     const ExplorePlan *plan;
     ExploreResult *result;
     SimWorld *world;
-    bool loud;
-    int64_t start_ms;          /* when the adversary began */
-    bool adversary_over;       /* what still waits for a moment is done no more */
-    struct Awaiting *awaiting; /* what waits for a moment */
+    bool verbose;
+    int64_t start_ms;                /* Time at which the adversary started */
+    bool adversary_over;             /* Acts that still wait for a moment are not performed */
+    struct MomentWait *moment_waits; /* calls that wait for a moment, newest first */
     Node nodes[NODES_MAX];
     int node_count;
     DiskModel *disks[DISKS_MAX];
     size_t disk_count;
     History history;
-    uint64_t cluster;
-    Order *orders; /* by number - 1 */
-    size_t order_count, order_capacity;
-    uint64_t *acks; /* numbers acknowledged in this step */
+    uint64_t cluster;             /* id of the cluster that was founded first; 0: none yet */
+    ClientChange *client_changes; /* indexed by the change's number - 1 */
+    size_t client_change_count, client_change_capacity;
+    uint64_t *acks; /* numbers of the changes acknowledged in this step */
     size_t ack_count, ack_capacity;
-    Lead *leads;
-    size_t lead_count, lead_capacity;
-    bool lost_seen; /* pace: a disk has been lost */
-    uint64_t acked_at_loss;
+    TermLeader *term_leaders;
+    size_t term_leader_count, term_leader_capacity;
+    bool lost_seen;         /* pace plans only: a disk has been lost */
+    uint64_t acked_at_loss; /* pace plans only: changes acknowledged before the last loss */
 } Explore;
 
 #endif
--- a/packages/explore/test/explore.c
+++ b/packages/explore/test/explore.c
@@ -1,88 +1,89 @@
-/* A fixed share of seeds. */
+/* Runs a fixed set of seeds with each kind of plan. */
 #include "plays.h"
 
 #if defined(__SANITIZE_ADDRESS__)
-#define SHARE 6 /* seeds of a case; some ten times slower there */
+#define SEEDS_PER_CASE \
+    6 /* Seeds in each test case; fewer here, since the address sanitizer makes runs about ten times slower */
 #else
-#define SHARE 60
+#define SEEDS_PER_CASE 60
 #endif
 
-static void seeds_from(uint64_t first, void (*draw)(uint64_t seed, ExplorePlan *plan))
+static void run_seeds(uint64_t first, void (*generate)(uint64_t seed, ExplorePlan *plan))
 {
-    ExploreResult sum = {0};
-    unsigned lived = 0;
-    for (uint64_t seed = first; seed < first + SHARE; seed++) {
+    ExploreResult totals = {0};
+    unsigned liveness_checked = 0;
+    for (uint64_t seed = first; seed < first + SEEDS_PER_CASE; seed++) {
         ExplorePlan plan;
-        draw(seed, &plan);
-        const ExploreResult result = runs(&plan);
-        sum.acknowledged += result.acknowledged;
-        sum.leads += result.leads;
-        sum.voter_changes += result.voter_changes;
-        lived += result.lived;
+        generate(seed, &plan);
+        const ExploreResult result = run_passing(&plan);
+        totals.acknowledged += result.acknowledged;
+        totals.terms_led += result.terms_led;
+        totals.voter_changes += result.voter_changes;
+        liveness_checked += result.liveness_checked;
     }
-    /* a share in which nothing happens proves nothing */
-    assert_true(sum.acknowledged > 50 * SHARE);
-    assert_true(sum.leads > SHARE);
-    assert_true(sum.voter_changes > SHARE / 2);
-    assert_true(lived > SHARE / 2);
+    /* The runs must contain enough activity for the checks to mean something. */
+    assert_true(totals.acknowledged > 50 * SEEDS_PER_CASE);
+    assert_true(totals.terms_led > SEEDS_PER_CASE);
+    assert_true(totals.voter_changes > SEEDS_PER_CASE / 2);
+    assert_true(liveness_checked > SEEDS_PER_CASE / 2);
 }
 
-/* Each is a case of its own, so that ctest runs them side by side. */
-#define SEEDS_FROM(name, first, draw) \
-    static void name(void **state)    \
-    {                                 \
-        (void)state;                  \
-        seeds_from(first, draw);      \
+/* Each range is a separate test case, so that ctest can run them in parallel. */
+#define SEEDS_FROM(name, first, generate) \
+    static void name(void **state)        \
+    {                                     \
+        (void)state;                      \
+        run_seeds(first, generate);       \
     }
 
-SEEDS_FROM(seeds1, 1, explore_plan_of)
-SEEDS_FROM(seeds101, 101, explore_plan_of)
-SEEDS_FROM(seeds201, 201, explore_plan_of)
-SEEDS_FROM(seeds401, 401, explore_plan_of)
-SEEDS_FROM(seeds501, 501, explore_plan_of)
-SEEDS_FROM(precise1, 1, explore_precise_of)
-SEEDS_FROM(precise101, 101, explore_precise_of)
-SEEDS_FROM(precise201, 201, explore_precise_of)
+SEEDS_FROM(seeds1, 1, explore_plan_random)
+SEEDS_FROM(seeds101, 101, explore_plan_random)
+SEEDS_FROM(seeds201, 201, explore_plan_random)
+SEEDS_FROM(seeds401, 401, explore_plan_random)
+SEEDS_FROM(seeds501, 501, explore_plan_random)
+SEEDS_FROM(precise1, 1, explore_plan_precise)
+SEEDS_FROM(precise101, 101, explore_plan_precise)
+SEEDS_FROM(precise201, 201, explore_plan_precise)
 
-/* A log for two losses whose first voters have just been found: nothing may be acknowledged on two disks. Seeds in
- * which that happened. */
+/* A log that tolerates two losses acknowledged changes on only two disks just after its initial voters had been
+ * found. The seeds are ones in which this happened. */
 static void founded_for_two_losses(void **state)
 {
     (void)state;
     static const uint64_t SEEDS[] = {658, 921, 1411, 2073, 2211, 2713};
     for (size_t i = 0; i < sizeof(SEEDS) / sizeof(SEEDS[0]); i++) {
         ExplorePlan plan;
-        explore_plan_of(SEEDS[i], &plan);
+        explore_plan_random(SEEDS[i], &plan);
         assert_int_equal(plan.losses, 2);
-        const ExploreResult result = runs(&plan);
+        const ExploreResult result = run_passing(&plan);
         assert_true(result.acknowledged > 20);
     }
 }
 
-/* Ten losses one after another, each once the last must have been repaired. */
+/* Ten losses one after another, each after the previous one must have been repaired. */
 static void pace(void **state)
 {
     (void)state;
-    for (uint64_t seed = 1; seed <= (SHARE + 5) / 6; seed++) {
+    for (uint64_t seed = 1; seed <= (SEEDS_PER_CASE + 5) / 6; seed++) {
         ExplorePlan plan;
-        explore_pace_of(seed, &plan);
-        const ExploreResult result = runs(&plan);
-        assert_true(result.lived);
+        explore_plan_pace(seed, &plan);
+        const ExploreResult result = run_passing(&plan);
+        assert_true(result.liveness_checked);
         assert_true(result.voter_changes >= 10);
     }
 }
 
-/* The same seed gives the same run, and leaving an act out leaves the others as they were. */
+/* The same seed gives the same plan and the same run. */
 static void repeats(void **state)
 {
     (void)state;
-    ExplorePlan plan, again;
+    ExplorePlan plan, same_plan;
     ExploreResult first, second;
-    explore_plan_of(7, &plan);
-    explore_plan_of(7, &again);
-    assert_memory_equal(&plan, &again, sizeof(plan));
+    explore_plan_random(7, &plan);
+    explore_plan_random(7, &same_plan);
+    assert_memory_equal(&plan, &same_plan, sizeof(plan));
     explore_run(&plan, false, &first);
-    explore_run(&again, false, &second);
+    explore_run(&same_plan, false, &second);
     assert_int_equal(first.steps, second.steps);
     assert_int_equal(first.acknowledged, second.acknowledged);
 }
--- a/packages/explore/test/members.c
+++ b/packages/explore/test/members.c
@@ -1,40 +1,40 @@
-/* Changes of membership under timelines that broke a rule once, as the explorer printed them. */
+/* Plans with changes of membership that once broke a rule, as the explorer printed them. */
 #include "plays.h"
 
-/* A list of voters is ordered on the word of members that have just gone: a disk is wiped while
- * another voter is out, and again while one stands still. Without asking them once more it could
- * never be committed. */
+/* Guards against a configuration of voters that is ordered on the acknowledgement of members that have just failed,
+ * and so can never be committed. A disk is wiped while another voter is down, and in the second plan while another
+ * voter is frozen. The members must be asked again before the configuration is ordered. */
 static void just_gone(void **state)
 {
     (void)state;
-    plays((ExplorePlan){.seed = 26,
-                        .world = 26,
-                        .losses = 1,
-                        .spares = 2,
-                        .by_votes = true,
-                        .snapshot = 80,
-                        .voter_back_ms = 6000,
-                        .length_ms = 39194,
-                        .acts = {
-                            {1128, ACT_POWER, WHO_LEADER, 22, 3888, 0, 0, 0},
-                            {3595, ACT_WIPE, WHO_VOTER, 5, 3565, 0, 0, 0},
-                        }});
-    plays((ExplorePlan){.seed = 174,
-                        .world = 47688,
-                        .losses = 1,
-                        .spares = 3,
-                        .snapshot = 5,
-                        .voter_back_ms = 3000,
-                        .length_ms = 31316,
-                        .acts = {
-                            {27893, ACT_FREEZE, WHO_VOTER, 19, 2912, 0, 0, 0},
-                            {29723, ACT_WIPE, WHO_VOTER, 8, 142, 0, 0, 0},
-                        }});
+    run_rows_passing((ExplorePlan){.seed = 26,
+                                   .world = 26,
+                                   .losses = 1,
+                                   .spares = 2,
+                                   .by_votes = true,
+                                   .snapshot = 80,
+                                   .voter_replacement_ms = 6000,
+                                   .length_ms = 39194,
+                                   .acts = {
+                                       {1128, ACT_POWER, WHO_LEADER, 22, 3888, 0, 0, 0},
+                                       {3595, ACT_WIPE, WHO_VOTER, 5, 3565, 0, 0, 0},
+                                   }});
+    run_rows_passing((ExplorePlan){.seed = 174,
+                                   .world = 47688,
+                                   .losses = 1,
+                                   .spares = 3,
+                                   .snapshot = 5,
+                                   .voter_replacement_ms = 3000,
+                                   .length_ms = 31316,
+                                   .acts = {
+                                       {27893, ACT_FREEZE, WHO_VOTER, 19, 2912, 0, 0, 0},
+                                       {29723, ACT_WIPE, WHO_VOTER, 8, 142, 0, 0, 0},
+                                   }});
 }
 
-/* Two of a list of four are told to leave for good while the third is down, and the list is in the log of that third
- * one alone: with one loss to bear that is one too many, so the adversary must not do the second (docs/
- * control-membership.md, "What can't be better"). */
+/* Two of four voters are asked to leave permanently while the third is down, and the pending configuration of four
+ * is in that third voter's log alone. With one tolerated loss that is one too many, so the adversary must not
+ * perform the second (docs/control-membership.md, "What can't be better"). */
 static void ordered_list_counts(void **state)
 {
     (void)state;
@@ -55,52 +55,54 @@
                                   {1365, ACT_DELAY, WHO_ANY, 2, 3280, 242, 0, 0},
                                   {1625, ACT_LEAVE, WHO_LEARNER, 18, 0, 0, 0, 0},
                               }};
-    const ExploreResult result = runs(&plan);
-    assert_int_equal(result.done[ACT_LEAVE], 1);
-    assert_true(result.lived);
+    const ExploreResult result = run_passing(&plan);
+    assert_int_equal(result.performed[ACT_LEAVE], 1);
+    assert_true(result.liveness_checked);
 }
 
-/* A voter that is down is removed from the list, and has promised itself a higher term when it hears of nobody. As a
- * learner it refused all that the leader sent it, so it never got the vote of the one that was lost next. */
+/* Guards against a learner that refuses all entries. A voter that is down is removed from the configuration, and on
+ * its return promises itself a higher term while it hears from nobody. As a learner it refused everything that the
+ * leader sent, so it never received the vote of the voter that was lost next. */
 static void removed_with_a_higher_promise(void **state)
 {
     (void)state;
-    plays((ExplorePlan){.seed = 2511,
-                        .world = 34187,
-                        .losses = 2,
-                        .spares = 1,
-                        .by_votes = true,
-                        .snapshot = 5,
-                        .voter_back_ms = 3000,
-                        .length_ms = 23677,
-                        .acts = {
-                            {6422, ACT_FAR, WHO_LEADER, 7, 3635, 658, MOMENT_NONE, MOMENT_ELECTION},
-                            {9005, ACT_POWER, WHO_VOTER, 5, 2525, 0, MOMENT_NONE, MOMENT_NONE},
-                            {10310, ACT_STEP_DOWN, WHO_LEADER, 0, 197, 0, MOMENT_NONE, MOMENT_NONE},
-                            {10721, ACT_VANISH, WHO_VOTER, 4, 0, 0, MOMENT_LIST, MOMENT_NONE},
-                            {11276, ACT_POWER, WHO_VOTER, 19, 31, 0, MOMENT_NONE, MOMENT_NONE},
-                        }});
+    run_rows_passing((ExplorePlan){.seed = 2511,
+                                   .world = 34187,
+                                   .losses = 2,
+                                   .spares = 1,
+                                   .by_votes = true,
+                                   .snapshot = 5,
+                                   .voter_replacement_ms = 3000,
+                                   .length_ms = 23677,
+                                   .acts = {
+                                       {6422, ACT_FAR, WHO_LEADER, 7, 3635, 658, MOMENT_NONE, MOMENT_ELECTION},
+                                       {9005, ACT_POWER, WHO_VOTER, 5, 2525, 0, MOMENT_NONE, MOMENT_NONE},
+                                       {10310, ACT_STEP_DOWN, WHO_LEADER, 0, 197, 0, MOMENT_NONE, MOMENT_NONE},
+                                       {10721, ACT_VANISH, WHO_VOTER, 4, 0, 0, MOMENT_LIST, MOMENT_NONE},
+                                       {11276, ACT_POWER, WHO_VOTER, 19, 31, 0, MOMENT_NONE, MOMENT_NONE},
+                                   }});
 }
 
-/* Of five voters two disks are lost, as many as are borne, while a third is without power. That one was removed for its
- * silence before its successor was added: of the list of four two were gone for good, and its return helped nobody. */
+/* Two of five voters' disks are lost, as many as are tolerated, while a third voter is powered off. That voter was
+ * removed for its silence before its replacement was added: two of the remaining configuration of four were
+ * permanently gone, and the return of the third did not restore a majority. */
 static void silent_voter_returns_after_two_lost_disks(void **state)
 {
     (void)state;
-    plays((ExplorePlan){.seed = 2835,
-                        .world = 97863,
-                        .losses = 2,
-                        .spares = 1,
-                        .snapshot = 5,
-                        .voter_back_ms = 6000,
-                        .length_ms = 24097,
-                        .acts = {
-                            {8661, ACT_POWER, WHO_ANY, 20, 5306, 0, MOMENT_PROMISE, MOMENT_NONE},
-                            {9758, ACT_WIPE, WHO_ANY, 15, 3926, 0, MOMENT_ELECTION, MOMENT_NONE},
-                            {11248, ACT_FREEZE, WHO_VOTER, 4, 2677, 0, MOMENT_ELECTION, MOMENT_NONE},
-                            {12705, ACT_LEAVE, WHO_VOTER, 7, 0, 0, MOMENT_NONE, MOMENT_NONE},
-                            {13395, ACT_POWER, WHO_VOTER, 15, 1, 0, MOMENT_LIST, MOMENT_PROMISE},
-                        }});
+    run_rows_passing((ExplorePlan){.seed = 2835,
+                                   .world = 97863,
+                                   .losses = 2,
+                                   .spares = 1,
+                                   .snapshot = 5,
+                                   .voter_replacement_ms = 6000,
+                                   .length_ms = 24097,
+                                   .acts = {
+                                       {8661, ACT_POWER, WHO_ANY, 20, 5306, 0, MOMENT_PROMISE, MOMENT_NONE},
+                                       {9758, ACT_WIPE, WHO_ANY, 15, 3926, 0, MOMENT_ELECTION, MOMENT_NONE},
+                                       {11248, ACT_FREEZE, WHO_VOTER, 4, 2677, 0, MOMENT_ELECTION, MOMENT_NONE},
+                                       {12705, ACT_LEAVE, WHO_VOTER, 7, 0, 0, MOMENT_NONE, MOMENT_NONE},
+                                       {13395, ACT_POWER, WHO_VOTER, 15, 1, 0, MOMENT_LIST, MOMENT_PROMISE},
+                                   }});
 }
 
 int main(void)
--- a/packages/explore/tool/explore.c
+++ b/packages/explore/tool/explore.c
@@ -1,10 +1,10 @@
-/* Explores the replicated log by seeds, every rule checked at each step.
+/* Explores the replicated log with plans generated from seeds; every rule is checked after each step.
  *
  *     spancart-explore --seeds A..B [--pace | --precise] [--no-shrink]
  *     spancart-explore --seed N [--pace | --precise] [--world N] [--skip N,N,...] [--verbose]
  *
- * Prints each seed that broke a rule, with the fewest acts that still break it and
- * the command that plays just these again. The same seed gives the same run. */
+ * Prints each seed that broke a rule, the minimal set of acts that still breaks it, and the command that runs just
+ * these acts again. The same seed gives the same run. */
 #include <inttypes.h>
 #include <popt.h>
 #include <stdio.h>
@@ -14,11 +14,11 @@
 
 #include "explore/explore.h"
 
-typedef struct Sum {
-    uint64_t seeds, broken, steps, committed, acknowledged, leads, voter_changes, lived;
-    uint64_t done[ACT_KINDS];
-    int64_t worst_ms, whole_ms;
-} Sum;
+typedef struct Totals {
+    uint64_t seeds, broken, steps, committed, acknowledged, terms_led, voter_changes, liveness_checked;
+    uint64_t performed[ACT_KINDS];               /* acts that found a node, by kind */
+    int64_t max_recovery_ms, voters_complete_ms; /* maxima of recovery_ms and voters_complete_ms */
+} Totals;
 
 static double cpu_s(void)
 {
@@ -27,25 +27,25 @@
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-static void sum_add(Sum *sum, const ExploreResult *result)
+static void totals_add(Totals *totals, const ExploreResult *result)
 {
-    sum->seeds++;
-    sum->broken += result->rule != RULE_NONE;
-    sum->steps += result->steps;
-    sum->committed += result->committed;
-    sum->acknowledged += result->acknowledged;
-    sum->leads += result->leads;
-    sum->voter_changes += result->voter_changes;
-    sum->lived += result->lived;
+    totals->seeds++;
+    totals->broken += result->rule != RULE_NONE;
+    totals->steps += result->steps;
+    totals->committed += result->committed;
+    totals->acknowledged += result->acknowledged;
+    totals->terms_led += result->terms_led;
+    totals->voter_changes += result->voter_changes;
+    totals->liveness_checked += result->liveness_checked;
     for (int i = 0; i < ACT_KINDS; i++)
-        sum->done[i] += result->done[i];
-    if (result->live_ms > sum->worst_ms)
-        sum->worst_ms = result->live_ms;
-    if (result->whole_ms > sum->whole_ms)
-        sum->whole_ms = result->whole_ms;
+        totals->performed[i] += result->performed[i];
+    if (result->recovery_ms > totals->max_recovery_ms)
+        totals->max_recovery_ms = result->recovery_ms;
+    if (result->voters_complete_ms > totals->voters_complete_ms)
+        totals->voters_complete_ms = result->voters_complete_ms;
 }
 
-static void sum_print(const Sum *sum, double took_s)
+static void totals_print(const Totals *totals, double elapsed_s)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -54,16 +54,18 @@
     };
     printf("%" PRIu64 " seeds, %" PRIu64 " broke, %" PRIu64 " steps (%.0f a second of processor time), %" PRIu64
            " committed, %" PRIu64 " acknowledged, %" PRIu64 " leads, %" PRIu64 " changes of voters, %" PRIu64
-           " lived, worst %" PRId64 " ms, whole after %" PRId64 " ms\n",
-           sum->seeds, sum->broken, sum->steps, (double)sum->steps / took_s, sum->committed, sum->acknowledged,
-           sum->leads, sum->voter_changes, sum->lived, sum->worst_ms, sum->whole_ms);
+           " checked for liveness, slowest recovery %" PRId64 " ms, voters complete after %" PRId64 " ms\n",
+           totals->seeds, totals->broken, totals->steps, (double)totals->steps / elapsed_s, totals->committed,
+           totals->acknowledged, totals->terms_led, totals->voter_changes, totals->liveness_checked,
+           totals->max_recovery_ms, totals->voters_complete_ms);
     for (int i = 0; i < ACT_KINDS; i++)
-        printf("%s%s %" PRIu64, i > 0 ? ", " : "acts: ", WORDS[i], sum->done[i]);
+        printf("%s%s %" PRIu64, i > 0 ? ", " : "acts: ", WORDS[i], totals->performed[i]);
     printf("\n");
 }
 
 /* --- arguments ------------------------------------------------------------------- */
 
+/* Parses "A..B" or "A" (both ends are then A). */
 static bool range_read(const char *text, uint64_t *first, uint64_t *last)
 {
     char *end;
@@ -79,6 +81,7 @@
     return end != from && *end == '\0' && *first <= *last;
 }
 
+/* Marks the acts in a comma-separated list of numbers as skipped; false: the list is malformed. */
 static bool skip_read(ExplorePlan *plan, const char *text)
 {
     while (*text != '\0') {
@@ -92,10 +95,10 @@
     return true;
 }
 
-static void notify(const ExplorePlan *plan, const ExploreResult *result)
+static void print_break(const ExplorePlan *plan, const ExploreResult *result)
 {
     printf("seed %" PRIu64 " BROKE %s: at %" PRId64 " ms, %s\n", plan->seed, rule_text(result->rule), result->at_ms,
-           result->why);
+           result->detail);
 }
 
 static void print_shrunk(const ExplorePlan *plan)
@@ -115,74 +118,74 @@
     printf("\n");
 }
 
-typedef struct Wish {
+typedef struct ExploreSettings {
     uint64_t first, last;
     const char *skip;
-    uint64_t world; /* 0: the seed's */
-    void (*draw)(uint64_t seed, ExplorePlan *plan);
-    bool shrink, loud;
-} Wish;
+    uint64_t world; /* 0: the same as the plan's seed */
+    void (*generate)(uint64_t seed, ExplorePlan *plan);
+    bool shrink, verbose;
+} ExploreSettings;
 
-static int explore_all(const Wish *wish)
+static int explore_all(const ExploreSettings *settings)
 {
-    Sum sum = {0};
+    Totals totals = {0};
     const double began_s = cpu_s();
-    for (uint64_t seed = wish->first; seed <= wish->last; seed++) {
+    for (uint64_t seed = settings->first; seed <= settings->last; seed++) {
         ExplorePlan plan;
         ExploreResult result;
-        wish->draw(seed, &plan);
-        if (wish->world != 0)
-            plan.world = wish->world;
-        if (wish->skip != NULL && !skip_read(&plan, wish->skip)) {
-            fprintf(stderr, "--skip takes numbers of acts, like 0,3,4\n");
+        settings->generate(seed, &plan);
+        if (settings->world != 0)
+            plan.world = settings->world;
+        if (settings->skip != NULL && !skip_read(&plan, settings->skip)) {
+            fprintf(stderr, "--skip takes a comma-separated list of act numbers, such as 0,3,4\n");
             return 2;
         }
-        explore_run(&plan, wish->loud, &result);
-        sum_add(&sum, &result);
+        explore_run(&plan, settings->verbose, &result);
+        totals_add(&totals, &result);
         if (result.rule != RULE_NONE) {
-            notify(&plan, &result);
-            if (wish->shrink && explore_shrink(&plan, &result)) {
-                printf("shrunk: at %" PRId64 " ms, %s\n", result.at_ms, result.why);
+            print_break(&plan, &result);
+            if (settings->shrink && explore_shrink(&plan, &result)) {
+                printf("shrunk: at %" PRId64 " ms, %s\n", result.at_ms, result.detail);
                 print_shrunk(&plan);
             }
         }
         fflush(stdout);
     }
-    sum_print(&sum, cpu_s() - began_s);
-    return sum.broken > 0;
+    totals_print(&totals, cpu_s() - began_s);
+    return totals.broken > 0;
 }
 
 int main(int argc, const char **argv)
 {
     char *seeds = NULL, *seed = NULL, *skip = NULL;
-    int pace = 0, precise = 0, plain = 0, loud = 0;
+    int pace = 0, precise = 0, no_shrink = 0, verbose = 0;
     long long world = 0;
     const struct poptOption options[] = {
         {"seeds", 0, POPT_ARG_STRING, &seeds, 0, "the seeds to explore", "A..B"},
-        {"seed", 0, POPT_ARG_STRING, &seed, 0, "one seed, not shrunk", "N"},
-        {"world", 0, POPT_ARG_LONGLONG, &world, 0, "the world's numbers, when they are not the seed's", "N"},
+        {"seed", 0, POPT_ARG_STRING, &seed, 0, "the seed to run, without shrinking", "N"},
+        {"world", 0, POPT_ARG_LONGLONG, &world, 0, "seed of the simulated world, if not the plan's seed", "N"},
         {"skip", 0, POPT_ARG_STRING, &skip, 0, "acts to leave out", "N,N,..."},
-        {"pace", 0, POPT_ARG_NONE, &pace, 0, "losses one after another and nothing else", NULL},
-        {"precise", 0, POPT_ARG_NONE, &precise, 0, "acts begin and end at steps of the protocol", NULL},
-        {"no-shrink", 0, POPT_ARG_NONE, &plain, 0, "print a break as it is", NULL},
-        {"verbose", 'v', POPT_ARG_NONE, &loud, 0, "print what happens", NULL},
+        {"pace", 0, POPT_ARG_NONE, &pace, 0, "generate only disk losses, one after another", NULL},
+        {"precise", 0, POPT_ARG_NONE, &precise, 0, "let acts begin and end at steps of the protocol", NULL},
+        {"no-shrink", 0, POPT_ARG_NONE, &no_shrink, 0, "print a failing plan without shrinking it", NULL},
+        {"verbose", 'v', POPT_ARG_NONE, &verbose, 0, "print each event and, on failure, the flight recorders", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext context = poptGetContext("spancart-explore", argc, argv, options, 0);
-    Wish wish = {0};
+    ExploreSettings settings = {0};
     int code = 2;
-    const int got = poptGetNextOpt(context);
+    const int parsed = poptGetNextOpt(context);
     const char *range = seeds != NULL ? seeds : seed;
-    if (got < -1)
-        fprintf(stderr, "%s: %s\n", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
-    else if (range == NULL || !range_read(range, &wish.first, &wish.last))
-        fprintf(stderr, "give --seeds A..B or --seed N\n");
+    if (parsed < -1)
+        fprintf(stderr, "%s: %s\n", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(parsed));
+    else if (range == NULL || !range_read(range, &settings.first, &settings.last))
+        fprintf(stderr, "specify --seeds A..B or --seed N\n");
     else {
-        wish.skip = skip;
-        wish.world = (uint64_t)world;
-        wish.draw = pace != 0 ? explore_pace_of : precise != 0 ? explore_precise_of : explore_plan_of;
-        wish.shrink = seeds != NULL && plain == 0;
-        wish.loud = loud != 0;
-        code = explore_all(&wish);
+        settings.skip = skip;
+        settings.world = (uint64_t)world;
+        settings.generate = pace != 0 ? explore_plan_pace : precise != 0 ? explore_plan_precise : explore_plan_random;
+        settings.shrink = seeds != NULL && no_shrink == 0;
+        settings.verbose = verbose != 0;
+        code = explore_all(&settings);
     }
     poptFreeContext(context);
     free(seeds);
