--- a/packages/explore/tool/explore.c
+++ b/packages/explore/tool/explore.c
@@ -137,7 +137,7 @@
         if (settings->world != 0)
             plan.world = settings->world;
         if (settings->skip != NULL && !skip_read(&plan, settings->skip)) {
-            fprintf(stderr, "--skip takes a comma-separated list of act numbers, such as 0,3,4\n");
+            fprintf(stderr, "--skip takes numbers of acts, like 0,3,4\n");
             return 2;
         }
         explore_run(&plan, settings->verbose, &result);
@@ -178,7 +178,7 @@
     if (parsed < -1)
         fprintf(stderr, "%s: %s\n", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(parsed));
     else if (range == NULL || !range_read(range, &settings.first, &settings.last))
-        fprintf(stderr, "specify --seeds A..B or --seed N\n");
+        fprintf(stderr, "give --seeds A..B or --seed N\n");
     else {
         settings.skip = skip;
         settings.world = (uint64_t)world;
--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -5,30 +5,32 @@
 #include "model/site.h"
 #include "state/worker.h"
 
-/* A platform's codec for the model: it writes and reads the messages between the product and the model's
- * workers, callers and operator. The model decides what is said; only the codec knows how. All that a codec makes is
- * on the mem that it is given; texts that it is given are only read. */
+/* A platform's codec for the model: writes and reads the messages between the product and the model's workers,
+ * callers and operator. The model decides on the content of a message, and the codec on its encoding. All results of
+ * a codec are allocated on the given mem; texts passed to it are only read. */
 
 /* --- machines ------------------------------------------------------------------------ */
 
+/* A machine of the product, as its settings file describes it. */
 typedef struct CodecNode {
     const char *name, *zone, *ip;
-    bool side; /* beside a worker; otherwise an entry point or controller */
-    bool disk;
-    bool founds;          /* the first start: it may found the cluster */
-    const char *seeds[3]; /* IPs */
+    bool side;        /* an agent, beside a worker; otherwise an entry point or controller */
+    bool disk;            /* a controller */
+    bool founds;          /* the first start of the deployment: the node may found the cluster */
+    const char *seeds[3]; /* IP addresses */
 } CodecNode;
 
 /* --- tasks and workers --------------------------------------------------------------- */
 
-#define MODEL_ID_BYTES 17 /* bytes; 16 hex digits and the end */
+#define MODEL_ID_BYTES 17 /* bytes; 16 hex digits and the terminating null */
 
-/* A task of a job: the turn (of a job that runs several times), the step, and the place in the step. */
+/* A task of a job: the turn (of a job that runs several times), the step, and the index within the step. */
 typedef struct TaskName {
     char job[MODEL_ID_BYTES];
     uint64_t turn, step, at;
 } TaskName;
 
+/* A running attempt, in a worker's report; also an attempt to stop, in the answer. */
 typedef struct WorkerModelRunning {
     TaskName name;
     uint64_t attempt;
@@ -36,6 +38,7 @@
     int percent;
 } WorkerModelRunning;
 
+/* An ended attempt, in a worker's report. number: counts the ends of the worker's process, from 1. */
 typedef struct WorkerModelEnded {
     uint64_t number;
     TaskName name;
@@ -44,7 +47,8 @@
     const char *saved;
 } WorkerModelEnded;
 
-/* A worker's report. */
+/* A worker's report, sent as a heartbeat. leave_ms: time until the worker leaves; clock_ms: the worker's steady
+ * clock; sequence rises with each report. */
 typedef struct WorkerModelReport {
     const char *kind, *zone, *label, *rack, *address;
     Resources resources;
@@ -57,13 +61,16 @@
     size_t ended_count;
 } WorkerModelReport;
 
+/* An order to start an attempt. saved: the checkpoint to continue from, or empty. */
 typedef struct WorkerModelStart {
     TaskName name;
     uint64_t attempt;
     const char *payload, *saved;
 } WorkerModelStart;
 
-/* The answer. lease_ms (the lease) and again_ms below 0: not given. */
+/* The answer to a report. seen: ends up to this number are acknowledged; fence: answers with a lower fence than an
+ * earlier one are ignored; lease_ms: duration of the lease; again_ms: time until the next report is due. Negative
+ * lease_ms or again_ms: not given. */
 typedef struct WorkerModelOrders {
     WorkerModelStart *starts;
     size_t start_count;
@@ -75,6 +82,8 @@
 
 /* --- jobs ------------------------------------------------------------------------------ */
 
+/* A step of a generated job: count tasks that each use resources and take work_ms on an undisturbed worker of normal
+ * speed. after: indexes of the steps that must be done before; apart: most tasks of the step on one worker. */
 typedef struct GeneratedJobStep {
     uint64_t count;
     Resources resources;
@@ -82,23 +91,25 @@
     uint64_t after[8];
     size_t after_count;
     bool gang, same_rack;
-    const char *near, *needs; /* null: none */
-    uint64_t apart;           /* 0: any number */
+    const char *near, *needs; /* rack of its data, required label; null: none */
+    uint64_t apart;           /* 0: no limit */
 } GeneratedJobStep;
 
 #define GENERATED_JOB_STEPS_MAX 6
 
-/* A job as its caller means it, before it is encoded. */
+/* A job before it is encoded, as its caller submits it. */
 typedef struct GeneratedJob {
     char id[MODEL_ID_BYTES];
     const char *payload;
     GeneratedJobStep steps[GENERATED_JOB_STEPS_MAX];
     size_t step_count;
+    /* Whether its tasks make checkpoints, may run twice at once, and run until they are cancelled. */
     bool saves, copies, lasting;
-    uint64_t turns; /* 0: once, at once */
+    uint64_t turns; /* 0: the job runs once, immediately */
     int64_t first_wall_ms, period_ms;
 } GeneratedJob;
 
+/* The state of a job as an answer shows it; JOB_WORD_NONE: the answer shows none. */
 typedef enum JobWord {
     JOB_WORD_QUEUED,
     JOB_WORD_ROLLING,
@@ -108,27 +119,29 @@
     JOB_WORD_NONE
 } JobWord;
 
-/* What an answer means. UNCLEAR: what was asked for may or may not have been done. */
+/* The meaning of an answer to a request. UNCLEAR: the request may or may not have been carried out. */
 typedef enum Outcome {
     OUTCOME_GOOD,
-    OUTCOME_AWAY,   /* rejected: not taken, and never will be */
-    OUTCOME_NOBODY, /* there is no such queue */
-    OUTCOME_GONE,   /* there is no such job */
-    OUTCOME_STALE,  /* another document is in force */
+    OUTCOME_AWAY,   /* rejected: not accepted, and never will be */
+    OUTCOME_NOBODY, /* the queue does not exist */
+    OUTCOME_GONE,   /* the job does not exist */
+    OUTCOME_STALE,  /* the request was based on a document that is no longer in force */
     OUTCOME_WRONG,  /* rejected as invalid */
     OUTCOME_UNCLEAR
 } Outcome;
 
 /* --- the operator's document ------------------------------------------------------------- */
 
+/* A queue of the document: requests for host and prefix reach it. */
 typedef struct DocumentQueue {
     char name[32], host[48], prefix[48];
-    const char *kind; /* of worker */
+    const char *kind; /* kind of worker that runs its tasks */
     int64_t timeout_ms, target_ms, priority, attempts, stretch_percent;
 } DocumentQueue;
 
 #define DOCUMENT_QUEUES_MAX 64
 
+/* The operator's configuration document. guards: see Site. */
 typedef struct Document {
     uint64_t version;
     DocumentQueue queues[DOCUMENT_QUEUES_MAX];
@@ -138,43 +151,50 @@
     bool guards;
 } Document;
 
-/* Ways to make a document invalid. */
+/* Defects that make a document invalid. */
 typedef enum Spoil {
     SPOIL_NONE,
-    SPOIL_CUT,
-    SPOIL_UNKNOWN_KIND,
-    SPOIL_TWICE,
-    SPOIL_NO_TIMEOUT,
-    SPOIL_OLD,
+    SPOIL_CUT,          /* truncated */
+    SPOIL_UNKNOWN_KIND, /* a queue names an unknown kind of worker */
+    SPOIL_TWICE,        /* two queues have the same host and prefix */
+    SPOIL_NO_TIMEOUT,   /* a queue has the timeout 0 */
+    SPOIL_OLD,          /* its version is not above the one in force */
     SPOIL_COUNT
 } Spoil;
 
-/* An encoded request of the operator. */
+/* An encoded request of the operator; head_name null: no extra header. */
 typedef struct Worded {
     const char *path, *head_name, *head_value;
     Bytes body;
 } Worded;
 
+/* The functions and constants of a platform. */
 typedef struct Codec {
-    const char *adapter; /* the protocol adapter that it belongs to */
+    const char *adapter; /* name of the protocol adapter that it belongs to */
+    /* Ports for callers, for the readiness check, and for workers and the operator. */
     int front_port, ready_port, operator_port;
+    /* Paths of the readiness check and of the document; name of the header that holds the caller's timeout in ms. */
     const char *ready_path, *config_path, *wait_head;
-    /* Of an HTTP status; 0: no answer came. */
+    /* The meaning of an HTTP status code; code 0: no answer came. */
     Outcome (*outcome)(int code);
-    /* The node's settings file. */
+    /* Returns the text of the node's settings file. */
     char *(*settings)(void *mem, const Site *site, const CodecNode *node);
+    /* Returns the path of the heartbeat, or of the notice of departure, of the worker process named boot. */
     char *(*heartbeat_path)(void *mem, const char *boot, bool leaves);
+    /* Encodes a report, decodes the answer (false: malformed), encodes a job, and decodes the state of a job. */
     Bytes (*report)(void *mem, const WorkerModelReport *report);
     bool (*orders)(void *mem, Bytes result, WorkerModelOrders *orders);
     Bytes (*job)(void *mem, const GeneratedJob *generated_job);
     JobWord (*state)(Bytes result);
-    /* The number of jobs in a queue; -1: the result has none. */
+    /* Returns the number of jobs in a queue; -1: the result does not say. */
     int64_t (*pending)(Bytes result);
+    /* Encodes a document that replaces the one of version base, with the given defect. */
     Worded (*document)(void *mem, const Document *document, uint64_t base, Spoil spoil);
-    /* The change from one to the other, as named items. */
+    /* Encodes the change from one document to another, as named items. */
     Worded (*patch)(void *mem, const Document *from, const Document *to);
-    /* Whether what was read back is the document. */
+    /* Whether the result of a read is the document; version is set to the version that the result gives. */
     bool (*same)(Bytes result, const Document *document, uint64_t *version);
+    /* Returns the path of the request that drains a zone or takes it back. */
     char *(*zone_path)(void *mem, const char *zone, bool drain);
 } Codec;
 
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -5,41 +5,45 @@
 #include "model/site.h"
 #include "model/codec.h"
 
-/* The model of the users' platform: a day (scenario) of a deployment in virtual time. The product's own processes run
- * behind a protocol adapter, and models stand for all that they meet: workers, callers, the operator, faults. Used by
- * the model's command and tests. The same seed gives the same day. */
+/* The model of the users' platform: runs a day (scenario) of a deployment in virtual time. The product's own
+ * processes run behind a protocol adapter, and models stand in for their environment: workers, callers, the
+ * operator, faults. Used by the command spancart-model and by tests. The same seed gives the same day. */
 
 #define DAY_FAULTS_MAX 64
 
-/* The fault of all controllers that ends a day. */
+/* The fault of all the product's machines near the end of a day: none, process kills, power loss, or power loss with
+ * the leader's disk lost. CLOSING_DRAWN: one of these, chosen at random. */
 typedef enum Closing { CLOSING_DRAWN, CLOSING_NONE, CLOSING_KILL, CLOSING_POWER, CLOSING_WIPE, CLOSING_COUNT } Closing;
 
+/* The parameters of a day. */
 typedef struct DaySettings {
     uint64_t seed;
     const Site *site;
     const Codec *codec;
-    bool loud;         /* prints what happens */
-    const char *job;   /* prints what happens to this job; null: none */
-    size_t faults;     /* how many faults are drawn */
-    bool wrong_clocks; /* the leader's clock runs too slow, others' too fast, beyond what the product tolerates */
+    bool loud;         /* prints the events of the day */
+    const char *job;   /* id of a job whose events are printed; null: none */
+    size_t faults;     /* number of faults to generate */
+    bool wrong_clocks; /* tests the checkers: the leader's clock runs too slow and the others' too fast, beyond the
+                          drift that the product tolerates */
     Closing closing;
-    const char *only;             /* only faults of this kind; null: all */
-    const char *script;           /* these instead of drawn ones: KIND@AT+FOR=WHOM,..; null: drawn. WHOM: a machine, a
-                                     zone, leader; left out: drawn */
-    bool skipped[DAY_FAULTS_MAX]; /* leaves these out */
+    const char *only;   /* generates only faults of this kind; null: all kinds */
+    const char *script; /* faults to inject instead of generated ones, as KIND@AT+FOR=WHOM,... with times in ms; null:
+                           none. WHOM: a machine, a zone or "leader"; if omitted, chosen at random */
+    bool skipped[DAY_FAULTS_MAX]; /* faults to leave out, by number */
 } DaySettings;
 
+/* The outcome of a day. ends: by how the attempts ended. */
 typedef struct DayResult {
     Rules rules;
     size_t jobs, accepted, refused, starts, ends[ATTEMPT_WORD_COUNT];
-    size_t timely, late; /* of jobs that could be done: within the latency target, within three times it */
-    size_t owed;
-    size_t orders;
-    char faults[DAY_FAULTS_MAX][64]; /* what was drawn, as rows of a script */
+    size_t timely, late;             /* jobs done within their latency target, and within three times it */
+    size_t owed;                     /* jobs that are measured against their latency target */
+    size_t orders;                   /* requests of the operator */
+    char faults[DAY_FAULTS_MAX][64]; /* the injected faults, in the format of a script */
     size_t fault_count;
 } DayResult;
 
-/* Runs one day. Blocks; nothing of it is left afterwards but the result. */
+/* Runs one day and fills in the result. Blocks; frees everything else. */
 void day_run(const DaySettings *settings, DayResult *result);
 
 #endif
--- a/packages/model/include/model/rules.h
+++ b/packages/model/include/model/rules.h
@@ -5,8 +5,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The rules of a deployment, besides the safety properties of sim/checker.h: what callers, workers and the operator may
- * never see on their connections. */
+/* The rules of a deployment, in addition to the safety properties of sim/checker.h: events that callers, workers and
+ * the operator must never see on their connections. */
 #define RULE_LIST(X)                                                               \
     X(LIMIT, "a start beyond a worker's room")                                     \
     X(TWICE, "a task running twice, or again after it was done")                   \
@@ -33,25 +33,30 @@
         RULE_COUNT
 } Rule;
 
+/* Returns the name and the text of a rule. */
 const char *rule_name(Rule rule);
 const char *rule_words(Rule rule);
 
-#define BREAKS_REPORTED 40 /* count; breaks of a run that are kept with their text */
+#define BREAKS_RECORDED_MAX 40 /* count; breaks of a run that are recorded with their text */
 
+/* One break of a rule. */
 typedef struct Break {
     Rule rule;
-    int64_t at_ms; /* since traffic began */
+    int64_t at_ms; /* ms since traffic started */
     char words[200];
 } Break;
 
-/* What broke in a run. Invariant: told holds the first BREAKS_REPORTED breaks, in order of time. */
+/* The breaks of a run: counts for each rule, and the total.
+ *
+ * Invariant: reported holds the first BREAKS_RECORDED_MAX breaks, in order of time. */
 typedef struct Rules {
     size_t broken[RULE_COUNT], all;
-    Break reported[BREAKS_REPORTED];
+    Break reported[BREAKS_RECORDED_MAX];
     size_t reported_count;
 } Rules;
 
-/* Counts a break, and keeps its text if it is among the first. */
-void rules_broke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...) __attribute__((format(printf, 4, 5)));
+/* Counts a break, and records its text if it is among the first. */
+void rules_record_break(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...)
+    __attribute__((format(printf, 4, 5)));
 
 #endif
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -1,4 +1,4 @@
-/* Callers: a machine for each zone, from which jobs of each kind are submitted at its rate. */
+/* Callers: a machine in each zone, from which jobs of each kind are submitted at the kind's rate. */
 #include "caller.h"
 
 #include <stdio.h>
@@ -6,71 +6,73 @@
 
 #include "caller_job.h"
 
-typedef struct Pouring {
+/* The stream of jobs of one kind from one zone. */
+typedef struct JobSource {
     Callers *callers;
     int64_t zone;
     size_t kind;
     RandomSource random_source;
-} Pouring;
+} JobSource;
 
-void callers_queue(const Site *site, size_t kind, DocumentQueue *queue)
+void callers_fill_queue(const Site *site, size_t kind, DocumentQueue *queue)
 {
-    const SiteKind *one = &site->kinds[kind];
+    const SiteKind *site_kind = &site->kinds[kind];
     *queue = (DocumentQueue){.kind = "std",
                              .timeout_ms = site->caller_wait_ms,
-                             .target_ms = one->target_ms,
-                             .priority = one->priority,
-                             .attempts = one->attempts,
-                             .stretch_percent = one->stretch_percent};
-    snprintf(queue->name, sizeof(queue->name), "%s", one->name);
+                             .target_ms = site_kind->target_ms,
+                             .priority = site_kind->priority,
+                             .attempts = site_kind->attempts,
+                             .stretch_percent = site_kind->stretch_percent};
+    snprintf(queue->name, sizeof(queue->name), "%s", site_kind->name);
     snprintf(queue->host, sizeof(queue->host), "work%zu.example", kind % 2);
-    snprintf(queue->prefix, sizeof(queue->prefix), "/%s/", one->name);
+    snprintf(queue->prefix, sizeof(queue->prefix), "/%s/", site_kind->name);
 }
 
-static CallerTask *task_new(Callers *callers, const Pouring *pouring, JobRecord *job, uint64_t number)
+static CallerTask *caller_task_new(Callers *callers, const JobSource *source, JobRecord *job, uint64_t number)
 {
     CallerTask *task = talloc_zero(callers, CallerTask);
     *task = (CallerTask){.callers = callers,
-                         .loop = sim_loop(callers->topology->world, callers->machines[pouring->zone]),
-                         .zone = site_zone(pouring->zone),
+                         .loop = sim_loop(callers->topology->world, callers->machines[source->zone]),
+                         .zone = site_zone(source->zone),
                          .job = job,
-                         .random_source = random_source_of(callers->topology->seed, "caller", number)};
-    callers_queue(callers->topology->site, pouring->kind, &task->queue);
+                         .random_source = random_source_new(callers->topology->seed, "caller", number)};
+    callers_fill_queue(callers->topology->site, source->kind, &task->queue);
     return task;
 }
 
-static void worker_model_in(Pouring *pouring)
+/* Generates a job, starts its caller and, for some jobs, a caller that submits the job a second time. */
+static void submit_generated_job(JobSource *source)
 {
-    Callers *callers = pouring->callers;
+    Callers *callers = source->callers;
     const Site *site = callers->topology->site;
-    const SiteKind *kind = &site->kinds[pouring->kind];
+    const SiteKind *kind = &site->kinds[source->kind];
     GeneratedJob generated_job;
-    generated_job_draw(callers, kind, &pouring->random_source, &generated_job);
+    generated_job_draw(callers, kind, &source->random_source, &generated_job);
     JobRecord *job = job_records_add(callers->records, &generated_job, kind);
-    job->queue = pouring->kind;
-    job->poison = random_source_percent(&pouring->random_source, callers->poison_percent);
-    const uint64_t number = callers->drawn++;
-    CallerTask *task = task_new(callers, pouring, job, number * 2);
-    loop_spawn(task->loop, "caller", caller_follow, task);
-    if (random_source_percent(&pouring->random_source, kind->twice_percent)) {
-        CallerTask *twin = task_new(callers, pouring, job, number * 2 + 1);
-        twin->first = true;
-        loop_spawn(twin->loop, "twin", caller_twin, twin);
+    job->queue = source->kind;
+    job->poison = random_source_percent(&source->random_source, callers->poison_percent);
+    const uint64_t number = callers->generated_count++;
+    CallerTask *task = caller_task_new(callers, source, job, number * 2);
+    loop_spawn(task->loop, "caller", caller_follow_job, task);
+    if (random_source_percent(&source->random_source, kind->twice_percent)) {
+        CallerTask *duplicate = caller_task_new(callers, source, job, number * 2 + 1);
+        duplicate->first_counted = true;
+        loop_spawn(duplicate->loop, "twin", caller_submit_duplicate, duplicate);
     }
 }
 
-static void pour_main(void *arg)
+static void source_main(void *arg)
 {
-    Pouring *pouring = arg;
-    Callers *callers = pouring->callers;
+    JobSource *source = arg;
+    Callers *callers = source->callers;
     const Site *site = callers->topology->site;
-    Loop *loop = sim_loop(callers->topology->world, callers->machines[pouring->zone]);
-    const int64_t gap_ms = 60000 * site->zones / site->kinds[pouring->kind].per_minute;
-    loop_sleep(loop, random_source_span(&pouring->random_source, 0, gap_ms));
-    while (!callers->over) {
-        worker_model_in(pouring);
-        loop_sleep(loop, random_source_span(&pouring->random_source, gap_ms / 4, gap_ms * 7 / 4) * 1000 /
-                             callers->times_milli[pouring->kind]);
+    Loop *loop = sim_loop(callers->topology->world, callers->machines[source->zone]);
+    const int64_t gap_ms = 60000 * site->zones / site->kinds[source->kind].per_minute;
+    loop_sleep(loop, random_source_between(&source->random_source, 0, gap_ms));
+    while (!callers->stopped) {
+        submit_generated_job(source);
+        loop_sleep(loop, random_source_between(&source->random_source, gap_ms / 4, gap_ms * 7 / 4) * 1000 /
+                             callers->rate_milli[source->kind]);
     }
 }
 
@@ -90,27 +92,27 @@
     for (int64_t zone = 0; zone < site->zones; zone++) {
         topology_host(callers->topology, callers->machines[zone]);
         for (size_t kind = 0; kind < site->kind_count; kind++) {
-            callers->times_milli[kind] = 1000;
+            callers->rate_milli[kind] = 1000;
             if (site->kinds[kind].per_minute <= 0)
                 continue;
-            Pouring *pouring = talloc_zero(callers, Pouring);
-            *pouring = (Pouring){callers, zone, kind,
-                                 random_source_of(callers->topology->seed, "pour", (uint64_t)zone * 64 + kind)};
-            loop_spawn(sim_loop(callers->topology->world, callers->machines[zone]), "pour", pour_main, pouring);
+            JobSource *source = talloc_zero(callers, JobSource);
+            *source = (JobSource){callers, zone, kind,
+                                  random_source_new(callers->topology->seed, "pour", (uint64_t)zone * 64 + kind)};
+            loop_spawn(sim_loop(callers->topology->world, callers->machines[zone]), "pour", source_main, source);
         }
     }
 }
 
-void callers_finish(Callers *callers)
+void callers_confirm_all(Callers *callers)
 {
-    callers->over = true;
+    callers->stopped = true;
     callers->finish_ms = topology_now_ms(callers->topology);
     for (size_t i = 0; i < callers->records->count; i++) {
         JobRecord *job = callers->records->jobs[i];
-        const Pouring pouring = {callers, (int64_t)i % callers->topology->site->zones, job->queue, {0}};
+        const JobSource source = {callers, (int64_t)i % callers->topology->site->zones, job->queue, {0}};
         if (job->accepted_ms == 0)
             continue;
-        CallerTask *task = task_new(callers, &pouring, job, (UINT64_C(1) << 32) + i);
-        loop_spawn(task->loop, "finish", caller_finish, task);
+        CallerTask *task = caller_task_new(callers, &source, job, (UINT64_C(1) << 32) + i);
+        loop_spawn(task->loop, "finish", caller_confirm, task);
     }
 }
--- a/packages/model/src/caller.h
+++ b/packages/model/src/caller.h
@@ -4,40 +4,42 @@
 #include "listener.h"
 #include "worker_model.h"
 
-/* Callers: a machine for each zone. They submit jobs, retry with the same id, ask for states, cancel, and check
- * what they are told. */
+/* Callers: one machine in each zone. They submit jobs, retry with the same id, read job states, cancel jobs, and
+ * check the answers. */
 typedef struct Callers {
     Topology *topology;
     Listener *listener;
     JobRecords *records;
     SentDocuments *sent_documents;
     int machines[4];
-    int64_t times_milli[SITE_KINDS_MAX]; /* present rate of a kind, in thousandths of its usual one */
-    int64_t poison_percent;
-    int64_t wall_ms; /* of the first turn of timed jobs */
-    uint64_t drawn;
-    bool over;         /* no more jobs are submitted */
-    int64_t finish_ms; /* since then */
-    /* first attempts, before the closing fault and after recovery must be complete */
-    int64_t closing_ms, back_ms; /* the fault, and the machines' return; 0: none yet */
-    TopologyNode *last_taker;    /* the entry point that accepted a job last */
-    int64_t last_taken_ms;
+    int64_t rate_milli[SITE_KINDS_MAX]; /* current submission rate of each kind, in thousandths of its usual rate */
+    int64_t poison_percent;             /* percentage of jobs whose tasks always fail */
+    int64_t wall_ms;                    /* unused */
+    uint64_t generated_count;           /* number of jobs generated */
+    bool stopped;                       /* submission has ended */
+    int64_t finish_ms;                  /* when submission ended */
+    /* Submissions by first attempts before the closing fault, and after the time allowed for recovery from it; of
+     * each, those that were accepted. */
+    int64_t closing_ms, restart_ms;  /* times of the closing fault and of the machines' restart; 0: not yet */
+    TopologyNode *last_acknowledger; /* entry point that last accepted a job */
+    int64_t last_acknowledged_ms;
     size_t sent_before, served_before, sent_after, served_after;
 } Callers;
 
+/* Creates the callers on mem; none runs yet. */
 Callers *callers_new(void *mem, Listener *listener, JobRecords *records, SentDocuments *sent_documents);
-/* Submits jobs from now on until over. */
+/* Starts to submit jobs; continues until callers_confirm_all. */
 void callers_start(Callers *callers);
-/* Asks each accepted job once more: within finish_ms each must be answered. */
-void callers_finish(Callers *callers);
-/* The queue of a kind of jobs, as a document has it. */
-void callers_queue(const Site *site, size_t kind, DocumentQueue *queue);
-/* Checks that no job stands still though there is capacity; called often at the end. */
-void callers_idle(Callers *callers, const WorkerModels *worker_models);
-/* Checks what must hold at the end. */
-void callers_end(Callers *callers);
+/* Ends submission and reads each accepted job once more: each must be answered within the site's finish_ms. */
+void callers_confirm_all(Callers *callers);
+/* Fills in the document's queue for a kind of job. */
+void callers_fill_queue(const Site *site, size_t kind, DocumentQueue *queue);
+/* Checks that no job is idle while there is capacity for it; called periodically at the end of a day. */
+void callers_check_idle(Callers *callers, const WorkerModels *worker_models);
+/* Checks the rules that apply at the end of a day. */
+void callers_check_end(Callers *callers);
 
-/* Draws a job of the kind. */
+/* Generates a job of the kind. */
 void generated_job_draw(const Callers *callers, const SiteKind *kind, RandomSource *random_source,
                         GeneratedJob *generated_job);
 
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -1,4 +1,5 @@
-/* One day: draws the faults, runs the model with them, closes with a fault of all controllers, and sums up. */
+/* One day: generates the faults, runs the model with them, closes with a fault of all machines of the product, and
+ * summarizes. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,37 +7,37 @@
 
 #include "fault.h"
 
-#define STANDSTILL_CHECK_MS 200 /* ms; between looks for jobs that stand still */
-#define CALM_END_MS 3500        /* ms; faults are over this long before the closing fault or the end of traffic */
-#define CONTROLLER_GAP_MS 3000  /* ms; kept free after a controller's return no longer counts as a loss */
+#define IDLE_CHECK_MS 200      /* ms; interval between checks for idle jobs */
+#define FAULT_FREE_END_MS 3500 /* ms; faults end at least this long before the closing fault or the end of traffic */
+#define CONTROLLER_GAP_MS 3000 /* ms; additional gap after the time at which a controller's loss no longer counts */
 
-static void begin(void *arg)
+static void on_fault_begin(void *arg)
 {
     fault_begin(arg);
 }
 
-static void end(void *arg)
+static void on_fault_end(void *arg)
 {
     fault_end(arg);
 }
 
-static void operator_begin(void *arg)
+static void on_operator_start(void *arg)
 {
     operator_start(((Day *)arg)->operator);
 }
 
-static void callers_begin(void *arg)
+static void on_callers_start(void *arg)
 {
     callers_start(((Day *)arg)->callers);
 }
 
-static void worker_models_begin(void *arg)
+static void on_workers_start(void *arg)
 {
     worker_models_start(((Day *)arg)->worker_models);
 }
 
-/* To test the checkers: the assumption on clocks, which no process can enforce. */
-static void clocks_spoil(void *arg)
+/* Tests the checkers: violates the assumption on clock drift, which no process can enforce. */
+static void violate_clock_drift(void *arg)
 {
     Topology *topology = ((Day *)arg)->topology;
     TopologyNode *leader = topology_leader(topology);
@@ -50,72 +51,75 @@
         node_cut(leader, true);
 }
 
-/* Faults of controllers are kept apart: no more are lost at once than must be tolerated. */
-static bool fits(const Fault *list, size_t count, const Fault *one, const Site *site)
+/* Whether the fault can be added to the list. Faults of controllers are kept apart, so that no more controllers are
+ * lost at once than must be tolerated. */
+static bool can_add_fault(const Fault *list, size_t count, const Fault *fault, const Site *site)
 {
     const int64_t gap_ms = site->sync_ms + CONTROLLER_GAP_MS;
-    /* one zone is drained at a time, too */
-    for (size_t i = 0; i < count && one->kind == FAULT_ZONE_DRAIN; i++)
-        if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].for_ms + site->ack_ms &&
-            list[i].at_ms < one->at_ms + one->for_ms + site->ack_ms)
+    /* only one zone is drained at a time */
+    for (size_t i = 0; i < count && fault->kind == FAULT_ZONE_DRAIN; i++)
+        if (list[i].kind == fault->kind && fault->at_ms < list[i].at_ms + list[i].for_ms + site->ack_ms &&
+            list[i].at_ms < fault->at_ms + fault->for_ms + site->ack_ms)
             return false;
-    for (size_t i = 0; i < count && fault_controller(one->kind); i++)
-        if (list[i].kind != FAULT_COUNT && fault_controller(list[i].kind) &&
-            one->at_ms < list[i].at_ms + list[i].for_ms + gap_ms && list[i].at_ms < one->at_ms + one->for_ms + gap_ms)
+    for (size_t i = 0; i < count && fault_disables_controllers(fault->kind); i++)
+        if (list[i].kind != FAULT_COUNT && fault_disables_controllers(list[i].kind) &&
+            fault->at_ms < list[i].at_ms + list[i].for_ms + gap_ms &&
+            list[i].at_ms < fault->at_ms + fault->for_ms + gap_ms)
             return false;
     return true;
 }
 
-static size_t faults_draw(Day *day, const DaySettings *settings, Fault *list, DayResult *result)
+/* Generates the faults of the day; returns their number. A fault that is left out has the kind FAULT_COUNT. */
+static size_t generate_faults(Day *day, const DaySettings *settings, Fault *list, DayResult *result)
 {
     const Site *site = settings->site;
-    const int64_t last_ms = site->traffic_ms - CALM_END_MS;
+    const int64_t last_ms = site->traffic_ms - FAULT_FREE_END_MS;
     for (size_t i = 0; i < settings->faults; i++) {
-        RandomSource random_source = random_source_of(settings->seed, "trouble", i);
-        Fault *one = &list[i];
-        *one = (Fault){.day = day};
+        RandomSource random_source = random_source_new(settings->seed, "trouble", i);
+        Fault *fault = &list[i];
+        *fault = (Fault){.day = day};
         do
-            one->kind = (FaultKind)random_source_span(&random_source, 0, FAULT_COUNT - 1);
-        while (settings->only != NULL && fault_of(settings->only) < FAULT_COUNT &&
-               one->kind != fault_of(settings->only));
-        bool good = false;
-        for (int tries = 0; tries < 12 && !good; tries++) {
-            one->at_ms = random_source_span(&random_source, 1500, last_ms - 2000);
-            one->for_ms = random_source_span(&random_source, 800, 7000);
-            /* a loss counts for a while after the return, as the closing fault may be the next one */
-            const int64_t end_ms = last_ms - (fault_controller(one->kind) ? site->sync_ms : 0);
-            if (one->at_ms + one->for_ms > end_ms)
-                one->for_ms = end_ms - one->at_ms;
-            good = one->for_ms >= 500 && fits(list, i, one, site);
+            fault->kind = (FaultKind)random_source_between(&random_source, 0, FAULT_COUNT - 1);
+        while (settings->only != NULL && fault_by_name(settings->only) < FAULT_COUNT &&
+               fault->kind != fault_by_name(settings->only));
+        bool placed = false;
+        for (int tries = 0; tries < 12 && !placed; tries++) {
+            fault->at_ms = random_source_between(&random_source, 1500, last_ms - 2000);
+            fault->for_ms = random_source_between(&random_source, 800, 7000);
+            /* a loss counts for a while after the machine's return, and the closing fault may come next */
+            const int64_t end_ms = last_ms - (fault_disables_controllers(fault->kind) ? site->sync_ms : 0);
+            if (fault->at_ms + fault->for_ms > end_ms)
+                fault->for_ms = end_ms - fault->at_ms;
+            placed = fault->for_ms >= 500 && can_add_fault(list, i, fault, site);
         }
-        one->random_source = random_source_of(settings->seed, "strike", i);
-        if (!good || settings->skipped[i]) {
-            one->kind = FAULT_COUNT;
+        fault->random_source = random_source_new(settings->seed, "strike", i);
+        if (!placed || settings->skipped[i]) {
+            fault->kind = FAULT_COUNT;
             continue;
         }
-        snprintf(result->faults[i], sizeof(result->faults[i]), "%s@%" PRId64 "+%" PRId64, fault_name(one->kind),
-                 one->at_ms, one->for_ms);
+        snprintf(result->faults[i], sizeof(result->faults[i]), "%s@%" PRId64 "+%" PRId64, fault_name(fault->kind),
+                 fault->at_ms, fault->for_ms);
     }
     result->fault_count = settings->faults;
     return settings->faults;
 }
 
-/* KIND@AT+FOR=WHOM,... */
-static size_t faults_read(Day *day, const DaySettings *settings, Fault *list, DayResult *result)
+/* Reads the faults of a script: KIND@AT+FOR=WHOM,... */
+static size_t parse_faults(Day *day, const DaySettings *settings, Fault *list, DayResult *result)
 {
     size_t count = 0;
-    char *text = talloc_strdup(day, settings->script), *save = NULL;
-    for (char *one = strtok_r(text, ",", &save); one != NULL && count < DAY_FAULTS_MAX;
-         one = strtok_r(NULL, ",", &save)) {
+    char *text = talloc_strdup(day, settings->script), *strtok_state = NULL;
+    for (char *row = strtok_r(text, ",", &strtok_state); row != NULL && count < DAY_FAULTS_MAX;
+         row = strtok_r(NULL, ",", &strtok_state)) {
         Fault *fault = &list[count];
         char kind[24] = "";
-        *fault = (Fault){.day = day, .random_source = random_source_of(settings->seed, "strike", count)};
-        const int got =
-            sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &fault->at_ms, &fault->for_ms, fault->whom);
-        fault->kind = got >= 3 ? fault_of(kind) : FAULT_COUNT;
+        *fault = (Fault){.day = day, .random_source = random_source_new(settings->seed, "strike", count)};
+        const int parsed =
+            sscanf(row, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &fault->at_ms, &fault->for_ms, fault->target);
+        fault->kind = parsed >= 3 ? fault_by_name(kind) : FAULT_COUNT;
         if (fault->kind == FAULT_COUNT || settings->skipped[count])
             fault->kind = FAULT_COUNT;
-        snprintf(result->faults[count], sizeof(result->faults[count]), "%s%s", one,
+        snprintf(result->faults[count], sizeof(result->faults[count]), "%s%s", row,
                  fault->kind == FAULT_COUNT ? "(not understood, or left out)" : "");
         count++;
     }
@@ -123,50 +127,51 @@
     return count;
 }
 
-static void day_for(const Day *day, int64_t for_ms)
+static void run_for(const Day *day, int64_t for_ms)
 {
     sim_run_until(day->topology->world, topology_now_ms(day->topology) + for_ms);
 }
 
-static void closing_start(void *arg)
+static void restart_all(void *arg)
 {
     Day *day = arg;
     Topology *topology = day->topology;
     for (size_t i = 0; i < topology->server_count; i++)
         if (topology->servers[i].used && !topology->servers[i].gone)
             node_start(&topology->servers[i]);
-    for (size_t i = 0; i < topology->side_count; i++)
-        node_start(&topology->sides[i]);
-    day->callers->back_ms = topology_now_ms(topology);
+    for (size_t i = 0; i < topology->agent_count; i++)
+        node_start(&topology->agents[i]);
+    day->callers->restart_ms = topology_now_ms(topology);
 }
 
-/* All machines of the system at once; workers run on. */
-static void closing_strike(Day *day, Closing closing, RandomSource *random_source)
+/* Injects the closing fault into all machines of the product at once; workers keep running. */
+static void inject_closing_fault(Day *day, Closing closing, RandomSource *random_source)
 {
     Topology *topology = day->topology;
     static const char *const WORDS[] = {"", "", "all processes are killed", "all lose power",
-                                        "all lose power, one its disk"};
-    topology_say(topology, "%s", WORDS[closing]);
+                                        "all lose power, the leader also its disk"};
+    topology_log(topology, "%s", WORDS[closing]);
     day->callers->closing_ms = topology_now_ms(topology);
     TopologyNode *wiped = closing == CLOSING_WIPE ? topology_leader(topology) : NULL;
     for (size_t i = 0; i < topology->server_count; i++)
         node_kill(&topology->servers[i], closing != CLOSING_KILL);
-    for (size_t i = 0; i < topology->side_count; i++)
-        node_kill(&topology->sides[i], closing != CLOSING_KILL);
+    for (size_t i = 0; i < topology->agent_count; i++)
+        node_kill(&topology->agents[i], closing != CLOSING_KILL);
     if (wiped != NULL)
         sim_disk_wipe(topology->world, wiped->machine);
-    sim_at(topology->world, topology_now_ms(topology) + random_source_span(random_source, 700, 1500), closing_start,
+    sim_at(topology->world, topology_now_ms(topology) + random_source_between(random_source, 700, 1500), restart_all,
            day);
 }
 
-/* How many of the jobs that could be done were shown as done in time. */
-static void sum(const Day *day, DayResult *result)
+/* Fills in the result: counts, and the jobs that were shown as done in time. Jobs that cannot be done, are
+ * cancelled, or run in turns or without end are not measured. */
+static void summarize(const Day *day, DayResult *result)
 {
     const JobRecords *records = day->records;
     result->jobs = records->count;
     result->starts = records->starts;
     result->orders = day->operator->orders;
-    memcpy(result->ends, records->kinds, sizeof(result->ends));
+    memcpy(result->ends, records->ends_by_word, sizeof(result->ends));
     for (size_t i = 0; i < records->count; i++) {
         const JobRecord *job = records->jobs[i];
         const GeneratedJob *generated_job = &job->generated_job;
@@ -183,14 +188,14 @@
             longest_ms = chain_ms[s] > longest_ms ? chain_ms[s] : longest_ms;
         }
         const int64_t target_ms = longest_ms * job->kind->stretch_percent / 100 + job->kind->target_ms;
-        const int64_t took_ms = job->shown == JOB_WORD_DONE ? job->shown_ms - job->sent_ms : INT64_MAX;
+        const int64_t elapsed_ms = job->shown == JOB_WORD_DONE ? job->shown_ms - job->sent_ms : INT64_MAX;
         result->owed++;
-        result->timely += took_ms <= target_ms;
-        result->late += took_ms > target_ms && took_ms <= target_ms * 3;
+        result->timely += elapsed_ms <= target_ms;
+        result->late += elapsed_ms > target_ms && elapsed_ms <= target_ms * 3;
     }
     if (checker_broken(day->topology->checker, INVARIANT_TWO_LEADERS) > 0)
-        rules_broke(&result->rules, RULE_LEADERS, topology_day_ms(day->topology), "%s",
-                    checker_first(day->topology->checker));
+        rules_record_break(&result->rules, RULE_LEADERS, topology_day_ms(day->topology), "%s",
+                           checker_first(day->topology->checker));
 }
 
 void day_run(const DaySettings *settings, DayResult *result)
@@ -198,11 +203,11 @@
     const Site *site = settings->site;
     void *mem = talloc_new(NULL);
     *result = (DayResult){0};
-    RandomSource random_source = random_source_of(settings->seed, "day", 0);
+    RandomSource random_source = random_source_new(settings->seed, "day", 0);
     Day *day = talloc_zero(mem, Day);
     day->topology = topology_new(mem, site, settings->codec, settings->seed, &result->rules);
     Topology *topology = day->topology;
-    topology->loud = settings->loud;
+    topology->verbose = settings->loud;
     topology->job = settings->job;
     day->records = job_records_new(mem, topology);
     day->sent_documents = sent_documents_new(mem, topology);
@@ -212,37 +217,38 @@
     day->operator= operator_new(mem, topology, day->sent_documents);
     topology_start(topology);
     if (settings->wrong_clocks)
-        sim_at(topology->world, topology->began_ms + 2000, clocks_spoil, day);
+        sim_at(topology->world, topology->traffic_start_ms + 2000, violate_clock_drift, day);
     listener_start(day->listener);
-    sim_at(topology->world, topology_now_ms(topology) + random_source_span(&random_source, 0, 1500),
-           worker_models_begin, day);
-    sim_at(topology->world, topology_now_ms(topology) + 1000, operator_begin, day);
-    sim_at(topology->world, topology->began_ms, callers_begin, day);
+    sim_at(topology->world, topology_now_ms(topology) + random_source_between(&random_source, 0, 1500),
+           on_workers_start, day);
+    sim_at(topology->world, topology_now_ms(topology) + 1000, on_operator_start, day);
+    sim_at(topology->world, topology->traffic_start_ms, on_callers_start, day);
     Fault *faults = talloc_zero_array(mem, Fault, DAY_FAULTS_MAX);
-    const size_t count = settings->script != NULL ? faults_read(day, settings, faults, result)
-                                                  : faults_draw(day, settings, faults, result);
+    const size_t count = settings->script != NULL ? parse_faults(day, settings, faults, result)
+                                                  : generate_faults(day, settings, faults, result);
     for (size_t i = 0; i < count; i++)
         if (faults[i].kind != FAULT_COUNT) {
-            sim_at(topology->world, topology->began_ms + faults[i].at_ms, begin, &faults[i]);
-            sim_at(topology->world, topology->began_ms + faults[i].at_ms + faults[i].for_ms, end, &faults[i]);
+            sim_at(topology->world, topology->traffic_start_ms + faults[i].at_ms, on_fault_begin, &faults[i]);
+            sim_at(topology->world, topology->traffic_start_ms + faults[i].at_ms + faults[i].for_ms, on_fault_end,
+                   &faults[i]);
         }
-    day_for(day, site->lead_ms + site->traffic_ms);
+    run_for(day, site->lead_ms + site->traffic_ms);
     Closing closing = settings->closing;
     if (closing == CLOSING_DRAWN)
-        closing = (Closing)random_source_span(&random_source, CLOSING_NONE, CLOSING_COUNT - 1);
+        closing = (Closing)random_source_between(&random_source, CLOSING_NONE, CLOSING_COUNT - 1);
     if (closing != CLOSING_NONE) {
-        closing_strike(day, closing, &random_source);
-        day_for(day, site->recover_ms + 7000);
+        inject_closing_fault(day, closing, &random_source);
+        run_for(day, site->recover_ms + 7000);
     }
-    topology_say(topology, "traffic ends");
-    callers_finish(day->callers);
+    topology_log(topology, "traffic ends");
+    callers_confirm_all(day->callers);
     operator_finish(day->operator);
-    for (int64_t passed_ms = 0; passed_ms < site->finish_ms; passed_ms += STANDSTILL_CHECK_MS) {
-        day_for(day, STANDSTILL_CHECK_MS);
-        callers_idle(day->callers, day->worker_models);
+    for (int64_t passed_ms = 0; passed_ms < site->finish_ms; passed_ms += IDLE_CHECK_MS) {
+        run_for(day, IDLE_CHECK_MS);
+        callers_check_idle(day->callers, day->worker_models);
     }
-    callers_end(day->callers);
-    sum(day, result);
+    callers_check_end(day->callers);
+    summarize(day, result);
     topology_dump(topology);
     talloc_free(mem);
 }
--- a/packages/model/src/fault.h
+++ b/packages/model/src/fault.h
@@ -4,8 +4,9 @@
 #include "model/model.h"
 #include "operator.h"
 
-/* What may befall a day. Where CONTROLLER is set at most the losses that are to be borne
- * are in it at once. X(name, controller, planned, meaning) */
+/* The kinds of faults in a day. Where controller is set, the fault disables controllers: at most as many at once as
+ * the losses that must be tolerated. planned: planned work rather than a failure. X(name, name outside, controller,
+ * planned, meaning) */
 #define FAULT_LIST(X)                                                                                 \
     X(CONTROLLER_KILL, "coreKill", true, false, "a core's process is killed")                         \
     X(CONTROLLER_POWER, "corePower", true, false, "a core loses power")                               \
@@ -49,11 +50,12 @@
         FAULT_COUNT
 } FaultKind;
 
+/* Returns the outer name of a kind, its meaning, and the kind of a name. */
 const char *fault_name(FaultKind kind);
 const char *fault_meaning(FaultKind kind);
-FaultKind fault_of(const char *name); /* FAULT_COUNT: none */
+FaultKind fault_by_name(const char *name); /* FAULT_COUNT: unknown name */
 
-/* A day under way: all that troubles touch. */
+/* A running day: all parts that faults act on. */
 typedef struct Day {
     Topology *topology;
     JobRecords *records;
@@ -64,21 +66,23 @@
     Operator *operator;
 } Day;
 
-/* One fault, drawn: what it strikes follows from its own random source. */
+/* One fault. Its targets are drawn from its own random source. */
 typedef struct Fault {
     Day *day;
     FaultKind kind;
-    int64_t at_ms, for_ms; /* since traffic began; how long */
+    int64_t at_ms, for_ms; /* start, in ms since traffic started, and duration */
     RandomSource random_source;
-    char whom[16]; /* "": drawn */
-    /* struck: to be healed */
-    TopologyNode *nodes[SIDES_MAX];
-    WorkerModel *struck[SIDES_MAX];
+    char target[16]; /* target named by the script; empty: drawn */
+    /* Affected machines and workers, to be restored at the end. */
+    TopologyNode *nodes[AGENTS_MAX];
+    WorkerModel *struck_workers[AGENTS_MAX];
     size_t count;
     const char *zone;
 } Fault;
 
-bool fault_controller(FaultKind kind);
+/* Whether faults of the kind disable controllers. */
+bool fault_disables_controllers(FaultKind kind);
+/* Injects the fault; fault_end restores what it affected. */
 void fault_begin(Fault *fault);
 void fault_end(Fault *fault);
 
--- a/packages/model/src/fault_kind.c
+++ b/packages/model/src/fault_kind.c
@@ -23,7 +23,7 @@
     return MEANINGS[kind];
 }
 
-FaultKind fault_of(const char *name)
+FaultKind fault_by_name(const char *name)
 {
     int kind = 0;
     while (kind < FAULT_COUNT && strcmp(fault_name((FaultKind)kind), name) != 0)
@@ -31,7 +31,7 @@
     return (FaultKind)kind;
 }
 
-bool fault_controller(FaultKind kind)
+bool fault_disables_controllers(FaultKind kind)
 {
     static const bool CONTROLLER[] = {
 #define X(name, outside, controller, planned, meaning) controller,
--- a/packages/model/src/job_records.c
+++ b/packages/model/src/job_records.c
@@ -1,4 +1,4 @@
-/* The book of a day: all jobs that callers submit, with their tasks and what became of each. */
+/* The records of a day: all jobs that callers submit, with their tasks and the outcome of each. */
 #include "job_records.h"
 
 #include <inttypes.h>
@@ -15,20 +15,20 @@
     return records;
 }
 
-static void tasks_make(JobRecord *job)
+static void create_tasks(JobRecord *job)
 {
     const GeneratedJob *generated_job = &job->generated_job;
     const uint64_t turns = generated_job->turns > 0 ? generated_job->turns : 1;
     for (size_t s = 0; s < generated_job->step_count; s++) {
-        job->step_first[s] = job->each_turn;
-        job->each_turn += (size_t)generated_job->steps[s].count;
+        job->first_task_of_step[s] = job->tasks_per_turn;
+        job->tasks_per_turn += (size_t)generated_job->steps[s].count;
     }
-    job->task_count = job->each_turn * (size_t)turns;
+    job->task_count = job->tasks_per_turn * (size_t)turns;
     job->tasks = talloc_zero_array(job, TaskRecord, (unsigned)job->task_count);
     size_t at = 0;
     for (uint64_t turn = 0; turn < turns; turn++)
         for (size_t s = 0; s < generated_job->step_count; s++) {
-            Fate *shared = generated_job->steps[s].gang ? talloc_zero(job, Fate) : NULL;
+            TaskOutcome *shared = generated_job->steps[s].gang ? talloc_zero(job, TaskOutcome) : NULL;
             for (uint64_t i = 0; i < generated_job->steps[s].count; i++) {
                 TaskRecord *task = &job->tasks[at++];
                 task->job = job;
@@ -36,7 +36,7 @@
                 task->name.turn = turn;
                 task->name.step = s;
                 task->name.at = i;
-                task->fate = shared != NULL ? shared : talloc_zero(job, Fate);
+                task->task_outcome = shared != NULL ? shared : talloc_zero(job, TaskOutcome);
             }
         }
 }
@@ -47,7 +47,7 @@
     job->generated_job = *generated_job;
     job->kind = kind;
     job->shown = JOB_WORD_NONE;
-    tasks_make(job);
+    create_tasks(job);
     records->jobs = talloc_realloc(records, records->jobs, JobRecord *, (unsigned)(records->count + 1));
     records->jobs[records->count++] = job;
     map_set(records->by_id, job->generated_job.id, job);
@@ -66,7 +66,8 @@
         name->at >= job->generated_job.steps[name->step].count ||
         name->turn >= (job->generated_job.turns > 0 ? job->generated_job.turns : 1))
         return NULL;
-    return &job->tasks[(size_t)name->turn * job->each_turn + job->step_first[name->step] + (size_t)name->at];
+    return &job->tasks[(size_t)name->turn * job->tasks_per_turn + job->first_task_of_step[name->step] +
+                       (size_t)name->at];
 }
 
 const GeneratedJobStep *job_records_step(const TaskRecord *task)
@@ -76,11 +77,11 @@
 
 bool job_records_ready(const JobRecord *job, uint64_t turn, uint64_t step)
 {
-    const GeneratedJobStep *one = &job->generated_job.steps[step];
-    for (size_t a = 0; a < one->after_count; a++) {
-        const size_t first = (size_t)turn * job->each_turn + job->step_first[one->after[a]];
-        for (size_t i = first; i < first + job->generated_job.steps[one->after[a]].count; i++)
-            if (!job->tasks[i].fate->done)
+    const GeneratedJobStep *dependent_step = &job->generated_job.steps[step];
+    for (size_t a = 0; a < dependent_step->after_count; a++) {
+        const size_t first = (size_t)turn * job->tasks_per_turn + job->first_task_of_step[dependent_step->after[a]];
+        for (size_t i = first; i < first + job->generated_job.steps[dependent_step->after[a]].count; i++)
+            if (!job->tasks[i].task_outcome->done)
                 return false;
     }
     return true;
@@ -96,35 +97,35 @@
 bool job_records_done(const JobRecord *job)
 {
     for (size_t i = 0; i < job->task_count; i++)
-        if (!job->tasks[i].fate->done)
+        if (!job->tasks[i].task_outcome->done)
             return false;
     return !job->generated_job.lasting;
 }
 
-void job_records_fail(Fate *fate, uint64_t attempt)
+void job_records_add_failure(TaskOutcome *task_outcome, uint64_t attempt)
 {
-    for (size_t i = 0; i < fate->fails; i++)
-        if (fate->failed[i] == attempt)
+    for (size_t i = 0; i < task_outcome->failure_count; i++)
+        if (task_outcome->failed_attempts[i] == attempt)
             return;
-    if (fate->fails < FAILS_MAX)
-        fate->failed[fate->fails++] = attempt;
+    if (task_outcome->failure_count < FAILURES_MAX)
+        task_outcome->failed_attempts[task_outcome->failure_count++] = attempt;
 }
 
-size_t job_records_fails_noted(const Fate *fate, uint64_t attempt)
+size_t job_records_acknowledged_failures(const TaskOutcome *task_outcome, uint64_t attempt)
 {
     size_t count = 0;
-    for (size_t i = 0; i < fate->fails; i++)
-        count += fate->fail_noted[i] && fate->failed[i] < attempt;
+    for (size_t i = 0; i < task_outcome->failure_count; i++)
+        count += task_outcome->failure_acknowledged[i] && task_outcome->failed_attempts[i] < attempt;
     return count;
 }
 
-bool job_records_spent(const JobRecord *job, const Fate *fate)
+bool job_records_attempts_spent(const JobRecord *job, const TaskOutcome *task_outcome)
 {
-    return !job->generated_job.lasting && fate->fails >= (uint64_t)job->kind->attempts;
+    return !job->generated_job.lasting && task_outcome->failure_count >= (uint64_t)job->kind->attempts;
 }
 
-/* All members of a gang share one fate. */
-static uint32_t owner(const TaskRecord *task)
+/* Returns a hash that identifies the task; all members of a gang have the same one, because they share an outcome. */
+static uint32_t identity_hash(const TaskRecord *task)
 {
     char text[80];
     const bool gang = job_records_step(task)->gang;
@@ -133,14 +134,14 @@
     return bytes_crc(text, strlen(text));
 }
 
-const char *job_records_saved(void *mem, const TaskRecord *task, int64_t progress_ms)
+const char *job_records_checkpoint_text(void *mem, const TaskRecord *task, int64_t progress_ms)
 {
     if (!task->job->generated_job.saves || progress_ms <= 0)
         return "";
-    return talloc_asprintf(mem, "%08" PRIx32 "%08" PRIx32, (uint32_t)progress_ms, owner(task));
+    return talloc_asprintf(mem, "%08" PRIx32 "%08" PRIx32, (uint32_t)progress_ms, identity_hash(task));
 }
 
-int64_t job_records_progress(const TaskRecord *task, const char *saved)
+int64_t job_records_checkpoint_ms(const TaskRecord *task, const char *saved)
 {
     if (saved[0] == '\0')
         return 0;
@@ -148,7 +149,7 @@
     if (strlen(saved) != 16 || strspn(saved, "0123456789abcdef") != 16)
         return -1;
     memcpy(part, saved + 8, 8);
-    if (strtoul(part, NULL, 16) != owner(task))
+    if (strtoul(part, NULL, 16) != identity_hash(task))
         return -1;
     memcpy(part, saved, 8);
     return (int64_t)strtoul(part, NULL, 16);
--- a/packages/model/src/job_records.h
+++ b/packages/model/src/job_records.h
@@ -3,79 +3,86 @@
 
 #include "topology.h"
 
-/* All jobs that were submitted, what workers really ran of them, and what callers were told. */
+/* Records of all submitted jobs: the attempts that workers ran, and the answers that callers received. */
 
-#define FAILS_MAX 32 /* count; of one task */
+#define FAILURES_MAX 32 /* count; failures recorded for one task */
 
-/* What became of a task, or of a gang as one. */
-typedef struct Fate {
-    bool done; /* a worker has completed it */
+/* The outcome of a task, or of a gang as a whole. */
+typedef struct TaskOutcome {
+    bool done; /* a worker has completed the task */
     int64_t done_ms;
-    int64_t noted_ms;           /* ... and was told that this is known; 0: not yet */
-    uint64_t failed[FAILS_MAX]; /* attempts that failed; a gang's failure counts once */
-    bool fail_noted[FAILS_MAX];
-    size_t fails;
-    int64_t fails_noted_ms;  /* when the last failure was acknowledged to the worker */
-    int64_t saved_ms;        /* the most progress that was ever reported */
-    uint64_t again_attempt;  /* an attempt that started after the task was done; 0: none. If an end before it is
-                             acknowledged, it was one too many */
-    uint64_t beyond_attempt; /* likewise after all its attempts had failed */
-} Fate;
+    int64_t acknowledged_ms;                /* when the completion was acknowledged to the worker; 0: not yet */
+    uint64_t failed_attempts[FAILURES_MAX]; /* attempts that failed; a gang's failure counts once */
+    bool failure_acknowledged[FAILURES_MAX];
+    size_t failure_count;
+    int64_t failures_acknowledged_ms; /* when the last failure was acknowledged to the worker */
+    int64_t saved_ms;                 /* maximum progress ever reported in a checkpoint */
+    uint64_t attempt_after_done; /* an attempt that started after the task was done; 0: none. The attempt breaks a rule
+                                    if the end of an earlier attempt is acknowledged */
+    uint64_t attempt_after_budget; /* likewise, an attempt that started after all allowed attempts had failed */
+} TaskOutcome;
 
+/* A task of a job. */
 typedef struct TaskRecord {
     struct JobRecord *job;
     TaskName name;
-    Fate *fate;
-    struct WorkerModelRun *live; /* runs on workers that are up, by next_live */
+    TaskOutcome *task_outcome;
+    struct WorkerModelRun *live; /* its attempts on running workers, linked by next_live */
 } TaskRecord;
 
+/* A submitted job. */
 typedef struct JobRecord {
     GeneratedJob generated_job;
     const SiteKind *kind;
-    size_t queue; /* of the document's first queues */
-    bool poison, timed;
+    size_t queue;       /* index of its queue in the document */
+    bool poison, timed; /* its tasks always fail; unused */
     TaskRecord *tasks;
-    size_t task_count, each_turn;
-    size_t step_first[GENERATED_JOB_STEPS_MAX];
-    int64_t sent_ms, accepted_ms; /* 0: not */
+    size_t task_count, tasks_per_turn;
+    size_t first_task_of_step[GENERATED_JOB_STEPS_MAX];
+    int64_t sent_ms, accepted_ms; /* 0: not yet */
     const TopologyNode *accepted_by;
-    int tries_open;                    /* attempts to submit it that may still be answered */
-    bool maybe;                        /* some attempt to submit it had no clear answer */
-    int64_t refused_ms;                /* since when every attempt to submit it was rejected; 0: not so */
-    int64_t cancel_sent_ms, cancel_ms; /* acknowledged */
+    int pending_submissions;                        /* submissions whose answer is pending */
+    bool outcome_unclear;                           /* a submission had no clear answer */
+    int64_t refused_ms;                             /* since when every submission was rejected; 0: not so */
+    int64_t cancel_sent_ms, cancel_acknowledged_ms; /* sent, and acknowledged; 0: not yet */
     JobWord shown;
-    int64_t shown_ms; /* its end; 0: not yet */
-    int64_t idle_ms;  /* since when nothing of it runs though there is capacity; 0: not so */
-    int64_t asked_ms; /* answered clearly after traffic ended */
+    int64_t shown_ms;      /* when its end was first shown; 0: not yet */
+    int64_t idle_since_ms; /* since when none of its tasks runs although there is capacity; 0: not so; -1: reported */
+    int64_t confirmed_ms;  /* when it was read with a clear answer after traffic ended; 0: not yet */
 } JobRecord;
 
+/* All jobs of a day. starts: attempts started. */
 typedef struct JobRecords {
     Topology *topology;
     Map *by_id;
     JobRecord **jobs;
     size_t count;
-    size_t starts, kinds[ATTEMPT_WORD_COUNT];
+    size_t starts, ends_by_word[ATTEMPT_WORD_COUNT];
 } JobRecords;
 
 JobRecords *job_records_new(void *mem, Topology *topology);
-/* The generated job is copied; its texts must last. */
+/* Adds a job. The generated job is copied; its texts must outlive the records. */
 JobRecord *job_records_add(JobRecords *records, const GeneratedJob *generated_job, const SiteKind *kind);
+/* Returns the job of this id, or null. */
 JobRecord *job_records_job(const JobRecords *records, const char *id);
-/* Null when there is no such task. */
+/* Returns the record of the task, or null if there is no such task. */
 TaskRecord *job_records_task(const JobRecords *records, const TaskName *name);
 const GeneratedJobStep *job_records_step(const TaskRecord *task);
-/* Whether all tasks that the step waits for are done. */
+/* Whether all tasks of the steps that the step depends on are done. */
 bool job_records_ready(const JobRecord *job, uint64_t turn, uint64_t step);
-/* When the turn may begin, on the true wall clock; 0: at once. */
+/* Time at which the turn may begin, on the true wall clock; 0: immediately. */
 int64_t job_records_due_wall_ms(const JobRecord *job, uint64_t turn);
+/* Whether all tasks are done; a lasting job never is. */
 bool job_records_done(const JobRecord *job);
-/* How many failed attempts before that one were acknowledged. */
-size_t job_records_fails_noted(const Fate *fate, uint64_t attempt);
-void job_records_fail(Fate *fate, uint64_t attempt);
-/* Whether its attempts are used up. */
-bool job_records_spent(const JobRecord *job, const Fate *fate);
-/* A checkpoint as a text that names its task, and the progress in such a text; -1: it is not of this task. */
-const char *job_records_saved(void *mem, const TaskRecord *task, int64_t progress_ms);
-int64_t job_records_progress(const TaskRecord *task, const char *saved);
+/* Number of failed attempts below attempt whose failure has been acknowledged. */
+size_t job_records_acknowledged_failures(const TaskOutcome *task_outcome, uint64_t attempt);
+/* Records that the attempt failed. */
+void job_records_add_failure(TaskOutcome *task_outcome, uint64_t attempt);
+/* Whether all allowed attempts have failed. */
+bool job_records_attempts_spent(const JobRecord *job, const TaskOutcome *task_outcome);
+/* Encodes a checkpoint as a text that identifies its task, and decodes the progress in such a text; -1: the
+ * checkpoint belongs to another task. */
+const char *job_records_checkpoint_text(void *mem, const TaskRecord *task, int64_t progress_ms);
+int64_t job_records_checkpoint_ms(const TaskRecord *task, const char *saved);
 
 #endif
--- a/packages/model/src/listener.c
+++ b/packages/model/src/listener.c
@@ -1,27 +1,28 @@
-/* The platform's load balancer for entry points: a health check each second, and the choice for a new connection. */
+/* The platform's load balancer for entry points: a health check every second, and the choice for a new connection. */
 #include "listener.h"
 
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#define HEALTH_CHECK_MS 1000 /* ms; between two health checks, and the time-out of one */
-#define MISSES_OUT 2
+#define HEALTH_CHECK_MS 1000 /* ms; interval and timeout of health checks */
+#define EJECT_MISSES 2       /* count; consecutive failures that eject an entry point */
 
-typedef struct Looking {
+/* The health check of one server. */
+typedef struct HealthCheck {
     Listener *listener;
     size_t server;
-} Looking;
+} HealthCheck;
 
 static void health_check_main(void *arg)
 {
-    Looking *looking = arg;
-    Listener *listener = looking->listener;
+    HealthCheck *check = arg;
+    Listener *listener = check->listener;
     const Topology *topology = listener->topology;
     Loop *loop = sim_loop(topology->world, listener->machine);
-    const TopologyNode *node = &topology->servers[looking->server];
+    const TopologyNode *node = &topology->servers[check->server];
     for (;;) {
-        void *mem = talloc_new(looking);
+        void *mem = talloc_new(check);
         HttpCall call = {.mem = mem,
                          .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, node->machine),
                                                     topology->codec->ready_port),
@@ -30,7 +31,7 @@
                          .wait_ms = HEALTH_CHECK_MS};
         const int64_t began_ms = loop_now_ms(loop);
         const bool ready = node->used && loop_call(loop, &call) == STATUS_OK && call.code == 200;
-        listener->misses[looking->server] = ready ? 0 : listener->misses[looking->server] + 1;
+        listener->misses[check->server] = ready ? 0 : listener->misses[check->server] + 1;
         talloc_free(mem);
         loop_sleep(loop, began_ms + HEALTH_CHECK_MS - loop_now_ms(loop));
     }
@@ -49,32 +50,33 @@
     topology_host(listener->topology, listener->machine);
     Loop *loop = sim_loop(listener->topology->world, listener->machine);
     for (size_t i = 0; i < listener->topology->server_count; i++) {
-        Looking *looking = talloc_zero(loop, Looking);
-        *looking = (Looking){listener, i};
-        loop_spawn(loop, "look", health_check_main, looking);
+        HealthCheck *check = talloc_zero(loop, HealthCheck);
+        *check = (HealthCheck){listener, i};
+        loop_spawn(loop, "look", health_check_main, check);
     }
 }
 
 TopologyNode *listener_entry(const Listener *listener, RandomSource *random_source, const char *zone)
 {
     Topology *topology = listener->topology;
-    TopologyNode *in[SERVERS_MAX], *all[SERVERS_MAX], *any[SERVERS_MAX];
-    int64_t in_count = 0, all_count = 0, any_count = 0;
+    TopologyNode *ready_in_zone[SERVERS_MAX], *all_in_zone[SERVERS_MAX], *ready_anywhere[SERVERS_MAX];
+    int64_t ready_in_zone_count = 0, all_in_zone_count = 0, ready_anywhere_count = 0;
     for (size_t i = 0; i < topology->server_count; i++) {
         TopologyNode *node = &topology->servers[i];
-        const bool here = strcmp(node->zone, zone) == 0, ready = listener->misses[i] < MISSES_OUT;
+        const bool in_zone = strcmp(node->zone, zone) == 0, ready = listener->misses[i] < EJECT_MISSES;
         if (!node->used || node->gone)
             continue;
-        if (here)
-            all[all_count++] = node;
-        if (here && ready)
-            in[in_count++] = node;
+        if (in_zone)
+            all_in_zone[all_in_zone_count++] = node;
+        if (in_zone && ready)
+            ready_in_zone[ready_in_zone_count++] = node;
         if (ready)
-            any[any_count++] = node;
+            ready_anywhere[ready_anywhere_count++] = node;
     }
-    if (in_count * 2 >= all_count && in_count > 0)
-        return in[random_source_span(random_source, 0, in_count - 1)];
-    if (in_count > 0 || any_count == 0)
-        return all_count > 0 ? all[random_source_span(random_source, 0, all_count - 1)] : &topology->servers[0];
-    return any[random_source_span(random_source, 0, any_count - 1)];
+    if (ready_in_zone_count * 2 >= all_in_zone_count && ready_in_zone_count > 0)
+        return ready_in_zone[random_source_between(random_source, 0, ready_in_zone_count - 1)];
+    if (ready_in_zone_count > 0 || ready_anywhere_count == 0)
+        return all_in_zone_count > 0 ? all_in_zone[random_source_between(random_source, 0, all_in_zone_count - 1)]
+                                     : &topology->servers[0];
+    return ready_anywhere[random_source_between(random_source, 0, ready_anywhere_count - 1)];
 }
--- a/packages/model/src/listener.h
+++ b/packages/model/src/listener.h
@@ -3,8 +3,8 @@
 
 #include "topology.h"
 
-/* The platform's load balancer for entry points: a health check (readiness) of each every second; two misses in a
- * row eject one until it is ready again. */
+/* The platform's load balancer for entry points. Each entry point is checked for readiness every second; two
+ * consecutive failures eject it until it is ready again. */
 typedef struct Listener {
     Topology *topology;
     int machine;
@@ -12,8 +12,9 @@
 } Listener;
 
 Listener *listener_new(void *mem, Topology *topology);
+/* Starts the health checks. */
 void listener_start(Listener *listener);
-/* The entry point that a new connection from the zone gets. */
+/* Chooses the entry point for a new connection from the zone. */
 TopologyNode *listener_entry(const Listener *listener, RandomSource *random_source, const char *zone);
 
 #endif
--- a/packages/model/src/operator_order.c
+++ b/packages/model/src/operator_order.c
@@ -1,22 +1,22 @@
-/* Requests of an operator: sent again until they are answered clearly, which must be in time. */
+/* Requests of the operator: repeated until there is a clear answer, which must come in time. */
 #include "operator_order.h"
 
 #include <inttypes.h>
 #include <talloc.h>
 
-#define ROUTE_MS 3 /* ms; an acknowledgement may take so much longer for each queue */
+#define ACKNOWLEDGEMENT_PER_QUEUE_MS 3 /* ms; additional time that an acknowledgement may take for each queue */
 
 Loop *operator_loop(const Operator *self)
 {
     return sim_loop(self->topology->world, self->machine);
 }
 
-TopologyNode *operator_node(Operator *self)
+TopologyNode *operator_random_node(Operator *self)
 {
     Topology *topology = self->topology;
     for (;;) {
         TopologyNode *node =
-            &topology->servers[random_source_span(&self->random_source, 0, (int64_t)topology->server_count - 1)];
+            &topology->servers[random_source_between(&self->random_source, 0, (int64_t)topology->server_count - 1)];
         if (node->used && !node->gone)
             return node;
     }
@@ -30,8 +30,8 @@
                                       : "unclear";
 }
 
-Outcome operator_ask(const Operator *self, void *mem, const TopologyNode *node, const char *method,
-                     const Worded *worded, Bytes *result)
+Outcome operator_call(const Operator *self, void *mem, const TopologyNode *node, const char *method,
+                      const Worded *worded, Bytes *result)
 {
     const Topology *topology = self->topology;
     const HttpPair heads[] = {{worded->head_name, worded->head_value}};
@@ -41,7 +41,7 @@
                      .method = method,
                      .path = worded->path,
                      .body = worded->body,
-                     .wait_ms = CALL_MOST_MS,
+                     .wait_ms = CALL_TIMEOUT_MS,
                      .heads = heads,
                      .head_count = worded->head_name != NULL};
     const Status status = loop_call(operator_loop(self), &call);
@@ -50,63 +50,64 @@
     return topology->codec->outcome(status == STATUS_OK ? call.code : 0);
 }
 
-/* While the controllers are settled and no link is cut, it must be acknowledged in time. */
-static void ack_check(Ordering *ordering)
+/* Checks that the request is acknowledged in time while the controllers are settled and there is no fault. */
+static void check_acknowledged_in_time(OperatorRequest *request)
 {
-    const Topology *topology = ordering->owner->topology;
+    const Topology *topology = request->owner->topology;
     const int64_t now_ms = topology_now_ms(topology);
-    if (ordering->late_notified || ordering->raced || ordering->over || !topology_settled(topology) ||
+    if (request->late_reported || request->concurrent || request->finished || !topology_settled(topology) ||
         !topology_calm(topology))
         return;
-    if (ordering->sent != NULL && ordering->sent->spoil != SPOIL_NONE)
+    if (request->sent != NULL && request->sent->spoil != SPOIL_NONE)
         return;
-    int64_t from_ms = ordering->sent_ms;
-    from_ms = topology->any_ms + topology->site->contact_ms > from_ms ? topology->any_ms + topology->site->contact_ms
-                                                                      : from_ms;
-    const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queue_count : 0;
-    if (now_ms - from_ms < topology->site->ack_ms + queues * ROUTE_MS)
+    int64_t from_ms = request->sent_ms;
+    from_ms = topology->any_fault_ms + topology->site->contact_ms > from_ms
+                  ? topology->any_fault_ms + topology->site->contact_ms
+                  : from_ms;
+    const int64_t queues = request->sent != NULL ? (int64_t)request->sent->document.queue_count : 0;
+    if (now_ms - from_ms < topology->site->ack_ms + queues * ACKNOWLEDGEMENT_PER_QUEUE_MS)
         return;
-    ordering->late_notified = true;
-    rules_broke(topology->rules, RULE_ACK, topology_day_ms(topology),
-                "%s %" PRIu64 " is not acknowledged after %" PRId64 " ms",
-                ordering->sent != NULL ? "document" : ordering->zone,
-                ordering->sent != NULL ? ordering->sent->document.version : 0, now_ms - from_ms);
+    request->late_reported = true;
+    rules_record_break(topology->rules, RULE_ACK, topology_day_ms(topology),
+                       "%s %" PRIu64 " is not acknowledged after %" PRId64 " ms",
+                       request->sent != NULL ? "document" : request->zone,
+                       request->sent != NULL ? request->sent->document.version : 0, now_ms - from_ms);
 }
 
-/* UNCLEAR: go on; else what ended it. */
-static Outcome order_once(Ordering *ordering, void *mem, const Worded *worded)
+/* Sends the request once. Returns OUTCOME_UNCLEAR if it must be repeated, otherwise the final outcome. */
+static Outcome send_once(OperatorRequest *request, void *mem, const Worded *worded)
 {
-    Operator *self = ordering->owner;
-    TopologyNode *node = operator_node(self);
-    const uint64_t life = node->life;
-    const Outcome outcome = operator_ask(self, mem, node, "POST", worded, NULL);
-    if (outcome == OUTCOME_GOOD && node->life == life) {
-        self->last_taker = node;
-        self->last_taken_ms = topology_now_ms(self->topology);
+    Operator *self = request->owner;
+    TopologyNode *node = operator_random_node(self);
+    const uint64_t incarnation = node->incarnation;
+    const Outcome outcome = operator_call(self, mem, node, "POST", worded, NULL);
+    if (outcome == OUTCOME_GOOD && node->incarnation == incarnation) {
+        self->last_acknowledger = node;
+        self->last_acknowledged_ms = topology_now_ms(self->topology);
     }
     return outcome == OUTCOME_GOOD || outcome == OUTCOME_STALE || outcome == OUTCOME_WRONG ? outcome : OUTCOME_UNCLEAR;
 }
 
-Outcome order_send(Ordering *ordering, const Worded *worded, int64_t for_ms)
+Outcome operator_request_send(OperatorRequest *request, const Worded *worded, int64_t for_ms)
 {
-    Operator *self = ordering->owner;
-    ordering->sent_ms = topology_now_ms(self->topology);
+    Operator *self = request->owner;
+    request->sent_ms = topology_now_ms(self->topology);
     int64_t pause_ms = 50;
     Outcome outcome = OUTCOME_UNCLEAR;
     self->orders++;
-    self->opened++;
-    while (outcome == OUTCOME_UNCLEAR && topology_now_ms(self->topology) - ordering->sent_ms < for_ms) {
-        void *mem = talloc_new(ordering);
-        outcome = order_once(ordering, mem, worded);
+    self->open_requests++;
+    while (outcome == OUTCOME_UNCLEAR && topology_now_ms(self->topology) - request->sent_ms < for_ms) {
+        void *mem = talloc_new(request);
+        outcome = send_once(request, mem, worded);
         talloc_free(mem);
-        ordering->over = outcome != OUTCOME_UNCLEAR;
-        ack_check(ordering);
+        request->finished = outcome != OUTCOME_UNCLEAR;
+        check_acknowledged_in_time(request);
         if (outcome == OUTCOME_UNCLEAR)
             loop_sleep(operator_loop(self), pause_ms);
         pause_ms = pause_ms < 400 ? pause_ms * 2 : pause_ms;
     }
-    ack_check(ordering);
-    self->opened--;
+    check_acknowledged_in_time(request);
+    self->open_requests--;
     self->unclear += outcome == OUTCOME_UNCLEAR;
     return outcome;
 }
--- a/packages/model/src/operator_order.h
+++ b/packages/model/src/operator_order.h
@@ -3,27 +3,29 @@
 
 #include "operator.h"
 
-#define CALL_MOST_MS 1000 /* ms; a silence after which another node is asked */
+#define CALL_TIMEOUT_MS 1000 /* ms; timeout after which another node is called */
 
-/* A request that is repeated until it is answered clearly. */
-typedef struct Ordering {
+/* A request that is repeated until there is a clear answer. */
+typedef struct OperatorRequest {
     Operator *owner;
-    Sent *sent; /* null: a zone's */
+    Sent *sent; /* null: a request about a zone */
     const char *zone;
-    bool drain, patch, raced;
-    Document from; /* what a patch begins with */
+    bool drain, patch, concurrent;
+    Document from; /* document that a patch applies to */
     int64_t sent_ms;
-    bool late_notified, over;
-} Ordering;
+    bool late_reported, finished;
+} OperatorRequest;
 
+/* The operator's event loop. */
 Loop *operator_loop(const Operator *self);
-/* Any node that has not gone for good: the operator's list may be out of date. */
-TopologyNode *operator_node(Operator *self);
+/* Returns a random node that is not permanently gone: the operator's list of nodes may be outdated. */
+TopologyNode *operator_random_node(Operator *self);
+/* Returns a word for the outcome, for log lines. */
 const char *outcome_word(Outcome outcome);
-/* Asks a node once; result may be NULL. */
-Outcome operator_ask(const Operator *self, void *mem, const TopologyNode *node, const char *method,
-                     const Worded *worded, Bytes *result);
-/* Sends the order until it is answered clearly, for so long; UNCLEAR: it never was. */
-Outcome order_send(Ordering *ordering, const Worded *worded, int64_t for_ms);
+/* Calls a node once; result may be null. */
+Outcome operator_call(const Operator *self, void *mem, const TopologyNode *node, const char *method,
+                      const Worded *worded, Bytes *result);
+/* Repeats the request until there is a clear answer, for at most for_ms. Returns OUTCOME_UNCLEAR if there was none. */
+Outcome operator_request_send(OperatorRequest *request, const Worded *worded, int64_t for_ms);
 
 #endif
--- a/packages/model/src/rules.c
+++ b/packages/model/src/rules.c
@@ -1,4 +1,4 @@
-/* The rules of a deployment: their names, and the breaks of a run. */
+/* The rules of a deployment: their names, and the record of a run's breaks. */
 #include "model/rules.h"
 
 #include <stdarg.h>
@@ -24,17 +24,17 @@
     return WORDS[rule];
 }
 
-void rules_broke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...)
+void rules_record_break(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...)
 {
     rules->broken[rule]++;
     rules->all++;
-    if (rules->reported_count == BREAKS_REPORTED)
+    if (rules->reported_count == BREAKS_RECORDED_MAX)
         return;
-    Break *one = &rules->reported[rules->reported_count++];
-    one->rule = rule;
-    one->at_ms = at_ms;
+    Break *recorded = &rules->reported[rules->reported_count++];
+    recorded->rule = rule;
+    recorded->at_ms = at_ms;
     va_list args;
     va_start(args, format);
-    vsnprintf(one->words, sizeof(one->words), format, args);
+    vsnprintf(recorded->words, sizeof(recorded->words), format, args);
     va_end(args);
 }
--- a/packages/model/src/sent_documents.c
+++ b/packages/model/src/sent_documents.c
@@ -1,4 +1,4 @@
-/* What the operator has sent, what each request came to, and which documents may be in force. */
+/* The documents that the operator has sent, their outcomes, and which of them may be in force. */
 #include "sent_documents.h"
 
 #include <inttypes.h>
@@ -22,21 +22,22 @@
     return sent;
 }
 
-void sent_documents_taken(SentDocuments *sent_documents, Sent *sent)
+void sent_documents_acknowledge(SentDocuments *sent_documents, Sent *sent)
 {
     Topology *topology = sent_documents->topology;
-    sent->word = SENT_TAKEN;
-    sent->taken_ms = topology_now_ms(topology);
+    sent->word = SENT_ACKNOWLEDGED;
+    sent->acknowledged_ms = topology_now_ms(topology);
     sent_documents->running = true;
     if (sent->spoil != SPOIL_NONE)
-        rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
-                    "invalid document %" PRIu64 " (%d) is acknowledged", sent->document.version, (int)sent->spoil);
+        rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology),
+                           "invalid document %" PRIu64 " (%d) is acknowledged", sent->document.version,
+                           (int)sent->spoil);
     for (size_t i = 0; i < sent_documents->count; i++) {
         const Sent *other = sent_documents->rows[i];
-        if (other != sent && other->word == SENT_TAKEN && other->base == sent->base)
-            rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
-                        "%" PRIu64 " and %" PRIu64 " are both acknowledged on top of %" PRIu64, other->document.version,
-                        sent->document.version, sent->base);
+        if (other != sent && other->word == SENT_ACKNOWLEDGED && other->base == sent->base)
+            rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology),
+                               "%" PRIu64 " and %" PRIu64 " are both acknowledged on top of %" PRIu64,
+                               other->document.version, sent->document.version, sent->base);
     }
 }
 
@@ -44,13 +45,13 @@
 {
     const Sent *newest = NULL;
     for (size_t i = 0; i < sent_documents->count; i++)
-        if (sent_documents->rows[i]->word == SENT_TAKEN &&
+        if (sent_documents->rows[i]->word == SENT_ACKNOWLEDGED &&
             (newest == NULL || sent_documents->rows[i]->document.version > newest->document.version))
             newest = sent_documents->rows[i];
     return newest;
 }
 
-static bool has(const Document *document, const char *host, const char *prefix)
+static bool document_has_queue(const Document *document, const char *host, const char *prefix)
 {
     for (size_t i = 0; i < document->queue_count; i++)
         if (strcmp(document->queues[i].host, host) == 0 && strcmp(document->queues[i].prefix, prefix) == 0)
@@ -58,62 +59,68 @@
     return false;
 }
 
-/* Whether the document may be in force: it is not rejected, not invalid, and not below least. */
-static bool may_be(const Sent *sent, uint64_t least)
+/* Whether the document may be in force: it is not rejected, not invalid, and its version is not below min_version. */
+static bool may_be_in_force(const Sent *sent, uint64_t min_version)
 {
-    return sent->word != SENT_REFUSED && sent->spoil == SPOIL_NONE && sent->document.version >= least;
+    return sent->word != SENT_REFUSED && sent->spoil == SPOIL_NONE && sent->document.version >= min_version;
 }
 
-static int has_from(const SentDocuments *sent_documents, const char *host, const char *prefix, uint64_t least)
+/* Whether a queue is in the documents of min_version and above that may be in force; result as for
+ * sent_documents_queue_state. */
+static int queue_state_from(const SentDocuments *sent_documents, const char *host, const char *prefix,
+                            uint64_t min_version)
 {
     bool some = false, all = true;
     for (size_t i = 0; i < sent_documents->count; i++)
-        if (may_be(sent_documents->rows[i], least)) {
-            const bool one = has(&sent_documents->rows[i]->document, host, prefix);
-            some |= one;
-            all &= one;
+        if (may_be_in_force(sent_documents->rows[i], min_version)) {
+            const bool has_queue = document_has_queue(&sent_documents->rows[i]->document, host, prefix);
+            some |= has_queue;
+            all &= has_queue;
         }
     return !some ? -1 : all ? 1 : 0;
 }
 
-int sent_documents_has(const SentDocuments *sent_documents, const char *host, const char *prefix, int64_t sent_ms)
+int sent_documents_queue_state(const SentDocuments *sent_documents, const char *host, const char *prefix,
+                               int64_t sent_ms)
 {
-    uint64_t least = 0;
+    uint64_t min_version = 0;
     for (size_t i = 0; i < sent_documents->count; i++) {
         const Sent *sent = sent_documents->rows[i];
-        if (sent->word == SENT_TAKEN && sent_ms > sent->taken_ms + sent_documents->topology->site->apply_ms &&
-            sent->document.version > least)
-            least = sent->document.version;
+        if (sent->word == SENT_ACKNOWLEDGED &&
+            sent_ms > sent->acknowledged_ms + sent_documents->topology->site->apply_ms &&
+            sent->document.version > min_version)
+            min_version = sent->document.version;
     }
-    return least == 0 ? 0 : has_from(sent_documents, host, prefix, least);
+    return min_version == 0 ? 0 : queue_state_from(sent_documents, host, prefix, min_version);
 }
 
-void sent_documents_shown(SentDocuments *sent_documents, TopologyNode *node, const char *host, const char *prefix,
-                          int64_t sent_ms, bool there)
+void sent_documents_check_answer(SentDocuments *sent_documents, TopologyNode *node, const char *host,
+                                 const char *prefix, int64_t sent_ms, bool exists)
 {
     Topology *topology = sent_documents->topology;
-    const char *word = there ? "there" : "not there";
-    const int known = sent_documents_has(sent_documents, host, prefix, sent_ms);
-    if (node_in_touch(node) && ((known > 0 && !there) || (known < 0 && there)))
-        rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology), "%s says that %s%s is %s", node->name,
-                    host, prefix, word);
-    if (node->saw_version != 0 && sent_ms > node->saw_ms + topology->site->revert_ms) {
-        const int seen = has_from(sent_documents, host, prefix, node->saw_version);
-        if ((seen > 0 && !there) || (seen < 0 && there))
-            rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
-                        "%s goes back behind %" PRIu64 ": %s%s is %s", node->name, node->saw_version, host, prefix,
-                        word);
+    const char *word = exists ? "there" : "not there";
+    const int expected = sent_documents_queue_state(sent_documents, host, prefix, sent_ms);
+    if (node_in_touch(node) && ((expected > 0 && !exists) || (expected < 0 && exists)))
+        rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology), "%s answers that queue %s%s is %s",
+                           node->name, host, prefix, word);
+    if (node->shown_version != 0 && sent_ms > node->shown_version_ms + topology->site->revert_ms) {
+        const int expected_since_shown = queue_state_from(sent_documents, host, prefix, node->shown_version);
+        if ((expected_since_shown > 0 && !exists) || (expected_since_shown < 0 && exists))
+            rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology),
+                               "%s reverts to a version before %" PRIu64 ": queue %s%s is %s", node->name,
+                               node->shown_version, host, prefix, word);
     }
-    /* the oldest document from which on it is so: what it shows is at least that */
-    uint64_t least = UINT64_MAX;
+    /* The lowest version that may be in force and gives this answer: the node has applied at least that one. */
+    uint64_t min_version = UINT64_MAX;
     for (size_t i = 0; i < sent_documents->count; i++) {
         const Sent *sent = sent_documents->rows[i];
-        if (may_be(sent, 0) && has(&sent->document, host, prefix) == there && sent->document.version < least)
-            least = sent->document.version;
+        if (may_be_in_force(sent, 0) && document_has_queue(&sent->document, host, prefix) == exists &&
+            sent->document.version < min_version)
+            min_version = sent->document.version;
     }
-    if (least != UINT64_MAX && least > node->saw_version) {
-        node->saw_version = least;
-        node->saw_ms = topology_now_ms(topology);
+    if (min_version != UINT64_MAX && min_version > node->shown_version) {
+        node->shown_version = min_version;
+        node->shown_version_ms = topology_now_ms(topology);
     }
 }
 
--- a/packages/model/src/sent_documents.h
+++ b/packages/model/src/sent_documents.h
@@ -3,45 +3,52 @@
 
 #include "topology.h"
 
-/* What the operator has sent, and what each request came to. */
-typedef enum SentWord { SENT_OPEN, SENT_TAKEN, SENT_REFUSED } SentWord;
+/* The documents and zone requests that the operator has sent, and their outcomes. */
+typedef enum SentStatus { SENT_OPEN, SENT_ACKNOWLEDGED, SENT_REFUSED } SentStatus;
 
+/* A document that was sent. base: the version that it replaces. */
 typedef struct Sent {
     Document document;
     uint64_t base;
     Spoil spoil;
-    SentWord word;
-    int64_t sent_ms, taken_ms;
+    SentStatus word;
+    int64_t sent_ms, acknowledged_ms;
 } Sent;
 
+/* The state of a zone's draining. */
 typedef struct ZoneOrder {
     const char *zone;
-    int64_t drained_ms; /* when it was acknowledged; 0: not, or undone since */
-    int64_t back_sent_ms;
-    bool open; /* an order is under way */
+    int64_t drained_ms;   /* when draining was acknowledged; 0: not drained */
+    int64_t back_sent_ms; /* when the request to take the zone back was sent; 0: none pending */
+    bool open;            /* a request is in progress */
 } ZoneOrder;
 
-/* Invariant: rows are in the order of sending. */
+/* Invariant: rows are in the order in which they were sent. */
 typedef struct SentDocuments {
     Topology *topology;
     Sent **rows;
     size_t count;
     ZoneOrder zones[4];
     size_t zone_count;
-    bool running; /* the first document has been acknowledged */
+    bool running; /* a document has been acknowledged */
 } SentDocuments;
 
 SentDocuments *sent_documents_new(void *mem, Topology *topology);
+/* Records that a document is sent. */
 Sent *sent_documents_send(SentDocuments *sent_documents, const Document *document, uint64_t base, Spoil spoil);
-void sent_documents_taken(SentDocuments *sent_documents, Sent *sent);
-/* The newest that was acknowledged; null: none. */
+/* Records that a document was acknowledged, and checks that this is allowed. */
+void sent_documents_acknowledge(SentDocuments *sent_documents, Sent *sent);
+/* Returns the acknowledged document of the highest version, or null. */
 const Sent *sent_documents_newest(const SentDocuments *sent_documents);
-/* Whether a queue is in the documents that may be in force for a request of that time: 1 in all, -1 in none, 0 in
+/* Whether a queue is in the documents that may be in force for a request sent at sent_ms: 1 in all, -1 in none, 0 in
  * some. */
-int sent_documents_has(const SentDocuments *sent_documents, const char *host, const char *prefix, int64_t sent_ms);
-/* An entry point has answered as if it had the queue, or not, to a request sent at that time: checks that. */
-void sent_documents_shown(SentDocuments *sent_documents, TopologyNode *node, const char *host, const char *prefix,
-                          int64_t sent_ms, bool there);
+int sent_documents_queue_state(const SentDocuments *sent_documents, const char *host, const char *prefix,
+                               int64_t sent_ms);
+/* Checks the answer of an entry point to a request sent at sent_ms, which shows whether the entry point has the
+ * queue (there). */
+void sent_documents_check_answer(SentDocuments *sent_documents, TopologyNode *node, const char *host,
+                                 const char *prefix, int64_t sent_ms, bool exists);
+/* Returns the state of a zone. */
 ZoneOrder *sent_documents_zone(SentDocuments *sent_documents, const char *zone);
 
 #endif
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -6,7 +6,8 @@
 
 #include <glib.h>
 
-static Site site_first(const char *name)
+/* Returns a site with the default values. */
+static Site site_default(const char *name)
 {
     Site site = {
 #define X(name, outside, otherwise, meaning) .name = otherwise,
@@ -29,8 +30,8 @@
     return kind;
 }
 
-/* Few large workers, heavy work among quick. */
-static void tiles(Site *site)
+/* The built-in site "tiles": few large workers, with heavy and short jobs. */
+static void add_tiles(Site *site)
 {
     SiteKind *rebuild = kind_add(site, "rebuild");
     rebuild->per_minute = 32;
@@ -75,8 +76,8 @@
     check->lasting_percent = 1;
 }
 
-/* Small workers that bound what may run: many small tasks. */
-static void registry(Site *site)
+/* The built-in site "registry": small workers that limit what can run, and many small tasks. */
+static void set_registry(Site *site)
 {
     site->entry_points = 4;
     site->worker_model_cpu_milli = 16000;
@@ -84,7 +85,7 @@
     site->lease_max_ms = 6000;
     site->save_ms = 2000;
     site->restore_ms = 600;
-    tiles(site);
+    add_tiles(site);
     static const char *const NAMES[] = {"reindex", "collect", "refresh"};
     static const int64_t PER_MINUTE[] = {40, 75, 355}, CPU[] = {2900, 800, 1100}, MEM[] = {9000, 2400, 3300};
     for (size_t i = 0; i < site->kind_count; i++) {
@@ -98,17 +99,18 @@
 
 bool site_named(const char *name, Site *site)
 {
-    *site = site_first(name);
+    *site = site_default(name);
     if (strcmp(name, "tiles") == 0)
-        tiles(site);
+        add_tiles(site);
     else if (strcmp(name, "registry") == 0)
-        registry(site);
+        set_registry(site);
     else
         return false;
     return true;
 }
 
-static bool site_field(Site *site, const char *key, int64_t value)
+/* Sets the value of a key; returns false if there is no such key. */
+static bool site_set_field(Site *site, const char *key, int64_t value)
 {
 #define X(name, outside, otherwise, meaning) \
     if (strcmp(key, outside) == 0) {         \
@@ -120,7 +122,7 @@
     return false;
 }
 
-static bool kind_field(SiteKind *kind, const char *key, int64_t value)
+static bool kind_set_field(SiteKind *kind, const char *key, int64_t value)
 {
 #define X(name, outside, otherwise, meaning) \
     if (strcmp(key, outside) == 0) {         \
@@ -132,12 +134,12 @@
     return false;
 }
 
-static Status group_read(GKeyFile *file, const char *group, Site *site, Failure *failure)
+static Status read_group(GKeyFile *file, const char *group, Site *site, Failure *failure)
 {
-    const bool whole = strcmp(group, "site") == 0;
-    if (!whole && site->kind_count == SITE_KINDS_MAX)
+    const bool is_site_group = strcmp(group, "site") == 0;
+    if (!is_site_group && site->kind_count == SITE_KINDS_MAX)
         return failure_set(failure, STATUS_BAD_SETTINGS, "[%s]: there are too many kinds", group);
-    SiteKind *kind = whole ? NULL : kind_add(site, group);
+    SiteKind *kind = is_site_group ? NULL : kind_add(site, group);
     gsize count = 0;
     char **keys = g_key_file_get_keys(file, group, &count, NULL);
     Status status = STATUS_OK;
@@ -146,7 +148,7 @@
         const int64_t value = g_key_file_get_int64(file, group, keys[i], &error);
         if (error != NULL || value < 0)
             status = failure_set(failure, STATUS_BAD_SETTINGS, "[%s] %s: must be a number", group, keys[i]);
-        else if (whole ? !site_field(site, keys[i], value) : !kind_field(kind, keys[i], value))
+        else if (is_site_group ? !site_set_field(site, keys[i], value) : !kind_set_field(kind, keys[i], value))
             status = failure_set(failure, STATUS_BAD_SETTINGS, "[%s] %s: there is no such key", group, keys[i]);
         g_clear_error(&error);
     }
@@ -159,18 +161,18 @@
     GKeyFile *file = g_key_file_new();
     GError *error = NULL;
     Status status = STATUS_OK;
-    *site = site_first("own");
+    *site = site_default("own");
     if (!g_key_file_load_from_file(file, path, G_KEY_FILE_NONE, &error)) {
         status = failure_set(failure, STATUS_BAD_SETTINGS, "%s: %s", path, error->message);
         g_error_free(error);
     }
     char **groups = status == STATUS_OK ? g_key_file_get_groups(file, NULL) : NULL;
     for (size_t i = 0; groups != NULL && groups[i] != NULL && status == STATUS_OK; i++)
-        status = group_read(file, groups[i], site, failure);
+        status = read_group(file, groups[i], site, failure);
     g_strfreev(groups);
     g_key_file_free(file);
     if (status == STATUS_OK && site->kind_count == 0)
-        tiles(site);
+        add_tiles(site);
     if (status == STATUS_OK && (site->controllers < 3 || site->worker_models < 1 || site->worker_models > 40 ||
                                 site->controllers + site->spares > 16 || site->entry_points > 16 || site->zones < 1 ||
                                 site->zones > 4 || site->rack_worker_models < 1))
--- a/packages/model/src/topology.c
+++ b/packages/model/src/topology.c
@@ -1,4 +1,4 @@
-/* The machines of a site in one simulated world: made, started, dumped. */
+/* The machines of a site in one simulated world: their creation and start. */
 #include "topology.h"
 
 #include <stdio.h>
@@ -6,7 +6,7 @@
 #include <talloc.h>
 #include <unistd.h>
 
-/* --- what the checker of leaders asks ------------------------------------------------- */
+/* --- callbacks of the checker of leaders --------------------------------------------- */
 
 static int64_t check_now(void *arg)
 {
@@ -27,7 +27,7 @@
     return NULL;
 }
 
-/* --- making ------------------------------------------------------------------------------ */
+/* --- creation ---------------------------------------------------------------------------- */
 
 static int topology_free(Topology *topology)
 {
@@ -35,16 +35,17 @@
     return 0;
 }
 
-static TopologyNode *node_add(Topology *topology, bool side, bool disk, int64_t number, int64_t zone)
+static TopologyNode *node_add(Topology *topology, bool is_agent, bool disk, int64_t number, int64_t zone)
 {
-    TopologyNode *node = side ? &topology->sides[topology->side_count++] : &topology->servers[topology->server_count++];
+    TopologyNode *node =
+        is_agent ? &topology->agents[topology->agent_count++] : &topology->servers[topology->server_count++];
     *node = (TopologyNode){.topology = topology,
                            .zone = site_zone(zone),
                            .machine = sim_machine(topology->world),
-                           .side = side,
+                           .is_agent = is_agent,
                            .disk = disk,
                            .counted = disk};
-    snprintf(node->name, sizeof(node->name), "%s%d", side ? "side" : disk ? "core" : "gate", (int)number + 1);
+    snprintf(node->name, sizeof(node->name), "%s%d", is_agent ? "side" : disk ? "core" : "gate", (int)number + 1);
     node->recorder = recorder_new(topology, node->name);
     recorder_quiet(node->recorder);
     return node;
@@ -75,7 +76,7 @@
     return topology;
 }
 
-static void nothing(void *arg, Loop *loop)
+static void empty_process(void *arg, Loop *loop)
 {
     (void)arg;
     (void)loop;
@@ -83,23 +84,23 @@
 
 void topology_host(const Topology *topology, int machine)
 {
-    sim_start(topology->world, machine, nothing, NULL);
+    sim_start(topology->world, machine, empty_process, NULL);
 }
 
 void topology_start(Topology *topology)
 {
-    topology->began_ms = topology_now_ms(topology) + topology->site->lead_ms;
+    topology->traffic_start_ms = topology_now_ms(topology) + topology->site->lead_ms;
     for (size_t i = 0; i < topology->server_count; i++)
         if (topology->servers[i].used)
             node_start(&topology->servers[i]);
-    for (size_t i = 0; i < topology->side_count; i++)
-        node_start(&topology->sides[i]);
+    for (size_t i = 0; i < topology->agent_count; i++)
+        node_start(&topology->agents[i]);
 }
 
 void topology_dump(const Topology *topology)
 {
-    for (size_t i = 0; i < topology->server_count && topology->loud; i++)
+    for (size_t i = 0; i < topology->server_count && topology->verbose; i++)
         recorder_dump(topology->servers[i].recorder, stderr);
-    for (size_t i = 0; i < topology->side_count && topology->loud; i++)
-        recorder_dump(topology->sides[i].recorder, stderr);
+    for (size_t i = 0; i < topology->agent_count && topology->verbose; i++)
+        recorder_dump(topology->agents[i].recorder, stderr);
 }
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_TOPOLOGY_H
 #define MODEL_SRC_TOPOLOGY_H
 
-/* The machines that the product runs on in a modelled deployment. */
+/* The machines of a modelled deployment that run the product. */
 
 #include "adapter/adapter.h"
 #include "model/random_source.h"
@@ -11,96 +11,98 @@
 #include "sim/world.h"
 
 #define SERVERS_MAX 32
-#define SIDES_MAX 40
+#define AGENTS_MAX 40
 
-/* A machine of the product with its one process. Invariant: fault_ms is when its last fault ended or happened,
- * INT64_MAX while one lasts. */
+/* A machine of the product with its one process.
+ *
+ * Invariant: fault_ms is the time at which its last fault ended or occurred, INT64_MAX while one lasts. */
 typedef struct TopologyNode {
     struct Topology *topology;
     char name[24];
     const char *zone;
     int machine;
-    bool side, disk, counted;
-    bool used; /* false: a spare that has not been started */
-    bool gone; /* gone for good */
-    bool up, leaving;
-    uint64_t life;
+    bool is_agent, disk, counted; /* an agent; a controller; unused */
+    bool used;                    /* false: a spare machine that has not been started */
+    bool gone;                    /* permanently gone */
+    bool up, leaving;             /* the process has started; it is shutting down gracefully */
+    uint64_t incarnation;         /* number of its current process */
     int64_t fault_ms;
-    int faults; /* faults that last now */
+    int faults; /* number of lasting faults */
     AdapterSettings place;
     AdapterNode node;
     Recorder *recorder;
-    void *mem;            /* of the process that runs */
-    uint64_t saw_version; /* the newest document whose effect this process has shown */
-    int64_t saw_ms;
+    void *mem;              /* of the running process */
+    uint64_t shown_version; /* newest document whose effect the process has shown */
+    int64_t shown_version_ms;
 } TopologyNode;
 
-/* All machines of a site in one world, and what is known of their health. */
+/* All machines of a site in one world, and the state of their health. */
 typedef struct Topology {
     SimWorld *world;
     const Site *site;
     const Codec *codec;
     const Adapter *adapter;
     Rules *rules;
-    Checker *checker; /* checks leaders only */
+    Checker *checker; /* checks only that there are not two leaders */
     uint64_t seed;
-    char folder[32];  /* settings files */
-    int64_t began_ms; /* traffic begins */
-    TopologyNode servers[SERVERS_MAX], sides[SIDES_MAX];
-    size_t server_count, side_count;
-    int64_t controller_ms; /* last fault of any controller, as fault_ms */
-    int controller_faults;
-    int any_faults;
-    int64_t any_ms; /* of any machine or worker, beyond what is planned */
-    bool loud;
-    const char *job; /* the job to follow; null: none */
+    char folder[32];          /* for settings files */
+    int64_t traffic_start_ms; /* time at which traffic starts */
+    TopologyNode servers[SERVERS_MAX], agents[AGENTS_MAX];
+    size_t server_count, agent_count;
+    int64_t controller_fault_ms; /* last fault of any controller, like fault_ms */
+    int controller_faults;       /* number of lasting faults of controllers */
+    int fault_count_all;         /* number of lasting faults */
+    int64_t any_fault_ms;        /* last unplanned fault of any machine or worker, like fault_ms */
+    bool verbose;
+    const char *job; /* job whose events are printed; null: none */
 } Topology;
 
 /* --- topology.c --- */
-/* All machines and their checker, on mem; nothing runs yet. */
+/* Creates all machines and their checker on mem; no process runs yet. */
 Topology *topology_new(void *mem, const Site *site, const Codec *codec, uint64_t seed, Rules *rules);
-/* Starts all machines but the spares; traffic begins after the site's lead_ms. */
+/* Starts all machines except spares; traffic starts after the site's lead_ms. */
 void topology_start(Topology *topology);
-/* Prints the flight recorders of all machines, when the day is loud. */
+/* Prints the flight recorders of all machines in verbose mode. */
 void topology_dump(const Topology *topology);
 
-/* Starts an empty process on a machine of the model's own, for callers and the like: its tasks are spawned later. */
+/* Starts an empty process on a machine of the model itself, such as a caller's; its coroutines are spawned later. */
 void topology_host(const Topology *topology, int machine);
 
-/* --- topology_log.c --- */
+/* --- topology_log_task.c --- */
+/* The world's clock. */
 int64_t topology_now_ms(const Topology *topology);
-/* Since traffic began; negative before. */
+/* Time since traffic started; negative before. */
 int64_t topology_day_ms(const Topology *topology);
-/* Prints a line with its time, when the day is loud. */
-void topology_say(const Topology *topology, const char *format, ...) __attribute__((format(printf, 2, 3)));
-/* Prints what happens to a task, when its job is the one to follow. */
-void topology_log(const Topology *topology, const TaskName *name, const char *format, ...)
+/* Prints a line with its time in verbose mode. */
+void topology_log(const Topology *topology, const char *format, ...) __attribute__((format(printf, 2, 3)));
+/* Prints an event of a task if its job is the one whose events are printed. */
+void topology_log_task(const Topology *topology, const TaskName *name, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
 /* --- topology_node.c: a machine's process --- */
-/* No effect while one runs. */
+/* Starts the process; no effect while it runs. */
 void node_start(TopologyNode *node);
-/* power: the machine loses power, so that what its disk has not synced is lost. */
+/* Kills the process. power: the machine loses power, so that unsynced writes are lost. */
 void node_kill(TopologyNode *node, bool power);
-/* A graceful shutdown, by force after the site's grace_ms; then it is started again. */
+/* Restarts the process: a graceful shutdown, forced after the site's grace_ms, then a start. */
 void node_roll(TopologyNode *node);
 
 /* --- topology_health.c --- */
-/* Cuts a machine off from all others, or joins it to them again. */
+/* Cuts a machine off from all others, or reconnects it. */
 void node_cut(TopologyNode *node, bool cut);
-/* Cuts or joins the link between two machines. */
+/* Cuts or restores the link between two machines. */
 void topology_cut(TopologyNode *a, TopologyNode *b, bool cut);
-/* Its process stands still for this long. */
+/* Suspends the machine's process for this time. */
 void node_freeze(TopologyNode *node, int64_t for_ms);
-/* A fault of the machine that lasts begins (1) or ends (-1), or one happens (0). */
+/* Records that a lasting fault of the machine begins (1) or ends (-1), or that a momentary one occurs (0). */
 void node_fault(TopologyNode *node, int change);
-/* Most controllers run, and no controller has had a fault for contact_ms. */
+/* Whether a majority of the controllers runs, and no controller has had a fault for the site's contact_ms. */
 bool topology_settled(const Topology *topology);
-/* The same of this machine, and topology_settled. */
+/* Whether this machine runs and has had no fault for contact_ms, and the topology is settled. */
 bool node_in_touch(const TopologyNode *node);
-/* Nothing but planned work has happened anywhere for contact_ms. */
+/* Whether there has been no unplanned fault anywhere for contact_ms. */
 bool topology_calm(const Topology *topology);
-/* The controller that leads; null: none that runs. */
+/* Returns the running controller that leads; null: there is none. */
 TopologyNode *topology_leader(Topology *topology);
 
 #endif
--- a/packages/model/src/topology_health.c
+++ b/packages/model/src/topology_health.c
@@ -1,4 +1,4 @@
-/* Links between machines, and the health of machines as the rules reckon it. */
+/* Links between machines, and the machines' health, on which the rules depend. */
 #include "topology.h"
 
 void node_fault(TopologyNode *node, int change)
@@ -7,12 +7,12 @@
     const int64_t now_ms = topology_now_ms(topology);
     node->faults += change;
     node->fault_ms = node->faults > 0 ? INT64_MAX : now_ms;
-    topology->any_faults += change;
-    topology->any_ms = topology->any_faults > 0 ? INT64_MAX : now_ms;
+    topology->fault_count_all += change;
+    topology->any_fault_ms = topology->fault_count_all > 0 ? INT64_MAX : now_ms;
     if (!node->disk)
         return;
     topology->controller_faults += change;
-    topology->controller_ms = topology->controller_faults > 0 ? INT64_MAX : now_ms;
+    topology->controller_fault_ms = topology->controller_faults > 0 ? INT64_MAX : now_ms;
 }
 
 void topology_cut(TopologyNode *a, TopologyNode *b, bool cut)
@@ -29,10 +29,10 @@
 void node_cut(TopologyNode *node, bool cut)
 {
     Topology *topology = node->topology;
-    /* an agent's machine speaks to controllers and entry points only: other agents are not affected */
-    for (size_t i = 0; i < topology->server_count + topology->side_count; i++) {
+    /* An agent's machine communicates only with controllers and entry points: other agents are not affected. */
+    for (size_t i = 0; i < topology->server_count + topology->agent_count; i++) {
         TopologyNode *other =
-            i < topology->server_count ? &topology->servers[i] : &topology->sides[i - topology->server_count];
+            i < topology->server_count ? &topology->servers[i] : &topology->agents[i - topology->server_count];
         if (other == node)
             continue;
         sim_cut(topology->world, node->machine, other->machine, cut);
@@ -41,7 +41,7 @@
     node_fault(node, cut ? 1 : -1);
 }
 
-static void thawed(void *arg)
+static void on_thawed(void *arg)
 {
     node_fault(arg, -1);
 }
@@ -51,10 +51,11 @@
     Topology *topology = node->topology;
     sim_freeze(topology->world, node->machine, topology_now_ms(topology) + for_ms);
     node_fault(node, 1);
-    sim_at(topology->world, topology_now_ms(topology) + for_ms, thawed, node);
+    sim_at(topology->world, topology_now_ms(topology) + for_ms, on_thawed, node);
 }
 
-static bool since(int64_t fault_ms, int64_t now_ms, int64_t span_ms)
+/* Whether the last fault ended at least span_ms ago. */
+static bool quiet_for(int64_t fault_ms, int64_t now_ms, int64_t span_ms)
 {
     return fault_ms != INT64_MAX && now_ms - fault_ms >= span_ms;
 }
@@ -67,19 +68,21 @@
         all += node->disk && node->used && !node->gone;
         running += node->disk && node->up && !node->gone;
     }
-    return running * 2 > all && since(topology->controller_ms, topology_now_ms(topology), topology->site->contact_ms);
+    return running * 2 > all &&
+           quiet_for(topology->controller_fault_ms, topology_now_ms(topology), topology->site->contact_ms);
 }
 
 bool node_in_touch(const TopologyNode *node)
 {
     const Topology *topology = node->topology;
-    return node->up && !node->leaving && since(node->fault_ms, topology_now_ms(topology), topology->site->contact_ms) &&
+    return node->up && !node->leaving &&
+           quiet_for(node->fault_ms, topology_now_ms(topology), topology->site->contact_ms) &&
            topology_settled(topology);
 }
 
 bool topology_calm(const Topology *topology)
 {
-    return since(topology->any_ms, topology_now_ms(topology), topology->site->contact_ms);
+    return quiet_for(topology->any_fault_ms, topology_now_ms(topology), topology->site->contact_ms);
 }
 
 TopologyNode *topology_leader(Topology *topology)
--- a/packages/model/src/topology_log.c
+++ b/packages/model/src/topology_log.c
@@ -1,4 +1,4 @@
-/* The clock of a day, and what it prints when it is loud. */
+/* The clock of a day, and its log output. */
 #include "topology.h"
 
 #include <inttypes.h>
@@ -13,12 +13,12 @@
 
 int64_t topology_day_ms(const Topology *topology)
 {
-    return sim_now_ms(topology->world) - topology->began_ms;
+    return sim_now_ms(topology->world) - topology->traffic_start_ms;
 }
 
-void topology_say(const Topology *topology, const char *format, ...)
+void topology_log(const Topology *topology, const char *format, ...)
 {
-    if (!topology->loud)
+    if (!topology->verbose)
         return;
     va_list args;
     va_start(args, format);
@@ -28,7 +28,7 @@
     va_end(args);
 }
 
-void topology_log(const Topology *topology, const TaskName *name, const char *format, ...)
+void topology_log_task(const Topology *topology, const TaskName *name, const char *format, ...)
 {
     if (topology->job == NULL || strcmp(topology->job, name->job) != 0)
         return;
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -6,16 +6,17 @@
 #include <string.h>
 #include <talloc.h>
 
-#define ANSWER_MOST_MS 1000    /* ms; an answer that takes longer is dropped */
-#define UPDATE_GAP_MS 50       /* ms; from an end to the heartbeat that reports it */
-#define HEARTBEAT_AGAIN_MS 300 /* ms; after a heartbeat that failed */
-#define LEAVE_ANYWAY_MS 4000   /* ms; it shuts down this long after it had to, although nobody has acknowledged that */
-#define ENDS_AT_ONCE 500       /* count; in one heartbeat */
+#define ANSWER_TIMEOUT_MS 1000 /* ms; timeout of a heartbeat; a later answer is ignored */
+#define UPDATE_GAP_MS 50       /* ms; delay of the heartbeat that reports an end, so that it can report several */
+#define HEARTBEAT_RETRY_MS 300 /* ms; interval after a failed heartbeat */
+#define LEAVE_TIMEOUT_MS \
+    4000 /* ms; a worker shuts down this long after its time to leave, even if its leaving was not acknowledged */
+#define HEARTBEAT_ENDS_MAX 500 /* count; maximum number of ends in one heartbeat */
 
-void worker_model_pace(WorkerModel *worker_model)
+void worker_model_update_pace(WorkerModel *worker_model)
 {
     for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
-        worker_group_pace(run->worker_group);
+        worker_group_update_rate(run->worker_group);
         for (size_t i = 0; i < run->worker_group->count; i++)
             signal_raise(run->worker_group->members[i]->worker_model->loop,
                          &run->worker_group->members[i]->worker_model->work);
@@ -24,21 +25,21 @@
 
 void worker_model_slow(WorkerModel *worker_model, int64_t times)
 {
-    worker_model->slow_times = times;
+    worker_model->slow_factor = times;
     if (worker_model->up)
-        worker_model_pace(worker_model);
+        worker_model_update_pace(worker_model);
 }
 
 void worker_model_hang(WorkerModel *worker_model, bool hangs)
 {
     worker_model->hangs = hangs;
     if (worker_model->up)
-        worker_model_pace(worker_model);
+        worker_model_update_pace(worker_model);
 }
 
 /* --- heartbeats --------------------------------------------------------------------------------------------- */
 
-static void report_fill(WorkerModel *worker_model, void *mem, WorkerModelReport *report)
+static void fill_report(WorkerModel *worker_model, void *mem, WorkerModelReport *report)
 {
     const int64_t now_ms = topology_now_ms(worker_model->worker_models->topology);
     size_t count = 0;
@@ -57,53 +58,55 @@
         .clock_ms = loop_now_ms(worker_model->loop),
         .sequence = ++worker_model->sequence,
         .running = talloc_zero_array(mem, WorkerModelRunning, (unsigned)count),
-        .ended = talloc_zero_array(mem, WorkerModelEnded, ENDS_AT_ONCE)};
+        .ended = talloc_zero_array(mem, WorkerModelEnded, HEARTBEAT_ENDS_MAX)};
     for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
         worker_group_advance(run->worker_group);
         const int64_t work_ms = run->worker_group->work_us / 1000;
-        report->running[report->running_count++] = (WorkerModelRunning){
-            run->task->name, run->attempt, job_records_saved(mem, run->task, worker_model_saved_ms(run, false)),
-            work_ms > 0 ? (int)(worker_group_progress_ms(run->worker_group) * 100 / work_ms) : 0};
+        report->running[report->running_count++] =
+            (WorkerModelRunning){run->task->name, run->attempt,
+                                 job_records_checkpoint_text(mem, run->task, worker_model_saved_ms(run, false)),
+                                 work_ms > 0 ? (int)(worker_group_progress_ms(run->worker_group) * 100 / work_ms) : 0};
     }
-    for (size_t i = 0; i < worker_model->end_count && i < ENDS_AT_ONCE; i++)
+    for (size_t i = 0; i < worker_model->end_count && i < HEARTBEAT_ENDS_MAX; i++)
         report->ended[report->ended_count++] = worker_model->ends[i].reported;
 }
 
-static void leave_acked(WorkerModel *worker_model)
+static void record_leave_acknowledged(WorkerModel *worker_model)
 {
     if (!worker_model->leaving || worker_model->leave_ack_ms != 0)
         return;
     worker_model->leave_ack_ms = topology_now_ms(worker_model->worker_models->topology);
-    worker_model->leave_ack_touch = node_in_touch(worker_model->side);
+    worker_model->leave_ack_in_touch = node_in_touch(worker_model->agent_node);
 }
 
-/* Sends a heartbeat; returns how long until the next is due. */
-static int64_t heartbeat_once(WorkerModel *worker_model, void *mem)
+/* Sends a heartbeat; returns the time until the next one is due, in ms. */
+static int64_t send_heartbeat(WorkerModel *worker_model, void *mem)
 {
     const Topology *topology = worker_model->worker_models->topology;
     const Codec *codec = topology->codec;
     WorkerModelReport report;
-    report_fill(worker_model, mem, &report);
+    fill_report(worker_model, mem, &report);
     worker_model->update_open = false;
     const bool leaving = report.leaving;
     HttpCall call = {.mem = mem,
-                     .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, worker_model->side->machine),
-                                                codec->operator_port),
+                     .address =
+                         talloc_asprintf(mem, "%s:%d", sim_address(topology->world, worker_model->agent_node->machine),
+                                         codec->operator_port),
                      .method = "POST",
                      .path = codec->heartbeat_path(mem, worker_model->boot, false),
                      .body = codec->report(mem, &report),
-                     .wait_ms = ANSWER_MOST_MS};
+                     .wait_ms = ANSWER_TIMEOUT_MS};
     const int64_t sent_ms = loop_now_ms(worker_model->loop);
     const Status status = loop_call(worker_model->loop, &call);
     WorkerModelOrders *orders = talloc_zero(mem, WorkerModelOrders);
     if (status != STATUS_OK || call.code < 200 || call.code > 299 ||
-        loop_now_ms(worker_model->loop) - sent_ms > ANSWER_MOST_MS || !codec->orders(mem, call.result, orders)) {
+        loop_now_ms(worker_model->loop) - sent_ms > ANSWER_TIMEOUT_MS || !codec->orders(mem, call.result, orders)) {
         worker_model->update_open = true;
-        return HEARTBEAT_AGAIN_MS;
+        return HEARTBEAT_RETRY_MS;
     }
     if (leaving)
-        leave_acked(worker_model);
-    worker_model_orders_take(worker_model, orders, sent_ms);
+        record_leave_acknowledged(worker_model);
+    worker_model_apply_orders(worker_model, orders, sent_ms);
     return orders->again_ms >= 0 && orders->again_ms < topology->site->heartbeat_ms ? orders->again_ms
                                                                                     : topology->site->heartbeat_ms;
 }
@@ -113,19 +116,19 @@
     WorkerModel *worker_model = arg;
     for (;;) {
         void *mem = talloc_new(worker_model->mem);
-        const int64_t wait_ms = heartbeat_once(worker_model, mem);
+        const int64_t wait_ms = send_heartbeat(worker_model, mem);
         talloc_free(mem);
         const int64_t until_ms = loop_now_ms(worker_model->loop) + wait_ms;
-        if (wait_ms == HEARTBEAT_AGAIN_MS && worker_model->update_open)
+        if (wait_ms == HEARTBEAT_RETRY_MS && worker_model->update_open)
             loop_sleep(worker_model->loop, wait_ms);
         else if (worker_model->update_open || signal_wait(worker_model->loop, &worker_model->updates, until_ms))
             loop_sleep(worker_model->loop, UPDATE_GAP_MS);
     }
 }
 
-/* --- leaving --------------------------------------------------------------------------------------------- */
+/* --- leaving --------------------------------------------------------------------------------- */
 
-static void over_later(void *arg)
+static void end_after_leaving(void *arg)
 {
     WorkerModel *worker_model = arg;
     if (worker_model->up && worker_model->leaving)
@@ -138,23 +141,25 @@
     const Topology *topology = worker_model->worker_models->topology;
     for (;;) {
         const int64_t now_ms = topology_now_ms(topology);
-        const bool known =
+        const bool leave_known =
             worker_model->leave_ack_ms != 0 && now_ms >= worker_model->leave_ack_ms + topology->site->drain_ms + 100;
-        if (now_ms >= worker_model->leave_at_ms && (known || now_ms >= worker_model->leave_at_ms + LEAVE_ANYWAY_MS))
+        if (now_ms >= worker_model->leave_at_ms &&
+            (leave_known || now_ms >= worker_model->leave_at_ms + LEAVE_TIMEOUT_MS))
             break;
         loop_sleep(worker_model->loop, 50);
     }
     void *mem = talloc_new(worker_model->mem);
     HttpCall call = {.mem = mem,
-                     .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, worker_model->side->machine),
-                                                topology->codec->operator_port),
+                     .address =
+                         talloc_asprintf(mem, "%s:%d", sim_address(topology->world, worker_model->agent_node->machine),
+                                         topology->codec->operator_port),
                      .method = "POST",
                      .path = topology->codec->heartbeat_path(mem, worker_model->boot, true),
-                     .wait_ms = ANSWER_MOST_MS};
+                     .wait_ms = ANSWER_TIMEOUT_MS};
     loop_call(worker_model->loop, &call);
     talloc_free(mem);
-    topology_say(topology, "%s has left", worker_model->boot);
-    sim_at(topology->world, topology_now_ms(topology), over_later, worker_model);
+    topology_log(topology, "%s has left", worker_model->boot);
+    sim_at(topology->world, topology_now_ms(topology), end_after_leaving, worker_model);
 }
 
 void worker_model_leave(WorkerModel *worker_model, int64_t after_ms)
@@ -168,7 +173,7 @@
     loop_spawn(worker_model->loop, "leave", leave_main, worker_model);
 }
 
-/* --- its process ------------------------------------------------------------------------------------------ */
+/* --- process --------------------------------------------------------------------------------- */
 
 static void process_start(void *arg, Loop *loop)
 {
@@ -192,11 +197,12 @@
 {
     if (worker_model->up)
         return;
-    worker_model->life++;
-    snprintf(worker_model->boot, sizeof(worker_model->boot), "i-%08" PRIx64,
-             random_source_of(worker_model->worker_models->topology->seed, "boot", worker_model->worker_models->boots++)
-                     .state >>
-                 32);
+    worker_model->incarnation++;
+    snprintf(
+        worker_model->boot, sizeof(worker_model->boot), "i-%08" PRIx64,
+        random_source_new(worker_model->worker_models->topology->seed, "boot", worker_model->worker_models->boots++)
+                .state >>
+            32);
     worker_model->up = true;
     sim_start(worker_model->worker_models->topology->world, worker_model->machine, process_start, worker_model);
 }
@@ -208,8 +214,8 @@
     worker_model->up = false;
     while (worker_model->runs != NULL) {
         WorkerModelRun *run = worker_model->runs;
-        topology_log(worker_model->worker_models->topology, &run->task->name, "round %" PRIu64 " is gone with %s",
-                     run->attempt, worker_model->boot);
+        topology_log_task(worker_model->worker_models->topology, &run->task->name,
+                          "attempt %" PRIu64 " ended with the process %s", run->attempt, worker_model->boot);
         WorkerGroup *worker_group = run->worker_group;
         WorkerModelRun *others[sizeof(worker_group->members) / sizeof(worker_group->members[0])];
         size_t count = 0;
@@ -235,20 +241,20 @@
     worker_models->topology = topology;
     worker_models->records = records;
     worker_models->sent_documents = sent_documents;
-    worker_models->count = topology->side_count;
+    worker_models->count = topology->agent_count;
     for (size_t i = 0; i < worker_models->count; i++) {
         WorkerModel *worker_model = &worker_models->list[i];
         *worker_model =
             (WorkerModel){.worker_models = worker_models,
-                          .side = &topology->sides[i],
+                          .agent_node = &topology->agents[i],
                           .machine = sim_machine(topology->world),
                           .number = (int)i,
                           .kind = "std",
-                          .zone = topology->sides[i].zone,
+                          .zone = topology->agents[i].zone,
                           .label = i % 2 == 0 ? "a" : "b",
                           .resources = {(uint64_t)site->worker_model_cpu_milli, (uint64_t)site->worker_model_mem_mb, 0},
                           .speed = SPEEDS[i % 3],
-                          .slow_times = 1};
+                          .slow_factor = 1};
         snprintf(worker_model->rack, sizeof(worker_model->rack), "r%" PRId64 "-%" PRId64, (int64_t)i % site->zones,
                  (int64_t)i / site->zones / site->rack_worker_models);
         if (i % 3 == 1 && site->slow_percent > 0)
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -4,55 +4,61 @@
 #include "job_records.h"
 #include "sent_documents.h"
 
-/* A worker group: the members of a gang under one attempt number, or one task by itself. They work once all are
- * there, at the pace of the slowest, and end as one. Invariant: freed with its last member. */
+/* A worker group: the members of a gang with the same attempt number, or a single task. The members work once all
+ * have started, at the pace of the slowest, and end together.
+ *
+ * Invariant: freed with its last member. */
 typedef struct WorkerGroup {
     struct WorkerModels *worker_models;
+    /* needed: number of members required to begin. */
     uint64_t attempt, needed;
     struct WorkerModelRun *members[128];
     size_t count;
     bool begun;
-    int64_t work_us, done_us; /* work to be done; done until last_ms */
-    int64_t from_ms;          /* progress restored from a checkpoint */
-    int64_t last_ms, rate;    /* work done in each ms, in us */
-    int64_t fail_us;          /* a member fails by itself there */
-    struct WorkerModelRun *failing;
+    int64_t work_us, done_us;       /* work in total, and done until last_ms */
+    int64_t from_ms;                /* progress that was restored from a checkpoint */
+    int64_t last_ms, rate;          /* work done per ms, in us */
+    int64_t fail_us;                /* progress at which a member fails; INT64_MAX: none does */
+    struct WorkerModelRun *failing; /* the member that fails */
 } WorkerGroup;
 
-/* An attempt that runs on a worker. Times are by the world's clock, those of the lease by the worker's. */
+/* An attempt that runs on a worker. Times are by the world's clock; those of the lease are by the worker's clock. */
 typedef struct WorkerModelRun {
     struct WorkerModelRun *next, *next_live;
     struct WorkerModel *worker_model;
     TaskRecord *task;
     uint64_t attempt;
     WorkerGroup *worker_group;
-    int64_t began_ms, stop_at_ms; /* 0: it is not being stopped */
+    int64_t began_ms, stop_at_ms; /* stop_at_ms 0: it is not being stopped */
 } WorkerModelRun;
 
+/* An ended attempt that has not been acknowledged. */
 typedef struct WorkerModelEnd {
     WorkerModelEnded reported;
     TaskRecord *task;
-    bool lapsed_since; /* the lease has lapsed since: no acknowledgement is owed */
+    bool lapsed_after; /* the lease has lapsed since: an acknowledgement proves nothing */
 } WorkerModelEnd;
 
-/* A worker model: it carries out its orders, runs attempts only while it has a lease, and reports each end until
- * it is acknowledged. Invariant: runs, ends and highest last as long as its process. */
+/* A worker model: carries out its orders, runs attempts only while it has a lease, and reports each end until the
+ * end is acknowledged.
+ *
+ * Invariant: runs, ends and highest last as long as its process. */
 typedef struct WorkerModel {
     struct WorkerModels *worker_models;
-    TopologyNode *side;
+    TopologyNode *agent_node; /* machine of its agent */
     int machine, number;
-    uint64_t life;
+    uint64_t incarnation; /* number of its current process */
     char boot[24], rack[24];
     const char *kind, *zone, *label;
     Resources resources;
-    int64_t speed, slow_times; /* percent; times */
-    int64_t grey_percent;      /* percentage of its attempts that fail */
-    bool hangs;                /* nothing on it makes progress */
+    int64_t speed, slow_factor; /* speed in percent; slow_factor: factor by which work is slowed down */
+    int64_t failure_percent;    /* percentage of its attempts that fail */
+    bool hangs;                 /* its attempts make no progress */
     bool up;
     bool leaving;
-    int64_t leave_at_ms, leave_ack_ms;
-    bool leave_ack_touch; /* the machine that acknowledged was in touch */
-    /* of the process */
+    int64_t leave_at_ms, leave_ack_ms; /* when it leaves; when its leaving was acknowledged, 0: not yet */
+    bool leave_ack_in_touch;           /* the machine that acknowledged was in touch */
+    /* State of its current process. */
     void *mem;
     Loop *loop;
     uint64_t sequence, fence, end_number;
@@ -60,64 +66,69 @@
     WorkerModelRun *runs;
     WorkerModelEnd *ends;
     size_t end_count;
-    Map *highest; /* by task, the highest attempt that was stopped or ended here */
-    Signal work, updates;
-    bool update_open;
+    Map *highest;         /* for each task, the highest attempt that was stopped or ended here */
+    Signal work, updates; /* an attempt may be due; a heartbeat is due at once */
+    bool update_open;     /* there is something to report */
 } WorkerModel;
 
+/* All workers. boots: number of processes started. */
 typedef struct WorkerModels {
     Topology *topology;
     JobRecords *records;
     SentDocuments *sent_documents;
-    WorkerModel list[SIDES_MAX];
+    WorkerModel list[AGENTS_MAX];
     size_t count;
     uint64_t boots;
 } WorkerModels;
 
 WorkerModels *worker_models_new(void *mem, JobRecords *records, SentDocuments *sent_documents);
+/* Starts all workers, or one that is not running. */
 void worker_models_start(WorkerModels *worker_models);
 void worker_model_start(WorkerModel *worker_model);
-/* The process ends at once; power: its peers are not told. */
+/* Ends the process at once. power: its machine loses power, so that its peers are not notified. */
 void worker_model_crash(WorkerModel *worker_model, bool power);
-/* It reports that it drains, and shuts down after that span. */
+/* Reports that the worker drains, and shuts it down after after_ms. */
 void worker_model_leave(WorkerModel *worker_model, int64_t after_ms);
 void worker_model_slow(WorkerModel *worker_model, int64_t times);
 void worker_model_hang(WorkerModel *worker_model, bool hangs);
-/* Its groups compute their pace anew. */
-void worker_model_pace(WorkerModel *worker_model);
+/* Recomputes the pace of its groups. */
+void worker_model_update_pace(WorkerModel *worker_model);
 
-/* --- what it runs ------------------------------------------------------------------------- */
-/* Progress that is saved: a checkpoint after each save_ms of work; all of it at a stop. */
+/* --- attempts ------------------------------------------------------------------------------ */
+/* Returns the progress in the latest checkpoint, made after each save_ms of work; all: in a last checkpoint of all
+ * work done. */
 int64_t worker_model_saved_ms(const WorkerModelRun *run, bool all);
-/* Drops the run from all lists without an end. */
+/* Removes the run from all lists without recording an end. */
 void worker_model_run_drop(WorkerModelRun *run);
-/* The run has ended so; the end is listed until it is acknowledged. */
+/* Ends the run with this word; the end is listed until it is acknowledged. */
 void worker_model_run_end(WorkerModelRun *run, AttemptWord word);
-/* A task of its process: acts on what is due. */
+/* Main function of a coroutine: ends runs that are due. */
 void worker_model_work_main(void *arg);
-/* Takes the answer to a heartbeat that was sent at sent_ms by the worker's clock. */
-void worker_model_orders_take(WorkerModel *worker_model, const WorkerModelOrders *orders, int64_t sent_ms);
+/* Applies the answer to a heartbeat that was sent at sent_ms by the worker's clock. */
+void worker_model_apply_orders(WorkerModel *worker_model, const WorkerModelOrders *orders, int64_t sent_ms);
 
-/* --- worker groups and what they use --------------------------------------------------------------------------------
- */
-/* The part of a worker's capacity that its runs use. */
+/* --- worker groups ------------------------------------------------------------------------- */
+/* Returns the resources in use by the worker's runs. */
 Resources worker_model_used(const WorkerModel *worker_model);
-/* The run joins the group of its attempt. */
+/* Adds the run to the group of its attempt, which is created if necessary. */
 void worker_group_join(WorkerModels *worker_models, WorkerModelRun *run, int64_t from_ms);
+/* Removes the run from its group. */
 void worker_group_leave(WorkerModelRun *run);
-/* Counts the work done until now. */
+/* Updates done_us to the present. */
 void worker_group_advance(WorkerGroup *worker_group);
-void worker_group_pace(WorkerGroup *worker_group);
-/* When something is due next; INT64_MAX: nothing. */
+/* Recomputes the rate. */
+void worker_group_update_rate(WorkerGroup *worker_group);
+/* Time at which the group next has an attempt that ends; INT64_MAX: never. */
 int64_t worker_group_next_ms(const WorkerGroup *worker_group);
+/* Progress of the work, including restored progress. */
 int64_t worker_group_progress_ms(const WorkerGroup *worker_group);
 
 /* --- rules at a worker ---------------------------------------------------------------------- */
-/* Checks all that must hold when a task starts. False: it is of no job at all. */
-bool start_check(WorkerModel *worker_model, const WorkerModelStart *start);
+/* Checks all rules for the start of a task. Returns false if the task belongs to no job. */
+bool check_start(WorkerModel *worker_model, const WorkerModelStart *start);
 /* Checks an end that the product has acknowledged. */
-void end_noted(WorkerModel *worker_model, const WorkerModelEnd *end);
-/* Checks the end of a gang's member whose others did not come. */
-void isolated_check(const WorkerModelRun *run);
+void check_acknowledged_end(WorkerModel *worker_model, const WorkerModelEnd *end);
+/* Checks the end of a gang's member whose other members did not start. */
+void check_isolated_end(const WorkerModelRun *run);
 
 #endif
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -1,37 +1,35 @@
-/* What a worker model runs: orders, attempts that are due to end, ends. */
+/* The attempts of a worker model: orders, attempts that are due to end, and ends. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "worker_model.h"
 
-static const char *name_text(void *mem, const TaskName *name)
+static const char *name_to_text(void *mem, const TaskName *name)
 {
     return talloc_asprintf(mem, "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64, name->job, name->turn, name->step, name->at);
 }
 
-/* By what they say: what follows the end of a text is left out. */
-static bool name_equal(const TaskName *one, const TaskName *other)
+/* Compares the contents of the names: the bytes after the end of a text do not count. */
+static bool name_equal(const TaskName *name, const TaskName *other)
 {
-    return strcmp(one->job, other->job) == 0 && one->turn == other->turn && one->step == other->step &&
-           one->at == other->at;
+    return strcmp(name->job, other->job) == 0 && name->turn == other->turn && name->step == other->step &&
+           name->at == other->at;
 }
 
 /* --- ends ------------------------------------------------------------------------------------ */
 
-/* Progress that is kept: after each so much of work, and all of it at a stop. */
 int64_t worker_model_saved_ms(const WorkerModelRun *run, bool all)
 {
     const int64_t save_ms = run->worker_model->worker_models->topology->site->save_ms,
                   done_ms = worker_group_progress_ms(run->worker_group);
     const int64_t checkpoint_ms =
         all ? done_ms : run->worker_group->from_ms + (done_ms - run->worker_group->from_ms) / save_ms * save_ms;
-    if (run->task->job->generated_job.saves && checkpoint_ms > run->task->fate->saved_ms)
-        run->task->fate->saved_ms = checkpoint_ms;
+    if (run->task->job->generated_job.saves && checkpoint_ms > run->task->task_outcome->saved_ms)
+        run->task->task_outcome->saved_ms = checkpoint_ms;
     return checkpoint_ms;
 }
 
-/* The run is no more: out of all lists. */
 void worker_model_run_drop(WorkerModelRun *run)
 {
     WorkerModelRun **at = &run->worker_model->runs;
@@ -47,24 +45,24 @@
     talloc_free(run);
 }
 
-static void highest_set(WorkerModel *worker_model, const TaskName *name, uint64_t attempt)
+static void raise_highest(WorkerModel *worker_model, const TaskName *name, uint64_t attempt)
 {
-    const char *text = name_text(worker_model->mem, name);
+    const char *text = name_to_text(worker_model->mem, name);
     if ((uint64_t)(uintptr_t)map_get(worker_model->highest, text) < attempt)
         map_set(worker_model->highest, text, (void *)(uintptr_t)attempt);
 }
 
-static void end_add(WorkerModel *worker_model, TaskRecord *task, const TaskName *name, uint64_t attempt,
+static void add_end(WorkerModel *worker_model, TaskRecord *task, const TaskName *name, uint64_t attempt,
                     AttemptWord word, const char *saved)
 {
     worker_model->ends =
         talloc_realloc(worker_model->mem, worker_model->ends, WorkerModelEnd, (unsigned)(worker_model->end_count + 1));
     worker_model->ends[worker_model->end_count++] = (WorkerModelEnd){
-        .reported = {++worker_model->end_number, *name, attempt, word, saved}, .task = task, .lapsed_since = false};
-    highest_set(worker_model, name, attempt);
-    worker_model->worker_models->records->kinds[word]++;
-    topology_log(worker_model->worker_models->topology, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt,
-                 attempt_word(word), worker_model->boot, saved);
+        .reported = {++worker_model->end_number, *name, attempt, word, saved}, .task = task, .lapsed_after = false};
+    raise_highest(worker_model, name, attempt);
+    worker_model->worker_models->records->ends_by_word[word]++;
+    topology_log_task(worker_model->worker_models->topology, name, "attempt %" PRIu64 " %s on %s, saved '%s'", attempt,
+                      attempt_word(word), worker_model->boot, saved);
     worker_model->update_open = true;
     signal_raise(worker_model->loop, &worker_model->updates);
 }
@@ -73,26 +71,27 @@
 {
     WorkerModel *worker_model = run->worker_model;
     TaskRecord *task = run->task;
-    Fate *fate = task->fate;
+    TaskOutcome *task_outcome = task->task_outcome;
     const int64_t now_ms = topology_now_ms(worker_model->worker_models->topology);
     worker_group_advance(run->worker_group);
     const bool stopped = word == ATTEMPT_STOPPED || word == ATTEMPT_BROKEN;
-    const char *saved =
-        word == ATTEMPT_DONE ? "" : job_records_saved(worker_model->mem, task, worker_model_saved_ms(run, stopped));
-    if (word == ATTEMPT_DONE && !fate->done) {
-        fate->done = true;
-        fate->done_ms = now_ms;
+    const char *saved = word == ATTEMPT_DONE
+                            ? ""
+                            : job_records_checkpoint_text(worker_model->mem, task, worker_model_saved_ms(run, stopped));
+    if (word == ATTEMPT_DONE && !task_outcome->done) {
+        task_outcome->done = true;
+        task_outcome->done_ms = now_ms;
     }
     if (word == ATTEMPT_FAILED)
-        job_records_fail(fate, run->attempt);
+        job_records_add_failure(task_outcome, run->attempt);
     if (word == ATTEMPT_ISOLATED)
-        isolated_check(run);
-    end_add(worker_model, task, &task->name, run->attempt, word, saved);
+        check_isolated_end(run);
+    add_end(worker_model, task, &task->name, run->attempt, word, saved);
     worker_model_run_drop(run);
 }
 
-/* One member has ended so: the others end as told. */
-static void worker_group_end(WorkerModelRun *first, AttemptWord word, AttemptWord others)
+/* Ends the run with word and, if its group has begun, all other members with the word others. */
+static void end_run_and_group(WorkerModelRun *first, AttemptWord word, AttemptWord others)
 {
     WorkerModelRun *members[sizeof(first->worker_group->members) / sizeof(first->worker_group->members[0])];
     WorkerGroup *worker_group = first->worker_group;
@@ -106,24 +105,24 @@
             worker_model_run_end(members[i], others);
 }
 
-/* --- what comes due ------------------------------------------------------------------------------ */
+/* --- attempts that are due to end ------------------------------------------------------------ */
 
-/* True when something ended: the list has changed. */
-static bool due_one(WorkerModel *worker_model, int64_t now_ms)
+/* Ends one run, and its group, if it is due; returns true if there was one: the list has changed then. */
+static bool end_one_due(WorkerModel *worker_model, int64_t now_ms)
 {
     const Site *site = worker_model->worker_models->topology->site;
-    const bool held = loop_now_ms(worker_model->loop) < worker_model->lease_until_ms;
+    const bool lease_valid = loop_now_ms(worker_model->loop) < worker_model->lease_until_ms;
     for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
         worker_group_advance(run->worker_group);
         const WorkerGroup *worker_group = run->worker_group;
-        if (!held) {
+        if (!lease_valid) {
             for (size_t i = 0; i < worker_model->end_count; i++)
-                worker_model->ends[i].lapsed_since = true;
-            worker_group_end(run, ATTEMPT_LAPSED, ATTEMPT_BROKEN);
+                worker_model->ends[i].lapsed_after = true;
+            end_run_and_group(run, ATTEMPT_LAPSED, ATTEMPT_BROKEN);
             return true;
         }
         if (run->stop_at_ms != 0 && now_ms >= run->stop_at_ms) {
-            worker_group_end(run, ATTEMPT_STOPPED, ATTEMPT_BROKEN);
+            end_run_and_group(run, ATTEMPT_STOPPED, ATTEMPT_BROKEN);
             return true;
         }
         if (!worker_group->begun && now_ms - run->began_ms >= site->gang_ms) {
@@ -131,18 +130,19 @@
             return true;
         }
         if (worker_group->begun && worker_group->done_us >= worker_group->fail_us) {
-            worker_group_end(worker_group->failing, ATTEMPT_FAILED, ATTEMPT_BROKEN);
+            end_run_and_group(worker_group->failing, ATTEMPT_FAILED, ATTEMPT_BROKEN);
             return true;
         }
         if (worker_group->begun && worker_group->done_us >= worker_group->work_us) {
-            worker_group_end(run, ATTEMPT_DONE, ATTEMPT_DONE);
+            end_run_and_group(run, ATTEMPT_DONE, ATTEMPT_DONE);
             return true;
         }
     }
     return false;
 }
 
-/* On the worker's clock, which may be slow: it looks early rather than late. */
+/* Returns when the next run is due, by the worker's clock; that clock may be slow, so the time is early rather than
+ * late. */
 static int64_t next_due_ms(const WorkerModel *worker_model, int64_t now_ms)
 {
     const int64_t own_ms = loop_now_ms(worker_model->loop);
@@ -164,7 +164,7 @@
     WorkerModel *worker_model = arg;
     for (;;) {
         const int64_t now_ms = topology_now_ms(worker_model->worker_models->topology);
-        while (due_one(worker_model, now_ms))
+        while (end_one_due(worker_model, now_ms))
             ;
         signal_wait(worker_model->loop, &worker_model->work, next_due_ms(worker_model, now_ms));
     }
@@ -181,21 +181,21 @@
     return NULL;
 }
 
-static void stop_take(WorkerModel *worker_model, const WorkerModelRunning *stop)
+static void apply_stop(WorkerModel *worker_model, const WorkerModelRunning *stop)
 {
     WorkerModelRun *run = run_find(worker_model, &stop->name, stop->attempt);
-    highest_set(worker_model, &stop->name, stop->attempt);
-    topology_log(worker_model->worker_models->topology, &stop->name, "round %" PRIu64 " is to stop on %s%s",
-                 stop->attempt, worker_model->boot, run == NULL ? ", which does not run it" : "");
+    raise_highest(worker_model, &stop->name, stop->attempt);
+    topology_log_task(worker_model->worker_models->topology, &stop->name, "attempt %" PRIu64 " is to stop on %s%s",
+                      stop->attempt, worker_model->boot, run == NULL ? ", which does not run it" : "");
     if (run == NULL || run->stop_at_ms != 0)
         return;
-    RandomSource random_source = random_source_of(stop->attempt, run->task->name.job, worker_model->sequence);
+    RandomSource random_source = random_source_new(stop->attempt, run->task->name.job, worker_model->sequence);
     run->stop_at_ms = topology_now_ms(worker_model->worker_models->topology) +
-                      random_source_span(&random_source, 1, worker_model->worker_models->topology->site->stop_ms);
+                      random_source_between(&random_source, 1, worker_model->worker_models->topology->site->stop_ms);
     signal_raise(worker_model->loop, &worker_model->work);
 }
 
-static void start_take(WorkerModel *worker_model, const WorkerModelStart *start)
+static void apply_start(WorkerModel *worker_model, const WorkerModelStart *start)
 {
     WorkerModels *worker_models = worker_model->worker_models;
     const Site *site = worker_models->topology->site;
@@ -207,7 +207,7 @@
             return;
     TaskRecord *task = job_records_task(worker_models->records, &start->name);
     const uint64_t highest =
-        (uint64_t)(uintptr_t)map_get(worker_model->highest, name_text(worker_model->mem, &start->name));
+        (uint64_t)(uintptr_t)map_get(worker_model->highest, name_to_text(worker_model->mem, &start->name));
     const Resources used = worker_model_used(worker_model);
     bool fits = true;
     if (task != NULL && site->guards != 0) {
@@ -217,14 +217,14 @@
                used.gpu + resources.gpu <= worker_model->resources.gpu;
     }
     if (start->attempt <= highest || !fits) {
-        end_add(worker_model, task, &start->name, start->attempt, ATTEMPT_REFUSED, "");
+        add_end(worker_model, task, &start->name, start->attempt, ATTEMPT_REFUSED, "");
         return;
     }
-    if (!start_check(worker_model, start))
+    if (!check_start(worker_model, start))
         return;
     worker_models->records->starts++;
-    topology_log(worker_models->topology, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'",
-                 start->attempt, worker_model->boot, worker_model->side->name, start->saved);
+    topology_log_task(worker_models->topology, &start->name, "attempt %" PRIu64 " starts on %s (%s), saved '%s'",
+                      start->attempt, worker_model->boot, worker_model->agent_node->name, start->saved);
     WorkerModelRun *run = talloc_zero(worker_model->mem, WorkerModelRun);
     *run = (WorkerModelRun){.next = worker_model->runs,
                             .next_live = task->live,
@@ -234,23 +234,23 @@
     run->began_ms = topology_now_ms(worker_models->topology);
     worker_model->runs = run;
     task->live = run;
-    const int64_t from_ms = job_records_progress(task, start->saved);
+    const int64_t from_ms = job_records_checkpoint_ms(task, start->saved);
     worker_group_join(worker_models, run, from_ms > 0 ? from_ms : 0);
 }
 
-static void seen_take(WorkerModel *worker_model, uint64_t seen)
+static void apply_acknowledged(WorkerModel *worker_model, uint64_t seen)
 {
-    size_t kept = 0;
+    size_t remaining = 0;
     for (size_t i = 0; i < worker_model->end_count; i++) {
         if (worker_model->ends[i].reported.number <= seen)
-            end_noted(worker_model, &worker_model->ends[i]);
+            check_acknowledged_end(worker_model, &worker_model->ends[i]);
         else
-            worker_model->ends[kept++] = worker_model->ends[i];
+            worker_model->ends[remaining++] = worker_model->ends[i];
     }
-    worker_model->end_count = kept;
+    worker_model->end_count = remaining;
 }
 
-void worker_model_orders_take(WorkerModel *worker_model, const WorkerModelOrders *orders, int64_t sent_ms)
+void worker_model_apply_orders(WorkerModel *worker_model, const WorkerModelOrders *orders, int64_t sent_ms)
 {
     const Site *site = worker_model->worker_models->topology->site;
     if (orders->fence < worker_model->fence)
@@ -258,19 +258,19 @@
     worker_model->fence = orders->fence;
     for (size_t i = 0; i < worker_model->end_count && loop_now_ms(worker_model->loop) >= worker_model->lease_until_ms;
          i++)
-        worker_model->ends[i].lapsed_since = true;
-    seen_take(worker_model, orders->seen);
+        worker_model->ends[i].lapsed_after = true;
+    apply_acknowledged(worker_model, orders->seen);
     for (size_t i = 0; i < orders->stop_count; i++)
-        stop_take(worker_model, &orders->stops[i]);
+        apply_stop(worker_model, &orders->stops[i]);
     if (orders->lease_ms <= 0)
         return;
     const int64_t lease_ms = orders->lease_ms < site->lease_max_ms ? orders->lease_ms : site->lease_max_ms;
-    /* the lease may have lapsed: that is acted on before a new one counts */
-    while (due_one(worker_model, topology_now_ms(worker_model->worker_models->topology)))
+    /* The lease may have lapsed: act on that before a new lease counts. */
+    while (end_one_due(worker_model, topology_now_ms(worker_model->worker_models->topology)))
         ;
     if (sent_ms + lease_ms > worker_model->lease_until_ms)
         worker_model->lease_until_ms = sent_ms + lease_ms;
     for (size_t i = 0; i < orders->start_count && loop_now_ms(worker_model->loop) < worker_model->lease_until_ms; i++)
-        start_take(worker_model, &orders->starts[i]);
+        apply_start(worker_model, &orders->starts[i]);
     signal_raise(worker_model->loop, &worker_model->work);
 }
