--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -3,11 +3,11 @@
 
 #include "loop/loop.h"
 
-/* A stand-in for the users' callers, for tests only: hands in a deployment's mix of jobs at
- * any of its entry points, sends a job again when no answer came, and reads each job until
- * it has ended. Used by the simulator, its checkers and the command line's trial runs. */
+/* A stand-in for the users' callers, for tests only: submits a deployment's mix of jobs through any of its entry
+ * points, resubmits a job when no answer came, and reads each job until it has ended. Used by the simulator, its
+ * checkers and the trial runs of the command line. */
 
-/* The mixes: two deployments, and one that asks for all that a job can. */
+/* The mixes of jobs: those of two deployments, and one that uses every feature of a job. */
 #define MIX_LIST(X)           \
     X(TRENTVALE, "trentvale") \
     X(ATLAS, "atlas")         \
@@ -19,8 +19,8 @@
         MIX_COUNT
 } Mix;
 
-/* The classes of jobs. Both deployments have the urgent light one, two-step sweeps and the
- * heavy one. The others are the varied mix's alone. */
+/* The classes of jobs. Both deployments have urgent light jobs, sweeps of two steps, and heavy jobs. The other
+ * classes occur only in the varied mix. */
 #define CLASS_LIST(X)           \
     X(URGENT, "urgent")         \
     X(SWEEP, "sweep")           \
@@ -44,70 +44,72 @@
         CLASS_COUNT
 } MixClass;
 
+/* Returns the word that names the mix or the class. */
 const char *mix_word(Mix mix);
-/* MIX_COUNT: there is no such mix. */
+/* Returns the mix of this word, or MIX_COUNT if there is none. */
 Mix mix_of_word(const char *word);
 const char *class_word(MixClass kind);
-/* The configuration that the mix needs, as JSON; static. */
+/* Returns the configuration that the mix needs, as JSON; static. */
 const char *mix_config(Mix mix);
-/* A job of the class as JSON, on mem. The same id and wall_ms (the caller's wall clock when it
- * first sent the job) make the same job. */
+/* Returns a job of the class as JSON on mem. The same id and wall_ms (the caller's wall clock when it first sent the
+ * job) give the same job. */
 const char *mix_job(void *mem, Mix mix, MixClass kind, const char *id, int64_t wall_ms);
-/* The cell in which operators let tenants in and out. */
+/* Returns the cell in which operators add and remove tenants. */
 const char *mix_cell(Mix mix);
-/* A light job of any tenant of that cell, as JSON on mem. */
+/* Returns a light job of the given tenant of that cell, as JSON on mem. */
 const char *mix_probe(void *mem, Mix mix, const char *tenant, const char *id);
 
-#define ENTRIES_MAX 16 /* count; entry points that one caller knows */
+#define ENTRIES_MAX 16 /* count; maximum number of entry points of one caller */
 
-/* What became of one job, as the caller knows it. */
+/* A submitted job and its state, as far as the caller knows it. */
 typedef struct CallerJob {
     const char *id;
     MixClass kind;
-    int64_t wall_ms;                                    /* when it was first sent, by the wall clock */
-    int64_t sent_ms, accepted_ms, started_ms, ended_ms; /* the loop's clock; 0: not yet */
-    uint64_t sends;                                     /* how often it was sent */
+    int64_t wall_ms;                                    /* wall clock when it was first sent */
+    int64_t sent_ms, accepted_ms, started_ms, ended_ms; /* by the loop's clock; 0: not yet */
+    uint64_t sends;                                     /* number of submissions */
     bool refused, cancelled;
-    char phase[16]; /* as it was last shown */
+    char phase[16]; /* phase that was last read */
 } CallerJob;
 
-/* What is reported to the checkers; each may be null. */
+/* Callbacks to the checkers; each may be null. */
 typedef struct CallerWatch {
     void *arg;
-    void (*sent)(void *arg, const char *id); /* it is about to be sent for the first time */
+    void (*sent)(void *arg, const char *id); /* the job is about to be sent for the first time */
     void (*accepted)(void *arg, const char *id);
-    void (*refused)(void *arg, const char *id, int code);
+    void (*refused)(void *arg, const char *id, int code); /* code: HTTP status */
     void (*ended)(void *arg, const char *id, const char *phase);
-    void (*unknown)(void *arg, const char *id); /* an accepted job was answered with 404 */
+    void (*unknown)(void *arg, const char *id); /* a read of an accepted job was answered with 404 */
     void (*cancelled)(void *arg, const char *id);
 } CallerWatch;
 
+/* The parameters of a caller. */
 typedef struct CallerSettings {
-    const char *name; /* begins every job's id */
+    const char *name; /* prefix of the ids of its jobs */
     const char *entries[ENTRIES_MAX];
     size_t entry_count;
     Mix mix;
-    bool twins;         /* now and then the same job is sent at two entry points at once */
-    int64_t rate_milli; /* jobs in a thousand seconds; above 0 */
-    int64_t for_ms;     /* hands in for so long */
-    size_t most;        /* count; at most so many jobs; 0: no bound */
+    bool twins;         /* occasionally submits the same job through two entry points at once */
+    int64_t rate_milli; /* jobs per 1000 s; must be positive */
+    int64_t for_ms;     /* time for which jobs are submitted */
+    size_t most;        /* count; maximum number of jobs; 0: no limit */
     CallerWatch watch;
 } CallerSettings;
 
 typedef struct Caller Caller;
 
-/* Lives on mem; starts to hand in at once. settings is copied. */
+/* Creates a caller on mem, which starts to submit jobs at once. settings is copied. */
 Caller *caller_start(void *mem, Loop *loop, const CallerSettings *settings);
-/* Hands in no more; goes on following what it has handed in. */
+/* Ends submission; the jobs that were submitted are still followed. */
 void caller_stop(Caller *caller);
-/* Cancels all that it has handed in and that has not ended, and all that it yet hands in. */
+/* Cancels all its jobs that have not ended, including those still to be submitted. */
 void caller_give_up(Caller *caller);
-/* All that it has handed in, in order; the array is good until the next wait. */
+/* Returns the number of its jobs and, in order of submission, the jobs; the array is valid until the next wait. */
 size_t caller_jobs(const Caller *caller, CallerJob *const **jobs);
-/* Whether it hands in no more and every job has ended or was refused. */
+/* Whether submission has ended and every job has ended or was refused. */
 bool caller_done(const Caller *caller);
-/* Waits, some minutes at most. Sets the mix's configuration through an entry point.
- * BAD_FIELD: it was refused; NO_LEADER: nobody took it in time. */
+/* Sets the mix's configuration through an entry point. Waits, for some minutes at most. Returns STATUS_BAD_FIELD if
+ * the configuration was refused, and STATUS_NO_LEADER if it was not accepted in time. */
 Status caller_configure(void *mem, Loop *loop, const char *entry, Mix mix);
 
 #endif
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -4,57 +4,59 @@
 #include "loop/loop.h"
 #include "state/worker.h"
 
-/* A stand-in for a real worker, for tests only: it speaks to its agent as any worker does and
- * "runs" tasks by letting time pass. Used by the simulator and its checkers.
+/* A stand-in for a real worker, for tests only: communicates with its agent as any worker does and "runs" tasks by
+ * letting time pass. Used by the simulator and its checkers.
  *
- * A task's payload: {"run_ms": ms, "failAttempts": count, "save_ms": ms}. The first failAttempts
- * attempts fail; a checkpoint is made each save_ms, and the next attempt goes on from it. */
+ * The payload of a task is {"runMs": ms, "failRounds": count, "saveMs": ms}. The first failRounds attempts fail; a
+ * checkpoint is made after each saveMs of work, and the next attempt continues from it. */
 typedef struct StandWorker StandWorker;
 
-/* What really runs, as it is reported to the checkers; each may be null. */
+/* Callbacks to the checkers about what actually runs; each may be null. */
 typedef struct StandWorkerWatch {
     void *arg;
+    /* An attempt has started, or ended with this word. */
     void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                     Resources resources);
     void (*ended)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
-    /* It has heard that the end of the attempt is known to the leader. */
+    /* The worker has learnt that the leader knows the end of the attempt. */
     void (*known)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
-    /* It is about to report for the first time: a new boot. */
+    /* The worker is about to send its first report: a new process. */
     void (*booted)(void *arg, const char *worker);
-    /* Its lease lasts for so much longer, as the answer to a report says. */
+    /* The worker's lease lasts for another left_ms, as the answer to a report says. */
     void (*held)(void *arg, const char *worker, int64_t left_ms);
-    /* The attempt that starts next goes on from a checkpoint. */
+    /* The attempt that starts next continues from a checkpoint. */
     void (*resumed)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, const char *saved);
-    /* It has heard that the attempt is to stop. */
+    /* The worker has learnt that the attempt is to be stopped. */
     void (*reported)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 } StandWorkerWatch;
 
+/* The parameters of a worker. */
 typedef struct StandWorkerSettings {
-    Worker worker;     /* what it reports of itself */
-    const char *agent; /* HTTP address */
+    Worker worker;     /* properties that it reports */
+    const char *agent; /* HTTP address of its agent */
     StandWorkerWatch watch;
-    Resources others;   /* capacity taken by somebody else, reported as not free */
-    bool fails_all;     /* reports as a healthy one, and fails every task */
-    bool repeats;       /* now and then an old report is sent again, out of order */
-    bool hangs;         /* what it starts makes no progress */
-    int64_t slow_times; /* takes so many times as long; 0 or 1: as asked */
+    Resources others;   /* capacity used by other software, reported as not free */
+    bool fails_all;     /* reports as a healthy worker, but fails every task */
+    bool repeats;       /* occasionally resends an old report, out of order */
+    bool hangs;         /* its tasks make no progress */
+    int64_t slow_times; /* factor on the duration of tasks; 0 or 1: as the payload says */
 } StandWorkerSettings;
 
-/* Lives on mem; reports to its agent from now on. settings is copied. */
+/* Creates a worker on mem, which reports to its agent from now on. settings is copied. */
 StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerSettings *settings);
-/* Graceful shutdown: reports that it is leaving; nothing new should come from then on. */
+/* Starts a graceful shutdown: reports that the worker is leaving; it should get no new task from then on. */
 void stand_worker_leave(StandWorker *worker);
-/* Whether what starts from now on fails. */
+/* Sets whether tasks that start from now on fail. */
 void stand_worker_fail(StandWorker *worker, bool fails);
-/* Reports that it is leaving and stays for for_ms. */
+/* Reports that the worker is leaving, and that it stays for another for_ms. */
 void stand_worker_leave_in(StandWorker *worker, int64_t for_ms);
-/* Whether what starts from now on makes no progress, until it is stopped. */
+/* Sets whether tasks that start from now on make no progress until they are stopped. */
 void stand_worker_hang(StandWorker *worker, bool hangs);
-/* What starts from now on takes so many times as long. */
-void stand_worker_slow(StandWorker *worker, int64_t times);
-/* Whether old reports are sent again now and then, as late duplicates. */
+/* Sets the factor on the duration of tasks that start from now on. */
+void stand_worker_slow(StandWorker *worker, int64_t slow_factor);
+/* Sets whether old reports are occasionally resent, as late duplicates. */
 void stand_worker_repeat(StandWorker *worker, bool repeats);
-/* Attempts that have not ended. */
+/* Returns the number of attempts that have not ended. */
 size_t stand_worker_running(const StandWorker *worker);
 
 #endif
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -1,4 +1,4 @@
-/* The stand-in for callers: hands in a mix of jobs and follows each until it has ended. */
+/* The stand-in for callers: submits a mix of jobs and follows each job until it has ended. */
 #include "standin/caller.h"
 
 #include <inttypes.h>
@@ -9,42 +9,43 @@
 #include "api/show.h"
 #include "base/array.h"
 
-#define LASTING_FOR_MS 5000   /* ms; lasting work is cancelled by its caller after this */
-#define CONFIGURE_ATTEMPTS 60 /* count; each half a second after the last */
+#define LASTING_CANCEL_MS 5000 /* ms; time after which the caller cancels a lasting job */
+#define CONFIGURE_ATTEMPTS 60  /* count; attempts to configure, 0.5 s apart */
 
 struct Caller {
     Loop *loop;
     CallerSettings settings;
     CallerJob **jobs;
-    size_t count, capacity; /* of jobs: in use, allocated */
-    size_t open;            /* jobs that have neither ended nor been refused */
-    bool stop;              /* is to hand in no more */
-    bool over;              /* hands in no more */
-    uint64_t draw;          /* the random source's state */
-    bool gave_up;           /* whatever has not ended is cancelled */
+    size_t count, capacity; /* of jobs: used and allocated */
+    size_t open_jobs;       /* jobs that have neither ended nor been refused */
+    bool stop_requested;    /* submission is to end */
+    bool submission_ended;  /* submission has ended */
+    uint64_t random_state;  /* state of the random number generator */
+    bool gave_up;           /* all jobs that have not ended are cancelled */
 };
 
-/* A coroutine that follows a job; entry, modulo their count, is the next that it calls. */
-typedef struct Following {
+/* The state of a coroutine that follows a job. entry: the entry point that it calls next, modulo their number. */
+typedef struct JobFollower {
     Caller *caller;
     CallerJob *job;
     size_t entry;
-} Following;
+} JobFollower;
 
-static uint64_t draw(Caller *caller, uint64_t below)
+/* Returns a random number below the bound. */
+static uint64_t random_below(Caller *caller, uint64_t bound)
 {
-    caller->draw = caller->draw * 6364136223846793005u + 1442695040888963407u;
-    return (caller->draw >> 33) % below;
+    caller->random_state = caller->random_state * 6364136223846793005u + 1442695040888963407u;
+    return (caller->random_state >> 33) % bound;
 }
 
-/* Waits. One call at an entry point; on no answer, or a refusal to serve, the next call goes
- * to the next one. */
-static Status call_once(Following *following, void *mem, const char *method, const char *path, const char *body,
+/* Makes one call to an entry point; waits. If there is no answer, or a status of 500 or above, the next call goes to
+ * the next entry point. */
+static Status call_once(JobFollower *follower, void *mem, const char *method, const char *path, const char *body,
                         HttpCall *call)
 {
-    Caller *caller = following->caller;
+    Caller *caller = follower->caller;
     *call = (HttpCall){.mem = mem,
-                       .address = caller->settings.entries[following->entry % caller->settings.entry_count],
+                       .address = caller->settings.entries[follower->entry % caller->settings.entry_count],
                        .method = method,
                        .path = path,
                        .wait_ms = 3000};
@@ -52,78 +53,79 @@
         bytes_add(mem, &call->body, body, strlen(body));
     const Status status = loop_call(caller->loop, call);
     if (status != STATUS_OK || call->code >= 500)
-        following->entry++;
+        follower->entry++;
     return status;
 }
 
-/* What a job's submission came to. */
-typedef enum Submitted {
-    SUBMITTED_TAKEN,
-    SUBMITTED_REFUSED,
-    SUBMITTED_UNCLEAR /* to be sent again */
-} Submitted;
+/* The outcome of a submission. */
+typedef enum SubmitOutcome {
+    SUBMIT_ACCEPTED,
+    SUBMIT_REFUSED,
+    SUBMIT_UNCLEAR /* no clear answer: to be repeated */
+} SubmitOutcome;
 
-/* Waits. Sends the job once; *code is the HTTP code of a refusal. */
-static Submitted submit_once(Following *following, int *code)
+/* Submits the job once; waits. *code is the HTTP status of a refusal. */
+static SubmitOutcome submit_once(JobFollower *follower, int *code)
 {
-    const Caller *caller = following->caller;
-    const CallerJob *job = following->job;
-    void *mem = talloc_new(following->caller);
+    const Caller *caller = follower->caller;
+    const CallerJob *job = follower->job;
+    void *mem = talloc_new(follower->caller);
     const char *body = mix_job(mem, caller->settings.mix, job->kind, job->id, job->wall_ms);
     HttpCall call;
-    const Status status = call_once(following, mem, "POST", "/v1/jobs", body, &call);
-    Submitted submitted = SUBMITTED_UNCLEAR;
+    const Status status = call_once(follower, mem, "POST", "/v1/jobs", body, &call);
+    SubmitOutcome submit_outcome = SUBMIT_UNCLEAR;
     if (status == STATUS_OK && (call.code == 200 || call.code == 201))
-        submitted = SUBMITTED_TAKEN;
+        submit_outcome = SUBMIT_ACCEPTED;
     else if (status == STATUS_OK && call.code >= 400 && call.code < 500)
-        submitted = SUBMITTED_REFUSED;
+        submit_outcome = SUBMIT_REFUSED;
     *code = call.code;
     talloc_free(mem);
-    return submitted;
+    return submit_outcome;
 }
 
-static void submit_notified(const Following *following, Submitted submitted, int code)
+/* Reports an accepted or refused submission to the checkers. */
+static void notify_submit_outcome(const JobFollower *follower, SubmitOutcome submit_outcome, int code)
 {
-    const CallerWatch *watch = &following->caller->settings.watch;
-    if (submitted == SUBMITTED_TAKEN && watch->accepted != NULL)
-        watch->accepted(watch->arg, following->job->id);
-    if (submitted == SUBMITTED_REFUSED && watch->refused != NULL)
-        watch->refused(watch->arg, following->job->id, code);
+    const CallerWatch *watch = &follower->caller->settings.watch;
+    if (submit_outcome == SUBMIT_ACCEPTED && watch->accepted != NULL)
+        watch->accepted(watch->arg, follower->job->id);
+    if (submit_outcome == SUBMIT_REFUSED && watch->refused != NULL)
+        watch->refused(watch->arg, follower->job->id, code);
 }
 
-/* Waits. Sends the job until it is taken, which is true, or refused. */
-static bool submit(Following *following)
+/* Submits the job until it is accepted (returns true) or refused; waits. */
+static bool submit(JobFollower *follower)
 {
-    Caller *caller = following->caller;
-    CallerJob *job = following->job;
+    Caller *caller = follower->caller;
+    CallerJob *job = follower->job;
     while (!loop_stopping(caller->loop)) {
         int code;
         job->sends++;
-        const Submitted submitted = submit_once(following, &code);
-        if (submitted == SUBMITTED_TAKEN)
+        const SubmitOutcome submit_outcome = submit_once(follower, &code);
+        if (submit_outcome == SUBMIT_ACCEPTED)
             job->accepted_ms = loop_now_ms(caller->loop);
-        if (submitted == SUBMITTED_REFUSED)
+        if (submit_outcome == SUBMIT_REFUSED)
             job->refused = true;
-        submit_notified(following, submitted, code);
-        if (submitted != SUBMITTED_UNCLEAR)
-            return submitted == SUBMITTED_TAKEN;
-        loop_sleep(caller->loop, 200 + (int64_t)draw(caller, 200));
+        notify_submit_outcome(follower, submit_outcome, code);
+        if (submit_outcome != SUBMIT_UNCLEAR)
+            return submit_outcome == SUBMIT_ACCEPTED;
+        loop_sleep(caller->loop, 200 + (int64_t)random_below(caller, 200));
     }
     return false;
 }
 
-/* The same job at another entry point, at the same time: it counts once. */
-static void twin_main(void *arg)
+/* Submits the same job concurrently through another entry point: it must count only once. */
+static void duplicate_main(void *arg)
 {
-    Following *following = arg;
+    JobFollower *follower = arg;
     int code;
-    const Submitted submitted = submit_once(following, &code);
-    submit_notified(following, submitted, code);
-    talloc_free(following);
+    const SubmitOutcome submit_outcome = submit_once(follower, &code);
+    notify_submit_outcome(follower, submit_outcome, code);
+    talloc_free(follower);
 }
 
-/* When its first task started: by the caller's clock, from what the job is shown with. */
-static void started_read(CallerJob *job, json_object *body, json_object *tasks)
+/* Computes when the job's first task started, by the caller's clock, from the times with which the job is shown. */
+static void read_started(CallerJob *job, json_object *body, json_object *tasks)
 {
     json_object *accepted;
     if (!json_object_object_get_ex(body, "acceptedMs", &accepted))
@@ -138,46 +140,45 @@
     }
 }
 
-/* Takes in how the job is shown. */
-static void status_read(CallerJob *job, const char *text)
+/* Updates the job from the answer to a read. */
+static void read_status(CallerJob *job, const char *text)
 {
     json_object *body = json_tokener_parse(text);
     json_object *value;
     if (body != NULL && json_object_object_get_ex(body, "phase", &value))
         snprintf(job->phase, sizeof(job->phase), "%s", json_object_get_string(value));
     if (body != NULL && job->started_ms == 0 && json_object_object_get_ex(body, "tasks", &value))
-        started_read(job, body, value);
+        read_started(job, body, value);
     json_object_put(body);
 }
 
-/* Lasting work has to be ended by its caller, other work when it is given up. */
-static void cancel_maybe(Following *following)
+/* Cancels the job if it is lasting and has run long enough, or if the caller has given up. */
+static void cancel_if_due(JobFollower *follower)
 {
-    Caller *caller = following->caller;
-    CallerJob *job = following->job;
-    const bool due = job->kind == CLASS_LASTING && loop_now_ms(caller->loop) - job->accepted_ms >= LASTING_FOR_MS;
+    Caller *caller = follower->caller;
+    CallerJob *job = follower->job;
+    const bool due = job->kind == CLASS_LASTING && loop_now_ms(caller->loop) - job->accepted_ms >= LASTING_CANCEL_MS;
     if (job->cancelled || (!due && !caller->gave_up))
         return;
     void *mem = talloc_new(caller);
     HttpCall call;
-    const Status status =
-        call_once(following, mem, "DELETE", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
+    const Status status = call_once(follower, mem, "DELETE", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
     talloc_free(mem);
     if (status != STATUS_OK || call.code != 200)
-        return; /* it is tried again when the job is next read */
+        return; /* the cancellation is repeated at the next read of the job */
     job->cancelled = true;
     if (caller->settings.watch.cancelled != NULL)
         caller->settings.watch.cancelled(caller->settings.watch.arg, job->id);
 }
 
-static void ended(Caller *caller, CallerJob *job)
+static void report_ended(Caller *caller, CallerJob *job)
 {
     job->ended_ms = loop_now_ms(caller->loop);
     if (caller->settings.watch.ended != NULL)
         caller->settings.watch.ended(caller->settings.watch.arg, job->id, job->phase);
 }
 
-static void unknown(Caller *caller, CallerJob *job)
+static void report_unknown(Caller *caller, CallerJob *job)
 {
     if (caller->settings.watch.unknown != NULL)
         caller->settings.watch.unknown(caller->settings.watch.arg, job->id);
@@ -185,59 +186,59 @@
     job->ended_ms = loop_now_ms(caller->loop);
 }
 
-/* Waits. Reads the job, each time at another entry point: all know it alike. */
-static void follow_once(Following *following)
+/* Reads the job, each time at another entry point, since all must know it; waits. */
+static void follow_once(JobFollower *follower)
 {
-    Caller *caller = following->caller;
-    CallerJob *job = following->job;
+    Caller *caller = follower->caller;
+    CallerJob *job = follower->job;
     void *mem = talloc_new(caller);
     HttpCall call;
-    following->entry++;
-    const Status status = call_once(following, mem, "GET", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
+    follower->entry++;
+    const Status status = call_once(follower, mem, "GET", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
     if (status == STATUS_OK && call.code == 200) {
-        status_read(job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
+        read_status(job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
         if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0)
-            ended(caller, job);
+            report_ended(caller, job);
     } else if (status == STATUS_OK && call.code == 404) {
-        unknown(caller, job);
+        report_unknown(caller, job);
     }
     talloc_free(mem);
 }
 
 static void follow_main(void *arg)
 {
-    Following *following = arg;
-    Caller *caller = following->caller;
-    const CallerJob *job = following->job;
-    if (submit(following)) {
+    JobFollower *follower = arg;
+    Caller *caller = follower->caller;
+    const CallerJob *job = follower->job;
+    if (submit(follower)) {
         int64_t wait_ms = 400;
         while (!loop_stopping(caller->loop) && job->ended_ms == 0) {
             loop_sleep(caller->loop, wait_ms);
             wait_ms = wait_ms < 1500 ? wait_ms + 200 : wait_ms;
-            cancel_maybe(following);
-            follow_once(following);
+            cancel_if_due(follower);
+            follow_once(follower);
         }
     }
-    caller->open--;
-    talloc_free(following);
+    caller->open_jobs--;
+    talloc_free(follower);
 }
 
-/* --- handing in ------------------------------------------------------------------------------ */
+/* --- submission ------------------------------------------------------------------------------ */
 
-/* Trentvale: of ten jobs about seven masks, two sweeps, one rebuild in two
- * seconds; Atlas: of nine about six refreshes, two sweeps, one reindex. */
+/* Draws a job's class. Trentvale: of ten jobs about seven masks, two sweeps and one rebuild in two seconds; Atlas:
+ * of nine jobs about six refreshes, two sweeps and one reindex. */
 static MixClass draw_class(Caller *caller)
 {
-    static const uint8_t VARIED[CLASS_COUNT] = {20, 12, 8, 10, 6, 6, 6, 6, 5, 8, 3, 0, 4, 2, 4}; /* of a hundred */
+    static const uint8_t VARIED[CLASS_COUNT] = {20, 12, 8, 10, 6, 6, 6, 6, 5, 8, 3, 0, 4, 2, 4}; /* percent */
     if (caller->settings.mix == MIX_VARIED) {
-        uint64_t left = draw(caller, 100);
+        uint64_t left = random_below(caller, 100);
         for (int i = 0; i < CLASS_COUNT; i++) {
             if (left < VARIED[i])
                 return (MixClass)i;
             left -= VARIED[i];
         }
     }
-    const uint64_t at = draw(caller, 100);
+    const uint64_t at = random_below(caller, 100);
     const uint64_t heavy = caller->settings.mix == MIX_TRENTVALE ? 6 : 11;
     const uint64_t sweep = caller->settings.mix == MIX_TRENTVALE ? 20 : 17;
     return at < heavy ? CLASS_HEAVY : at < heavy + sweep ? CLASS_SWEEP : CLASS_URGENT;
@@ -254,34 +255,34 @@
         caller->settings.watch.sent(caller->settings.watch.arg, job->id);
     caller->jobs = array_grow(caller, caller->jobs, sizeof(*caller->jobs), caller->count, &caller->capacity);
     caller->jobs[caller->count++] = job;
-    caller->open++;
+    caller->open_jobs++;
     return job;
 }
 
 static void follow_start(Caller *caller, CallerJob *job, size_t entry, const char *name, void (*main)(void *arg))
 {
-    Following *following = talloc_zero(caller, Following);
-    *following = (Following){caller, job, entry};
-    loop_spawn(caller->loop, name, main, following);
+    JobFollower *follower = talloc_zero(caller, JobFollower);
+    *follower = (JobFollower){caller, job, entry};
+    loop_spawn(caller->loop, name, main, follower);
 }
 
-static void submit_main(void *arg)
+static void submission_main(void *arg)
 {
     Caller *caller = arg;
     const int64_t start_ms = loop_now_ms(caller->loop);
-    for (size_t n = 0; !caller->stop && !loop_stopping(caller->loop); n++) {
+    for (size_t n = 0; !caller->stop_requested && !loop_stopping(caller->loop); n++) {
         const int64_t due_ms = start_ms + (int64_t)n * 1000000 / caller->settings.rate_milli;
         if (due_ms - start_ms >= caller->settings.for_ms || (caller->settings.most > 0 && n >= caller->settings.most))
             break;
         if (due_ms > loop_now_ms(caller->loop))
             loop_sleep(caller->loop, due_ms - loop_now_ms(caller->loop));
         CallerJob *job = job_new(caller, n);
-        const size_t entry = draw(caller, caller->settings.entry_count);
+        const size_t entry = random_below(caller, caller->settings.entry_count);
         follow_start(caller, job, entry, "job", follow_main);
-        if (caller->settings.twins && draw(caller, 8) == 0)
-            follow_start(caller, job, entry + 1, "twin", twin_main);
+        if (caller->settings.twins && random_below(caller, 8) == 0)
+            follow_start(caller, job, entry + 1, "twin", duplicate_main);
     }
-    caller->over = true;
+    caller->submission_ended = true;
 }
 
 Caller *caller_start(void *mem, Loop *loop, const CallerSettings *settings)
@@ -292,8 +293,8 @@
     caller->settings.name = talloc_strdup(caller, settings->name);
     for (size_t i = 0; i < settings->entry_count; i++)
         caller->settings.entries[i] = talloc_strdup(caller, settings->entries[i]);
-    caller->draw = loop_random(loop);
-    loop_spawn(loop, "hand-in", submit_main, caller);
+    caller->random_state = loop_random(loop);
+    loop_spawn(loop, "hand-in", submission_main, caller);
     return caller;
 }
 
@@ -304,7 +305,7 @@
 
 void caller_stop(Caller *caller)
 {
-    caller->stop = true;
+    caller->stop_requested = true;
 }
 
 size_t caller_jobs(const Caller *caller, CallerJob *const **jobs)
@@ -315,13 +316,13 @@
 
 bool caller_done(const Caller *caller)
 {
-    return caller->over && caller->open == 0;
+    return caller->submission_ended && caller->open_jobs == 0;
 }
 
 /* --- the configuration ------------------------------------------------------------------------- */
 
-/* The version in the result of a read. */
-static int64_t version_of(void *mem, const HttpCall *call)
+/* Returns the version of the configuration in the answer to a read. */
+static int64_t version_from_answer(void *mem, const HttpCall *call)
 {
     json_object *body = json_tokener_parse(talloc_strndup(mem, (const char *)call->result.data, call->result.count));
     json_object *version = NULL;
@@ -331,7 +332,7 @@
     return base;
 }
 
-/* Waits. Sets the mix's configuration upon the one in force. NO_LEADER: to be tried again. */
+/* Replaces the configuration in force by the mix's; waits. STATUS_NO_LEADER: to be repeated. */
 static Status configure_once(void *mem, Loop *loop, const char *entry, Mix mix)
 {
     HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .wait_ms = 3000};
@@ -340,7 +341,7 @@
     HttpCall put = {.mem = mem,
                     .address = entry,
                     .method = "PUT",
-                    .path = talloc_asprintf(mem, "/v1/config?base=%" PRId64, version_of(mem, &call)),
+                    .path = talloc_asprintf(mem, "/v1/config?base=%" PRId64, version_from_answer(mem, &call)),
                     .wait_ms = 3000};
     bytes_add(mem, &put.body, mix_config(mix), strlen(mix_config(mix)));
     if (loop_call(loop, &put) != STATUS_OK)
--- a/packages/standin/src/mix.c
+++ b/packages/standin/src/mix.c
@@ -1,4 +1,4 @@
-/* The mixes of jobs by name: their words, configurations, cells and probes. */
+/* The mixes of jobs: their words, configurations, cells and probes. */
 #include <string.h>
 #include <talloc.h>
 
@@ -34,7 +34,7 @@
     return CLASSES[kind];
 }
 
-/* Two cells, a policy that preempts, a quota, and the loss of a zone to be survived. */
+/* Two cells, a policy that preempts, a quota, and tolerance of the loss of a zone. */
 static const char VARIED_CONFIG[] =
     "{\"r\":1,\"zoneLoss\":true,"
     "\"policies\":{\"urgent\":\"function rank(t) return t.queue_priority + t.priority end "
--- a/packages/standin/src/mix_job.c
+++ b/packages/standin/src/mix_job.c
@@ -3,10 +3,10 @@
 
 #include "standin/caller.h"
 
-/* Parts of a job of the varied mix; null: as VARIED_PLAIN has it. */
+/* The parts of a job of the varied mix; null: as in VARIED_PLAIN. */
 typedef struct VariedParts {
-    const char *head; /* the cell, the tenant and the queue */
-    const char *tail; /* keys of the job after those */
+    const char *head; /* cell, tenant and queue */
+    const char *tail; /* further keys of the job */
     const char *step; /* keys of its step */
 } VariedParts;
 
@@ -14,7 +14,7 @@
                                          .tail = "",
                                          .step = "\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":900}"};
 
-/* What is the same in each job of a class; varied_tail and varied_step say the rest. */
+/* The parts that are the same in all jobs of a class; varied_tail and varied_step give the other parts. */
 static const VariedParts VARIED[CLASS_COUNT] = {
     [CLASS_COPIES] = {.tail = ",\"copies\":true",
                       .step = "\"count\":2,\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":2500}"},
@@ -25,14 +25,14 @@
                      .step = "\"labels\":[\"ssd\"],\"room\":{\"cpu\":0.5,\"memMb\":256},\"payload\":{\"runMs\":400}"},
     [CLASS_BOUNDED] = {.head = "\"cell\":\"imagery\",\"tenant\":\"bounded\",\"queue\":\"sweeps\"",
                        .step = "\"count\":4,\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":700}"},
-    /* turns overlap: each takes longer than until the next is due */
+    /* turns overlap: each takes longer than the time until the next is due */
     [CLASS_TURNS] = {.step = "\"count\":2,\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":600}},"
                              "{\"name\":\"two\",\"after\":[\"one\"],"
                              "\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":600}"},
     [CLASS_LASTING] = {.tail = ",\"lasting\":true"},
 };
 
-/* Times that follow from when the job was first sent; null: the class has none. */
+/* Returns keys with times that depend on when the job was first sent; null: the class has none. */
 static const char *varied_tail(void *mem, MixClass kind, int64_t wall_ms)
 {
     switch (kind) {
@@ -48,12 +48,13 @@
     }
 }
 
-/* Steps that differ from job to job, by when it was first sent; null: the class has none. */
+/* Returns the keys of a step that differs between jobs, depending on when the job was first sent; null: the class
+ * has none. */
 static const char *varied_step(void *mem, MixClass kind, int64_t wall_ms)
 {
     switch (kind) {
-    case CLASS_GANG: /* one gang in four has members that fail their first attempt; one in eight
-                      * runs for so long that an isolated member is noticed */
+    case CLASS_GANG: /* one gang in four has members that fail their first attempt; one in eight runs long enough for an
+                        isolated member to be noticed */
         return talloc_asprintf(mem,
                                "\"count\":4,\"gang\":true,\"room\":{\"cpu\":2,\"memMb\":1024},"
                                "\"payload\":{\"runMs\":%d,\"failRounds\":%d}",
@@ -65,7 +66,7 @@
         return talloc_asprintf(
             mem, "\"count\":2,\"room\":{\"cpu\":0.5,\"memMb\":256},\"payload\":{\"runMs\":900,\"failRounds\":%d}",
             (int)(wall_ms % 3));
-    case CLASS_SAVER: /* long, one in three fails its first attempt: the next goes on from its checkpoint */
+    case CLASS_SAVER: /* long; one in three fails its first attempt, and the next one continues from its checkpoint */
         return talloc_asprintf(mem,
                                "\"count\":2,\"saves\":true,\"room\":{\"cpu\":1,\"memMb\":512},"
                                "\"payload\":{\"runMs\":3500,\"saveMs\":500,\"failRounds\":%d}",
@@ -75,8 +76,8 @@
     }
 }
 
-/* The first that is not null. */
-static const char *part_of(const char *drawn, const char *of_class, const char *plain)
+/* Returns the first argument that is not null. */
+static const char *first_non_null(const char *drawn, const char *of_class, const char *plain)
 {
     if (drawn != NULL)
         return drawn;
@@ -86,13 +87,13 @@
 static const char *varied_job(void *mem, MixClass kind, const char *id, int64_t wall_ms)
 {
     const VariedParts *parts = &VARIED[kind];
-    const char *head = part_of(NULL, parts->head, VARIED_PLAIN.head);
-    const char *tail = part_of(varied_tail(mem, kind, wall_ms), parts->tail, VARIED_PLAIN.tail);
-    const char *step = part_of(varied_step(mem, kind, wall_ms), parts->step, VARIED_PLAIN.step);
+    const char *head = first_non_null(NULL, parts->head, VARIED_PLAIN.head);
+    const char *tail = first_non_null(varied_tail(mem, kind, wall_ms), parts->tail, VARIED_PLAIN.tail);
+    const char *step = first_non_null(varied_step(mem, kind, wall_ms), parts->step, VARIED_PLAIN.step);
     return talloc_asprintf(mem, "{\"id\":\"%s\",%s%s,\"steps\":[{\"name\":\"one\",%s}]}", id, head, tail, step);
 }
 
-/* Satellite imagery. */
+/* A job of the Trentvale mix: satellite imagery. */
 static const char *trentvale_job(void *mem, MixClass kind, const char *id)
 {
     switch (kind) {
@@ -118,7 +119,7 @@
     }
 }
 
-/* A container registry. */
+/* A job of the Atlas mix: a container registry. */
 static const char *atlas_job(void *mem, MixClass kind, const char *id)
 {
     switch (kind) {
--- a/packages/standin/src/run.h
+++ b/packages/standin/src/run.h
@@ -6,11 +6,11 @@
 #include "base/map.h"
 #include "standin/worker.h"
 
-/* What the stand-in for a worker "runs": attempts at tasks that take time and nothing else,
- * under a lease of its agent. worker.c reports them and takes the agent's answers. */
+/* The attempts at tasks that the stand-in for a worker "runs": they take time and do nothing else, under a lease of
+ * the worker's agent. worker.c reports them and handles the agent's answers. */
 
-/* One attempt; it lives as long as the worker. Freed with it, also once it is not reported
- * any more: its coroutine may still have to see that it ended. */
+/* One attempt. It is freed with the worker and not before, even if it is no longer reported: its coroutine may still
+ * have to notice that it ended. */
 typedef struct Run {
     struct Run *next;
     StandWorker *worker;
@@ -18,10 +18,10 @@
     uint64_t task, attempt;
     Resources resources;
     int64_t began_ms, end_ms;
-    int64_t from_ms;         /* progress: from which checkpoint it began, */
-    int64_t save_ms;         /* how often one is made; 0: never, */
-    int64_t times;           /* and how many times as long all takes */
-    char saved[ID_MAX + 48]; /* "TASK@MS of JOB"; empty: nothing */
+    int64_t from_ms;         /* progress at the checkpoint from which it started */
+    int64_t save_ms;         /* work between checkpoints; 0: it makes none */
+    int64_t slow_factor;     /* factor on its duration */
+    char saved[ID_MAX + 48]; /* checkpoint, "TASK@MS of JOB"; empty: none */
     bool fails;
     bool ended;
     AttemptWord word;
@@ -29,47 +29,46 @@
 } Run;
 
 /* Invariants:
- *  - nothing runs past until_ms, which counts from when the report was sent whose answer
- *    brought the lease;
- *  - an ended attempt is reported until its end is known to the leader;
- *  - fence is the highest seen, and an answer with a lower one does nothing;
- *  - highest holds of each task the highest attempt that was stopped or ended here. */
+ *  - no attempt runs past lease_until_ms, which counts from when the report was sent whose answer brought the lease;
+ *  - an ended attempt is reported until the leader knows its end;
+ *  - fence is the highest seen, and an answer with a lower one has no effect;
+ *  - highest holds, for each task, the highest attempt that was stopped or ended here. */
 struct StandWorker {
     Loop *loop;
     StandWorkerSettings settings;
     char boot[24];
-    int64_t until_ms;
+    int64_t lease_until_ms;
     uint64_t fence, seq;
     Map *highest;
     bool leaving;
-    int64_t leave_at_ms; /* leaving: it stays until then; 0: it did not say */
+    int64_t leave_at_ms; /* when leaving: time until which the worker stays; 0: not announced */
     Run *runs;
-    HttpCall *asking; /* the one report that is out; its answer may carry a lease */
+    HttpCall *report_call; /* the report in progress; its answer may bring a lease */
 };
 
-/* Starts an attempt as the agent's order says, unless the order or the lease is over or the
- * attempt is here already. One that is not above an earlier attempt at its task is rejected:
- * it ends at once as ATTEMPT_REFUSED. sent_ms: when the report was sent that the order answers. */
+/* Starts an attempt as the agent's order says, unless the order or the lease has expired or the attempt exists
+ * already. An attempt that is not above an earlier one at its task is rejected: it ends at once as ATTEMPT_REFUSED.
+ * sent_ms: when the report was sent that the order answers. */
 void run_start(StandWorker *worker, json_object *start, int64_t sent_ms);
-/* Ends an attempt, unless it has ended: makes its last checkpoint, tells the checkers, and
- * has it reported at once. */
+/* Ends an attempt, unless it has ended already: makes its last checkpoint, calls the checkers, and has it reported
+ * at once. */
 void run_end(Run *run, AttemptWord word);
-/* Brings the checkpoint of an attempt that makes any up to date. */
+/* Updates the checkpoint of an attempt that makes checkpoints. */
 void run_save(Run *run);
-/* How far it has come. */
+/* Returns the attempt's progress in percent. */
 int64_t run_percent(const Run *run);
-/* Null: no such attempt is reported. */
+/* Returns the attempt, or null if no such attempt is reported. */
 Run *run_find(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt);
-/* Takes an attempt out of the report. */
+/* Removes an attempt from the reports. */
 void run_forget(Run *run);
-/* An attempt that is stopped before it came will be rejected when it comes. */
-void run_bar(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt);
-/* Ends all attempts as lapsed when the lease is over; true: it is. To be called first whenever
- * time may have passed. */
+/* Records that an attempt was stopped or ended: if it is ordered later, it is rejected. */
+void run_record_highest(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt);
+/* Ends all attempts as lapsed if the lease has expired; returns whether it has. Must be called first whenever time
+ * may have passed. */
 bool runs_lapse(StandWorker *worker);
 
-/* A key of an object; otherwise, or "", where it is not there. */
-int64_t json_int_of(json_object *object, const char *key, int64_t otherwise);
-const char *json_text_of(json_object *object, const char *key);
+/* Returns the value of a key of an object; if the key is missing, otherwise or "". */
+int64_t json_int_field(json_object *object, const char *key, int64_t otherwise);
+const char *json_text_field(json_object *object, const char *key);
 
 #endif
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -1,4 +1,4 @@
-/* The stand-in for a worker as its agent meets it: reports, and what the answers ask for. */
+/* The stand-in for a worker as its agent sees it: its reports, and the handling of the answers. */
 #include "standin/worker.h"
 
 #include <inttypes.h>
@@ -11,17 +11,17 @@
 
 /* --- the agent's answers ---------------------------------------------------------------------- */
 
-/* The attempt that an entry of the answer names; null: it is not here. */
-static Run *run_of(StandWorker *worker, json_object *one)
+/* Returns the attempt that an entry of the answer names; null: it is not here. */
+static Run *run_from_json(StandWorker *worker, json_object *one)
 {
-    return run_find(worker, json_text_of(one, "job"), (uint64_t)json_int_of(one, "task", 0),
-                    (uint64_t)json_int_of(one, "round", 0));
+    return run_find(worker, json_text_field(one, "job"), (uint64_t)json_int_field(one, "task", 0),
+                    (uint64_t)json_int_field(one, "round", 0));
 }
 
-/* The end of an attempt is known to the leader: it is reported no more. */
-static void known_take(StandWorker *worker, json_object *one)
+/* The leader knows the end of the attempt: it is not reported any more. */
+static void apply_known(StandWorker *worker, json_object *one)
 {
-    Run *run = run_of(worker, one);
+    Run *run = run_from_json(worker, one);
     if (run == NULL || !run->ended)
         return;
     if (worker->settings.watch.known != NULL)
@@ -30,12 +30,12 @@
     run_forget(run);
 }
 
-static void stop_take(StandWorker *worker, json_object *one)
+static void apply_stop(StandWorker *worker, json_object *one)
 {
-    Run *run = run_of(worker, one);
-    if (run == NULL) /* one that has not come yet is barred */
-        run_bar(worker, json_text_of(one, "job"), (uint64_t)json_int_of(one, "task", 0),
-                (uint64_t)json_int_of(one, "round", 0));
+    Run *run = run_from_json(worker, one);
+    if (run == NULL) /* an attempt that has not been ordered yet is rejected later */
+        run_record_highest(worker, json_text_field(one, "job"), (uint64_t)json_int_field(one, "task", 0),
+                           (uint64_t)json_int_field(one, "round", 0));
     if (run == NULL || run->ended)
         return;
     if (worker->settings.watch.reported != NULL)
@@ -44,70 +44,70 @@
     run_end(run, ATTEMPT_STOPPED);
 }
 
-static size_t list_of(json_object *body, const char *key, json_object **list)
+static size_t list_from_json(json_object *body, const char *key, json_object **list)
 {
     return json_object_object_get_ex(body, key, list) ? json_object_array_length(*list) : 0;
 }
 
-/* The lease of an answer counts from when its report was sent. False: the answer is of an
- * earlier fence, or the lease is over. */
-static bool lease_take(StandWorker *worker, json_object *body, int64_t sent_ms)
+/* Applies the lease of an answer, which counts from when its report was sent. Returns false if the answer has a
+ * lower fence than an earlier one, or the lease has expired. */
+static bool apply_lease(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
-    const int64_t lease_ms = json_int_of(body, "holdMs", 0);
-    const uint64_t fence = (uint64_t)json_int_of(body, "fence", 0);
+    const int64_t lease_ms = json_int_field(body, "holdMs", 0);
+    const uint64_t fence = (uint64_t)json_int_field(body, "fence", 0);
     if (fence < worker->fence)
         return false;
     worker->fence = fence;
-    if (sent_ms + lease_ms > worker->until_ms)
-        worker->until_ms = sent_ms + lease_ms;
+    if (sent_ms + lease_ms > worker->lease_until_ms)
+        worker->lease_until_ms = sent_ms + lease_ms;
     if (runs_lapse(worker))
         return false;
     if (worker->settings.watch.held != NULL)
         worker->settings.watch.held(worker->settings.watch.arg, worker->settings.worker.name,
-                                    worker->until_ms - loop_now_ms(worker->loop));
+                                    worker->lease_until_ms - loop_now_ms(worker->loop));
     return true;
 }
 
-static void answer_take(StandWorker *worker, json_object *body, int64_t sent_ms)
+static void apply_answer(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
-    if (!lease_take(worker, body, sent_ms))
+    if (!apply_lease(worker, body, sent_ms))
         return;
     json_object *list;
-    const size_t known_count = list_of(body, "known", &list);
+    const size_t known_count = list_from_json(body, "known", &list);
     for (size_t i = 0; i < known_count; i++)
-        known_take(worker, json_object_array_get_idx(list, i));
-    const size_t stop_count = list_of(body, "stops", &list);
+        apply_known(worker, json_object_array_get_idx(list, i));
+    const size_t stop_count = list_from_json(body, "stops", &list);
     for (size_t i = 0; i < stop_count; i++)
-        stop_take(worker, json_object_array_get_idx(list, i));
-    /* also while it leaves: that nothing comes then is what is to be shown */
-    const size_t start_count = list_of(body, "starts", &list);
+        apply_stop(worker, json_object_array_get_idx(list, i));
+    /* Orders are also accepted while the worker is leaving: the tests must be able to show that none come then. */
+    const size_t start_count = list_from_json(body, "starts", &list);
     for (size_t i = 0; i < start_count; i++)
         run_start(worker, json_object_array_get_idx(list, i), sent_ms);
 }
 
 /* --- reports ------------------------------------------------------------------------------------- */
 
-static uint64_t less_or_none(uint64_t whole, uint64_t used)
+static uint64_t subtract_or_zero(uint64_t capacity, uint64_t used)
 {
-    return whole > used ? whole - used : 0;
+    return capacity > used ? capacity - used : 0;
 }
 
-/* What is not taken by its attempts or, where it says its capacity, by somebody else. */
-static Resources free_of(const StandWorker *worker)
+/* Returns the resources that are not used by its attempts or, if it reports its capacity, by other software. */
+static Resources free_resources(const StandWorker *worker)
 {
-    const Resources whole = worker->settings.worker.resources;
-    Resources used = whole.cpu_milli ? worker->settings.others : (Resources){0};
+    const Resources capacity = worker->settings.worker.resources;
+    Resources used = capacity.cpu_milli ? worker->settings.others : (Resources){0};
     for (const Run *run = worker->runs; run != NULL; run = run->next)
         if (!run->ended) {
             used.cpu_milli += run->resources.cpu_milli;
             used.mem_mb += run->resources.mem_mb;
             used.gpu += run->resources.gpu;
         }
-    return (Resources){less_or_none(whole.cpu_milli, used.cpu_milli), less_or_none(whole.mem_mb, used.mem_mb),
-                       less_or_none(whole.gpu, used.gpu)};
+    return (Resources){subtract_or_zero(capacity.cpu_milli, used.cpu_milli),
+                       subtract_or_zero(capacity.mem_mb, used.mem_mb), subtract_or_zero(capacity.gpu, used.gpu)};
 }
 
-static json_object *run_shown(Run *run)
+static json_object *run_to_json(Run *run)
 {
     json_object *one = json_object_new_object();
     if (!run->ended)
@@ -124,12 +124,12 @@
     return one;
 }
 
-static json_object *report_of(StandWorker *worker)
+static json_object *report_to_json(StandWorker *worker)
 {
     json_object *body = show_worker(&worker->settings.worker);
     json_object_object_del(body, "name");
     json_object_object_del(body, "excluded");
-    json_object_object_add(body, "free", show_resources(free_of(worker)));
+    json_object_object_add(body, "free", show_resources(free_resources(worker)));
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
     json_object_object_add(body, "seq", json_object_new_int64((int64_t)++worker->seq));
     json_object_object_add(body, "leaving", json_object_new_boolean(worker->leaving));
@@ -140,26 +140,25 @@
     json_object *running = json_object_new_array();
     json_object *ended = json_object_new_array();
     for (Run *run = worker->runs; run != NULL; run = run->next)
-        json_object_array_add(run->ended ? ended : running, run_shown(run));
+        json_object_array_add(run->ended ? ended : running, run_to_json(run));
     json_object_object_add(body, "running", running);
     json_object_object_add(body, "ended", ended);
     return body;
 }
 
-/* Waits. Sends the last report once more and drops its answer: a duplicate out of order, as a
- * retry lower down makes them. */
-static void repeat_last(StandWorker *worker, void *mem, const char *path, const char *last)
+/* Resends the last report and ignores the answer; waits. This is a duplicate out of order, as retries in a lower
+ * layer produce. */
+static void resend_last(StandWorker *worker, void *mem, const char *path, const char *last)
 {
     HttpCall call = {.mem = mem, .address = worker->settings.agent, .method = "POST", .path = path, .wait_ms = 20};
     bytes_add(mem, &call.body, last, strlen(last));
     loop_call(worker->loop, &call);
 }
 
-/* Waits. Sends one report and takes its answer; *last becomes the report when reports are to
- * be repeated. */
-static void report_once(StandWorker *worker, void *mem, const char *path, char **last)
+/* Sends one report and applies its answer; waits. *last becomes the report if reports are to be resent. */
+static void send_report(StandWorker *worker, void *mem, const char *path, char **last)
 {
-    json_object *body = report_of(worker);
+    json_object *body = report_to_json(worker);
     const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
     HttpCall call = {.mem = mem,
                      .address = worker->settings.agent,
@@ -171,14 +170,14 @@
     *last = worker->settings.repeats ? talloc_strdup(worker, text) : NULL;
     json_object_put(body);
     const int64_t sent_ms = loop_now_ms(worker->loop);
-    worker->asking = &call;
+    worker->report_call = &call;
     const Status status = loop_call(worker->loop, &call);
-    worker->asking = NULL;
+    worker->report_call = NULL;
     if (status == STATUS_OK && call.code == 200) {
         char *copy = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
         json_object *answer = json_tokener_parse(copy);
         if (answer != NULL)
-            answer_take(worker, answer, sent_ms);
+            apply_answer(worker, answer, sent_ms);
         json_object_put(answer);
     } else if (!call.cut) {
         loop_sleep(worker->loop, 100);
@@ -195,14 +194,14 @@
         void *mem = talloc_new(worker);
         const char *path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->settings.worker.name);
         if (worker->settings.repeats && last != NULL && loop_random(worker->loop) % 4 == 0)
-            repeat_last(worker, mem, path, last);
+            resend_last(worker, mem, path, last);
         runs_lapse(worker);
-        report_once(worker, mem, path, &last);
+        send_report(worker, mem, path, &last);
         talloc_free(mem);
     }
 }
 
-/* --- its life ------------------------------------------------------------------------------------- */
+/* --- public functions ----------------------------------------------------------------------------- */
 
 StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerSettings *settings)
 {
@@ -238,9 +237,9 @@
     worker->settings.hangs = hangs;
 }
 
-void stand_worker_slow(StandWorker *worker, int64_t times)
+void stand_worker_slow(StandWorker *worker, int64_t slow_factor)
 {
-    worker->settings.slow_times = times;
+    worker->settings.slow_times = slow_factor;
 }
 
 void stand_worker_repeat(StandWorker *worker, bool repeats)
