--- a/packages/model/src/listener.c
+++ b/packages/model/src/listener.c
@@ -9,20 +9,20 @@
 #define EJECT_MISSES 2       /* count; consecutive failures that eject an entry point */
 
 /* The health check of one server. */
-typedef struct HealthCheck {
+typedef struct EntryPointProbe {
     Listener *listener;
     size_t server;
-} HealthCheck;
+} EntryPointProbe;
 
 static void health_check_main(void *arg)
 {
-    HealthCheck *check = arg;
-    Listener *listener = check->listener;
+    EntryPointProbe *probe = arg;
+    Listener *listener = probe->listener;
     const Topology *topology = listener->topology;
     Loop *loop = sim_loop(topology->world, listener->machine);
-    const TopologyNode *node = &topology->servers[check->server];
+    const TopologyNode *node = &topology->servers[probe->server];
     for (;;) {
-        void *mem = talloc_new(check);
+        void *mem = talloc_new(probe);
         HttpCall call = {.mem = mem,
                          .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, node->machine),
                                                     topology->codec->ready_port),
@@ -31,7 +31,7 @@
                          .wait_ms = HEALTH_CHECK_MS};
         const int64_t began_ms = loop_now_ms(loop);
         const bool ready = node->used && loop_call(loop, &call) == STATUS_OK && call.code == 200;
-        listener->misses[check->server] = ready ? 0 : listener->misses[check->server] + 1;
+        listener->misses[probe->server] = ready ? 0 : listener->misses[probe->server] + 1;
         talloc_free(mem);
         loop_sleep(loop, began_ms + HEALTH_CHECK_MS - loop_now_ms(loop));
     }
@@ -50,9 +50,9 @@
     topology_host(listener->topology, listener->machine);
     Loop *loop = sim_loop(listener->topology->world, listener->machine);
     for (size_t i = 0; i < listener->topology->server_count; i++) {
-        HealthCheck *check = talloc_zero(loop, HealthCheck);
-        *check = (HealthCheck){listener, i};
-        loop_spawn(loop, "look", health_check_main, check);
+        EntryPointProbe *probe = talloc_zero(loop, EntryPointProbe);
+        *probe = (EntryPointProbe){listener, i};
+        loop_spawn(loop, "look", health_check_main, probe);
     }
 }
 
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -234,14 +234,14 @@
 /* --- probes of entry points ---------------------------------------------------------------------- */
 
 /* The probe of one entry point. */
-typedef struct QueueProbe {
+typedef struct EntryPointProbe {
     Operator *owner;
     TopologyNode *node;
     RandomSource random_source;
-} QueueProbe;
+} EntryPointProbe;
 
 /* Returns a random queue of a recently sent document, or one that never existed. */
-static DocumentQueue draw_queue(QueueProbe *probe)
+static DocumentQueue draw_queue(EntryPointProbe *probe)
 {
     const SentDocuments *sent_documents = probe->owner->sent_documents;
     const int64_t from = (int64_t)sent_documents->count > 4 ? (int64_t)sent_documents->count - 4 : 0;
@@ -254,7 +254,7 @@
 }
 
 /* Calls the entry point for a queue, and checks whether the answer may show it as existing or missing. */
-static void queue_probe_once(QueueProbe *probe, void *mem)
+static void queue_probe_once(EntryPointProbe *probe, void *mem)
 {
     Operator *self = probe->owner;
     const Topology *topology = self->topology;
@@ -280,7 +280,7 @@
 
 static void queue_probe_main(void *arg)
 {
-    QueueProbe *probe = arg;
+    EntryPointProbe *probe = arg;
     for (;;) {
         loop_sleep(
             operator_loop(probe->owner),
@@ -316,8 +316,9 @@
     advance_version(self, &first);
     loop_spawn(operator_loop(self), "first", send_document_main, request_new(self, &first, NULL, SPOIL_NONE, false));
     for (size_t i = 0; i < self->topology->server_count; i++) {
-        QueueProbe *probe = talloc_zero(self, QueueProbe);
-        *probe = (QueueProbe){self, &self->topology->servers[i], random_source_new(self->topology->seed, "look", i)};
+        EntryPointProbe *probe = talloc_zero(self, EntryPointProbe);
+        *probe =
+            (EntryPointProbe){self, &self->topology->servers[i], random_source_new(self->topology->seed, "look", i)};
         loop_spawn(operator_loop(self), "look", queue_probe_main, probe);
     }
 }
