--- a/packages/explore/src/state.h
+++ b/packages/explore/src/state.h
@@ -12,18 +12,19 @@
 
 #define NODES_MAX 24 /* count; machines in one run at most */
 #define DISKS_MAX 96 /* count; disks in one run at most, wiped ones included */
-#define LIVENESS_LIMIT_MS \
-    12000 /* ms; required recovery time: after a burst of failures, a change must be committed within about 12 s */
-#define VOTERS_COMPLETE_LIMIT_MS \
-    30000 /* ms; by then the configured number of voters must be present, if there are enough disks */
+/* Required recovery time, in ms: after a burst of failures, a change must be committed within about 12 s. */
+#define LIVENESS_LIMIT_MS 12000
+/* Time after the failures within which the configured number of voters must be present, if there are enough disks,
+ * in ms. */
+#define VOTERS_COMPLETE_LIMIT_MS 30000
 
 /* An entry of the history or of a disk's log. */
 typedef struct Item {
     uint64_t term;
     uint64_t hash;       /* of the term, the kind of change and the payload */
-    uint64_t state_hash; /* State hash after the entry; set in the history only */
-    uint64_t number;     /* Number of the client's change; 0: an entry of the replicated log itself */
-    uint64_t *voters;    /* The configuration of voters in the entry; null: none */
+    uint64_t state_hash; /* state hash after the entry; set in the history only */
+    uint64_t number;     /* number of the client's change; 0: an entry of the replicated log itself */
+    uint64_t *voters;    /* the configuration of voters in the entry; null: none */
     size_t voter_count;
 } Item;
 
@@ -57,7 +58,7 @@
 /* A change submitted by a client, and its outcome. */
 typedef struct ClientChange {
     bool refused, acknowledged;
-    uint64_t index; /* Index at which the change was committed; 0: not committed */
+    uint64_t index; /* index at which the change was committed; 0: not committed */
 } ClientChange;
 
 /* The replicated state: a hash over all delivered changes. */
@@ -71,7 +72,7 @@
     int machine;
     const char *name, *listen;
     Recorder *recorder;
-    bool may_found;     /* The node's first start may found the cluster */
+    bool may_found;     /* the node's first start may found the cluster */
     bool leaving, gone; /* shutting down gracefully; permanently gone */
     DiskModel *model;   /* model of its disk; null: nothing has been synced to the disk yet */
     /* State of the current process; reset at each start. */
@@ -84,7 +85,7 @@
     /* Values that the checks saw in the previous step; terms in which the node last won the lease and last led;
      * index of the configuration of voters that was last checked on a leader. */
     uint64_t promised_seen, commit_seen, last_lease_term, last_led_term, voters_index_seen;
-    size_t voter_count_before;    /* Number of voters in the configuration in force after the previous step */
+    size_t voter_count_before;    /* number of voters in the configuration in force after the previous step */
     uint64_t voters_index_before; /* index of that configuration */
     /* Phase after the previous step. */
     ReplicationPhase phase_before;
@@ -95,13 +96,14 @@
     uint64_t term, disk;
 } TermLeader;
 
+/* The state of a run. */
 typedef struct Explore {
     const ExplorePlan *plan;
     ExploreResult *result;
     SimWorld *world;
-    bool verbose;
-    int64_t start_ms;                /* Time at which the adversary started */
-    bool adversary_over;             /* Acts that still wait for a moment are not performed */
+    bool verbose;                    /* prints what happens */
+    int64_t start_ms;                /* time at which the adversary started */
+    bool adversary_over;             /* acts that still wait for a moment are not performed */
     struct MomentWait *moment_waits; /* calls that wait for a moment, newest first */
     Node nodes[NODES_MAX];
     int node_count;
--- a/packages/model/src/caller.h
+++ b/packages/model/src/caller.h
@@ -18,11 +18,11 @@
     uint64_t generated_count;           /* number of jobs generated */
     bool stopped;                       /* submission has ended */
     int64_t finish_ms;                  /* when submission ended */
-    /* Submissions by first attempts before the closing fault, and after the time allowed for recovery from it; of
-     * each, those that were accepted. */
-    int64_t closing_ms, restart_ms;  /* times of the closing fault and of the machines' restart; 0: not yet */
-    TopologyNode *last_acknowledger; /* entry point that last accepted a job */
+    int64_t closing_ms, restart_ms;     /* times of the closing fault and of the machines' restart; 0: not yet */
+    TopologyNode *last_acknowledger;    /* entry point that last accepted a job */
     int64_t last_acknowledged_ms;
+    /* First attempts to submit a job, and those that were accepted: before the closing fault, and after the time
+     * allowed for recovery from it. */
     size_t sent_before, served_before, sent_after, served_after;
 } Callers;
 
--- a/packages/model/src/listener.c
+++ b/packages/model/src/listener.c
@@ -8,7 +8,7 @@
 #define HEALTH_CHECK_MS 1000 /* ms; interval and timeout of health checks */
 #define EJECT_MISSES 2       /* count; consecutive failures that eject an entry point */
 
-/* The health check of one server. */
+/* The periodic health check of one server. */
 typedef struct EntryPointProbe {
     Listener *listener;
     size_t server;
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -24,7 +24,7 @@
     if (outcome == OUTCOME_GOOD)
         sent_documents_acknowledge(self->sent_documents, sent);
     else if (outcome != OUTCOME_UNCLEAR)
-        sent->word = SENT_REFUSED;
+        sent->status = SENT_REFUSED;
     topology_log(topology, "document %" PRIu64 " on %" PRIu64 "%s%s: %s", sent->document.version, sent->base,
                  request->patch ? ", patched" : "", sent->spoil != SPOIL_NONE ? ", invalid" : "",
                  outcome_word(outcome));
@@ -110,7 +110,7 @@
             Sent *sent = self->sent_documents->rows[i];
             uint64_t version = 0;
             const bool same = self->topology->codec->same(result, &sent->document, &version);
-            if (same && sent->word == SENT_OPEN && version == sent->document.version)
+            if (same && sent->status == SENT_OPEN && version == sent->document.version)
                 sent_documents_acknowledge(self->sent_documents, sent);
         }
     talloc_free(mem);
@@ -342,7 +342,7 @@
     else if (!same)
         rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                            "the document read back as version %" PRIu64 " was not sent in this form", version);
-    else if (known != NULL && known->word == SENT_REFUSED)
+    else if (known != NULL && known->status == SENT_REFUSED)
         rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                            "version %" PRIu64 " was rejected but is in force", version);
 }
--- a/packages/model/src/operator_order.h
+++ b/packages/model/src/operator_order.h
@@ -10,10 +10,12 @@
     Operator *owner;
     Sent *sent; /* null: a request about a zone */
     const char *zone;
+    /* drain: drain the zone, rather than take it back; patch: send the change only; concurrent: competes with
+     * another change of the same document, and so may fail. */
     bool drain, patch, concurrent;
     Document from; /* document that a patch applies to */
     int64_t sent_ms;
-    bool late_reported, finished;
+    bool late_reported, finished; /* a late acknowledgement was reported; there was a clear answer */
 } OperatorRequest;
 
 /* The operator's event loop. */
--- a/packages/model/src/sent_documents.c
+++ b/packages/model/src/sent_documents.c
@@ -25,7 +25,7 @@
 void sent_documents_acknowledge(SentDocuments *sent_documents, Sent *sent)
 {
     Topology *topology = sent_documents->topology;
-    sent->word = SENT_ACKNOWLEDGED;
+    sent->status = SENT_ACKNOWLEDGED;
     sent->acknowledged_ms = topology_now_ms(topology);
     sent_documents->running = true;
     if (sent->spoil != SPOIL_NONE)
@@ -34,7 +34,7 @@
                            (int)sent->spoil);
     for (size_t i = 0; i < sent_documents->count; i++) {
         const Sent *other = sent_documents->rows[i];
-        if (other != sent && other->word == SENT_ACKNOWLEDGED && other->base == sent->base)
+        if (other != sent && other->status == SENT_ACKNOWLEDGED && other->base == sent->base)
             rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                                "%" PRIu64 " and %" PRIu64 " are both acknowledged on top of %" PRIu64,
                                other->document.version, sent->document.version, sent->base);
@@ -45,7 +45,7 @@
 {
     const Sent *newest = NULL;
     for (size_t i = 0; i < sent_documents->count; i++)
-        if (sent_documents->rows[i]->word == SENT_ACKNOWLEDGED &&
+        if (sent_documents->rows[i]->status == SENT_ACKNOWLEDGED &&
             (newest == NULL || sent_documents->rows[i]->document.version > newest->document.version))
             newest = sent_documents->rows[i];
     return newest;
@@ -62,7 +62,7 @@
 /* Whether the document may be in force: it is not rejected, not invalid, and its version is not below min_version. */
 static bool may_be_in_force(const Sent *sent, uint64_t min_version)
 {
-    return sent->word != SENT_REFUSED && sent->spoil == SPOIL_NONE && sent->document.version >= min_version;
+    return sent->status != SENT_REFUSED && sent->spoil == SPOIL_NONE && sent->document.version >= min_version;
 }
 
 /* Whether a queue is in the documents of min_version and above that may be in force; result as for
@@ -86,7 +86,7 @@
     uint64_t min_version = 0;
     for (size_t i = 0; i < sent_documents->count; i++) {
         const Sent *sent = sent_documents->rows[i];
-        if (sent->word == SENT_ACKNOWLEDGED &&
+        if (sent->status == SENT_ACKNOWLEDGED &&
             sent_ms > sent->acknowledged_ms + sent_documents->topology->site->apply_ms &&
             sent->document.version > min_version)
             min_version = sent->document.version;
--- a/packages/model/src/sent_documents.h
+++ b/packages/model/src/sent_documents.h
@@ -11,7 +11,7 @@
     Document document;
     uint64_t base;
     Spoil spoil;
-    SentStatus word;
+    SentStatus status;
     int64_t sent_ms, acknowledged_ms;
 } Sent;
 
@@ -44,8 +44,8 @@
  * some. */
 int sent_documents_queue_state(const SentDocuments *sent_documents, const char *host, const char *prefix,
                                int64_t sent_ms);
-/* Checks the answer of an entry point to a request sent at sent_ms, which shows whether the entry point has the
- * queue (there). */
+/* Checks the answer of an entry point to a request sent at sent_ms; exists: the answer shows that the entry point
+ * has the queue. */
 void sent_documents_check_answer(SentDocuments *sent_documents, TopologyNode *node, const char *host,
                                  const char *prefix, int64_t sent_ms, bool exists);
 /* Returns the state of a zone. */
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -10,8 +10,8 @@
 #include "sim/checker.h"
 #include "sim/world.h"
 
-#define SERVERS_MAX 32
-#define AGENTS_MAX 40
+#define SERVERS_MAX 32 /* count; controllers, spares and entry points */
+#define AGENTS_MAX 40  /* count; also the maximum number of workers */
 
 /* A machine of the product with its one process.
  *
@@ -27,8 +27,8 @@
     bool up, leaving;             /* the process has started; it is shutting down gracefully */
     uint64_t incarnation;         /* number of its current process */
     int64_t fault_ms;
-    int faults; /* number of lasting faults */
-    AdapterSettings place;
+    int faults;            /* number of lasting faults */
+    AdapterSettings place; /* settings as the adapter reads them */
     AdapterNode node;
     Recorder *recorder;
     void *mem;              /* of the running process */
@@ -53,8 +53,8 @@
     int controller_faults;       /* number of lasting faults of controllers */
     int fault_count_all;         /* number of lasting faults */
     int64_t any_fault_ms;        /* last unplanned fault of any machine or worker, like fault_ms */
-    bool verbose;
-    const char *job; /* job whose events are printed; null: none */
+    bool verbose;                /* events of the day are printed */
+    const char *job;             /* job whose events are printed; null: none */
 } Topology;
 
 /* --- topology.c --- */
@@ -68,7 +68,7 @@
 /* Starts an empty process on a machine of the model itself, such as a caller's; its coroutines are spawned later. */
 void topology_host(const Topology *topology, int machine);
 
-/* --- topology_log_task.c --- */
+/* --- topology_log.c --- */
 /* The world's clock. */
 int64_t topology_now_ms(const Topology *topology);
 /* Time since traffic started; negative before. */
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -23,9 +23,9 @@
     }
 }
 
-void worker_model_slow(WorkerModel *worker_model, int64_t times)
+void worker_model_slow(WorkerModel *worker_model, int64_t slow_factor)
 {
-    worker_model->slow_factor = times;
+    worker_model->slow_factor = slow_factor;
     if (worker_model->up)
         worker_model_update_pace(worker_model);
 }
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -36,7 +36,7 @@
 typedef struct WorkerModelEnd {
     WorkerModelEnded reported;
     TaskRecord *task;
-    bool lapsed_after; /* the lease has lapsed since: an acknowledgement proves nothing */
+    bool lapsed_after; /* the lease has lapsed since: the acknowledgement is not checked */
 } WorkerModelEnd;
 
 /* A worker model: carries out its orders, runs attempts only while it has a lease, and reports each end until the
@@ -89,7 +89,9 @@
 void worker_model_crash(WorkerModel *worker_model, bool power);
 /* Reports that the worker drains, and shuts it down after after_ms. */
 void worker_model_leave(WorkerModel *worker_model, int64_t after_ms);
-void worker_model_slow(WorkerModel *worker_model, int64_t times);
+/* Sets the factor by which the worker's tasks are slowed down. */
+void worker_model_slow(WorkerModel *worker_model, int64_t slow_factor);
+/* Sets whether the worker's tasks make no progress. */
 void worker_model_hang(WorkerModel *worker_model, bool hangs);
 /* Recomputes the pace of its groups. */
 void worker_model_update_pace(WorkerModel *worker_model);
