--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -11,9 +11,7 @@
 #include "nodes.h"
 #include "report.h"
 
-#define FOUND_LIMIT_MS                                                                                               \
-    30000                    /* ms; time limit from the first start until the configured number of voters is present \
-                              */
+#define FOUND_LIMIT_MS 30000 /* ms; time limit from the first start until all voters are present */
 #define CHECK_INTERVAL_MS 50 /* ms; interval between checks for a broken rule */
 
 static bool rule_broken(const Explore *explore)
--- a/packages/explore/src/shrink.c
+++ b/packages/explore/src/shrink.c
@@ -3,8 +3,8 @@
 
 #include "explore/explore.h"
 
-#define WORLDS_TRIED \
-    6 /* Number of worlds tried: without one act all that follows it differs, so other random worlds are tried too */
+/* Number of worlds tried: without one act all that follows it differs, so other random worlds are tried too. */
+#define WORLDS_TRIED 6
 
 /* Runs the plan in several worlds. Returns whether it breaks the rule in one; the plan is left with that world. */
 static bool breaks(ExplorePlan *plan, Rule rule, ExploreResult *result)
--- a/packages/explore/test/explore.c
+++ b/packages/explore/test/explore.c
@@ -2,8 +2,7 @@
 #include "plays.h"
 
 #if defined(__SANITIZE_ADDRESS__)
-#define SEEDS_PER_CASE \
-    6 /* Seeds in each test case; fewer here, since the address sanitizer makes runs about ten times slower */
+#define SEEDS_PER_CASE 6 /* fewer, since the address sanitizer makes runs about ten times slower */
 #else
 #define SEEDS_PER_CASE 60
 #endif
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -20,15 +20,17 @@
     uint64_t seed;
     const Site *site;
     const Codec *codec;
-    bool loud;         /* prints the events of the day */
-    const char *job;   /* id of a job whose events are printed; null: none */
-    size_t faults;     /* number of faults to generate */
-    bool wrong_clocks; /* tests the checkers: the leader's clock runs too slow and the others' too fast, beyond the
-                          drift that the product tolerates */
+    bool loud;       /* prints the events of the day */
+    const char *job; /* id of a job whose events are printed; null: none */
+    size_t faults;   /* number of faults to generate */
+    /* Tests the checkers: the leader's clock runs too slow and the others' too fast, beyond the drift that the product
+     * tolerates. */
+    bool wrong_clocks;
     Closing closing;
-    const char *only;   /* generates only faults of this kind; null: all kinds */
-    const char *script; /* faults to inject instead of generated ones, as KIND@AT+FOR=WHOM,... with times in ms; null:
-                           none. WHOM: a machine, a zone or "leader"; if omitted, chosen at random */
+    const char *only; /* generates only faults of this kind; null: all kinds */
+    /* Faults to inject instead of generated ones, as KIND@AT+FOR=WHOM,... with times in ms; null: none. WHOM: a
+     * machine, a zone or "leader"; if omitted, chosen at random. */
+    const char *script;
     bool skipped[DAY_FAULTS_MAX]; /* faults to leave out, by number */
 } DaySettings;
 
--- a/packages/model/src/job_records.h
+++ b/packages/model/src/job_records.h
@@ -17,9 +17,10 @@
     size_t failure_count;
     int64_t failures_acknowledged_ms; /* when the last failure was acknowledged to the worker */
     int64_t saved_ms;                 /* maximum progress ever reported in a checkpoint */
-    uint64_t attempt_after_done; /* an attempt that started after the task was done; 0: none. The attempt breaks a rule
-                                    if the end of an earlier attempt is acknowledged */
-    uint64_t attempt_after_budget; /* likewise, an attempt that started after all allowed attempts had failed */
+    /* An attempt that started after the task was done; 0: none. The attempt breaks a rule if the end of an earlier
+     * attempt is acknowledged. */
+    uint64_t attempt_after_done;
+    uint64_t attempt_after_budget; /* likewise, one that started after all allowed attempts had failed */
 } TaskOutcome;
 
 /* A task of a job. */
--- a/packages/standin/src/mix_job.c
+++ b/packages/standin/src/mix_job.c
@@ -53,8 +53,9 @@
 static const char *varied_step(void *mem, MixClass kind, int64_t wall_ms)
 {
     switch (kind) {
-    case CLASS_GANG: /* one gang in four has members that fail their first attempt; one in eight runs long enough for an
-                        isolated member to be noticed */
+    case CLASS_GANG:
+        /* one gang in four has members that fail their first attempt; one in eight runs long enough for an isolated
+         * member to be noticed */
         return talloc_asprintf(mem,
                                "\"count\":4,\"gang\":true,\"room\":{\"cpu\":2,\"memMb\":1024},"
                                "\"payload\":{\"runMs\":%d,\"failRounds\":%d}",
