--- a/packages/sim/src/fleet.h
+++ b/packages/sim/src/fleet.h
@@ -5,7 +5,7 @@
 
 /* Callbacks that pass the events of a node or a caller to the fleet's checker. */
 ControllerObserver fleet_controller_watch(FleetNode *node);
-StandWorkerWatch fleet_worker_watch(FleetNode *node);
-CallerWatch fleet_caller_watch(Fleet *fleet);
+StandWorkerCallbacks fleet_worker_watch(FleetNode *node);
+CallerCallbacks fleet_caller_watch(Fleet *fleet);
 
 #endif
--- a/packages/sim/src/fleet_request.c
+++ b/packages/sim/src/fleet_request.c
@@ -71,10 +71,10 @@
     CallerSettings settings = {.name = name,
                                .mix = fleet->shape.mix,
                                .rate_milli = rate_milli,
-                               .for_ms = for_ms,
-                               .twins = fleet->shape.mix == MIX_VARIED,
+                               .submission_ms = for_ms,
+                               .submits_duplicates = fleet->shape.mix == MIX_VARIED,
                                .watch = fleet_caller_watch(fleet)};
-    for (int i = 0; i < fleet->node_count[FLEET_ENTRY_POINT] && i < ENTRIES_MAX; i++)
+    for (int i = 0; i < fleet->node_count[FLEET_ENTRY_POINT] && i < CALLER_ENTRY_POINTS_MAX; i++)
         settings.entries[settings.entry_count++] = fleet->nodes[FLEET_ENTRY_POINT][i].settings.http;
     Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     Caller *caller = caller_start(loop, loop, &settings);
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -82,12 +82,12 @@
     return (ControllerObserver){node, on_plans};
 }
 
-StandWorkerWatch fleet_worker_watch(FleetNode *node)
+StandWorkerCallbacks fleet_worker_watch(FleetNode *node)
 {
-    return (StandWorkerWatch){node, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_notified};
+    return (StandWorkerCallbacks){node, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_notified};
 }
 
-CallerWatch fleet_caller_watch(Fleet *fleet)
+CallerCallbacks fleet_caller_watch(Fleet *fleet)
 {
-    return (CallerWatch){fleet, on_sent, on_accepted, on_refused, on_job_ended, on_unknown, on_cancelled};
+    return (CallerCallbacks){fleet, on_sent, on_accepted, on_refused, on_job_ended, on_unknown, on_cancelled};
 }
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -91,7 +91,7 @@
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
         const FleetNode *worker = &fleet->nodes[FLEET_WORKER][i], *agent = &fleet->nodes[FLEET_AGENT][i];
         count += node_runs(fleet, worker) && node_runs(fleet, agent) &&
-                 linked_both_ways(fleet, worker->machine, agent->machine) && !worker->worker_settings.fails_all &&
+                 linked_both_ways(fleet, worker->machine, agent->machine) && !worker->worker_settings.fails_all_tasks &&
                  reaches_voters(fleet, agent->machine);
     }
     return count;
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -56,8 +56,8 @@
     }
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
         FleetNode *worker = fleet_node(fleet, FLEET_WORKER, i);
-        worker->worker_settings.fails_all = worker->worker_settings.repeats = false;
-        worker->worker_settings.slow_times = 1;
+        worker->worker_settings.fails_all_tasks = worker->worker_settings.resends_reports = false;
+        worker->worker_settings.slowdown_factor = 1;
         fleet_kill(fleet, FLEET_WORKER, i); /* workers that announced to leave return as new processes */
     }
     sweep_start_all(sweep);
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -247,12 +247,12 @@
                        : kind == 1 ? "is five times slower"
                        : kind == 2 ? "repeats its reports"
                                    : "works normally");
-    worker->worker_settings.fails_all = kind == 0;
-    worker->worker_settings.slow_times = kind == 1 ? 5 : 1;
-    worker->worker_settings.repeats = kind == 2;
-    stand_worker_fail(worker->worker, kind == 0);
-    stand_worker_slow(worker->worker, kind == 1 ? 5 : 1);
-    stand_worker_repeat(worker->worker, kind == 2);
+    worker->worker_settings.fails_all_tasks = kind == 0;
+    worker->worker_settings.slowdown_factor = kind == 1 ? 5 : 1;
+    worker->worker_settings.resends_reports = kind == 2;
+    stand_worker_set_failing(worker->worker, kind == 0);
+    stand_worker_set_slowdown(worker->worker, kind == 1 ? 5 : 1);
+    stand_worker_set_resending(worker->worker, kind == 2);
 }
 
 /* A worker's process is restarted at once; all attempts that it ran are lost. */
--- a/packages/sim/src/timeline_call.c
+++ b/packages/sim/src/timeline_call.c
@@ -53,7 +53,7 @@
     }
     if (strcmp(word, "cancel") == 0) {
         for (int i = 0; i < fleet->caller_count; i++)
-            caller_give_up(fleet->callers[i]);
+            caller_cancel_all(fleet->callers[i]);
         return true;
     }
     if (strcmp(word, "allDone") == 0) {
--- a/packages/sim/src/timeline_node.c
+++ b/packages/sim/src/timeline_node.c
@@ -100,8 +100,8 @@
 
 static void act_fail(const NodeAction *action)
 {
-    action->node->worker_settings.fails_all = action->on;
-    stand_worker_fail(action->node->worker, action->on);
+    action->node->worker_settings.fails_all_tasks = action->on;
+    stand_worker_set_failing(action->node->worker, action->on);
 }
 
 static const struct {
--- a/packages/sim/test/job_runs.c
+++ b/packages/sim/test/job_runs.c
@@ -186,7 +186,7 @@
     (void)state;
     Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     for (int i = 0; i < 10; i++)
-        fleet_node(fleet, FLEET_WORKER, i)->worker_settings.others = (Resources){60000, 0, 0};
+        fleet_node(fleet, FLEET_WORKER, i)->worker_settings.other_capacity = (Resources){60000, 0, 0};
     fleet_start(fleet);
     assert_true(fleet_wait_ready(fleet, 30000));
     assert_true(fleet_configure(fleet));
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -42,7 +42,7 @@
 {
     (void)state;
     Fleet *fleet = begin(11);
-    stand_worker_hang(fleet_node(fleet, FLEET_WORKER, 0)->worker, true);
+    stand_worker_set_hanging(fleet_node(fleet, FLEET_WORKER, 0)->worker, true);
     case_submit(
         fleet, "a", "bulk", "",
         "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
@@ -66,7 +66,7 @@
 {
     (void)state;
     Fleet *fleet = begin(13);
-    stand_worker_slow(fleet_node(fleet, FLEET_WORKER, 1)->worker, 8);
+    stand_worker_set_slowdown(fleet_node(fleet, FLEET_WORKER, 1)->worker, 8);
     case_submit(
         fleet, "a", "bulk", "",
         "{\"name\":\"a\",\"count\":24,\"apart\":4,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":3000,\"payload\":{\"runMs\":4000}}");
@@ -233,7 +233,7 @@
     fleet_run(fleet, 1500);
     assert_int_equal(tasks_on_worker(fleet, "long", "worker1"), 2);
     assert_int_equal(tasks_on_worker(fleet, "short", "worker1"), 2);
-    stand_worker_leave_in(fleet_node(fleet, FLEET_WORKER, 0)->worker, 4000);
+    stand_worker_leave_after(fleet_node(fleet, FLEET_WORKER, 0)->worker, 4000);
     fleet_run(fleet, 2500);
     assert_int_equal(tasks_on_worker(fleet, "long", "worker1"), 0);
     const Job *job = fleet_job(fleet, "short");
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -189,8 +189,8 @@
     (void)state;
     Fleet *fleet = begin(mix_config(MIX_TRENTVALE));
     FleetNode *worker = fleet_node(fleet, FLEET_WORKER, 0);
-    worker->worker_settings.slow_times = 5;
-    stand_worker_slow(worker->worker, 5);
+    worker->worker_settings.slowdown_factor = 5;
+    stand_worker_set_slowdown(worker->worker, 5);
     fleet_submit_jobs(fleet, "c", 15000, 60000);
     fleet_run(fleet, 60000);
     const size_t slow = checker_starts_on(fleet->checker, "worker1"), all = checker_starts(fleet->checker);
--- a/packages/sim/test/quota.c
+++ b/packages/sim/test/quota.c
@@ -80,7 +80,7 @@
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed);
         for (int i = 0; i < 6; i++)
-            stand_worker_slow(fleet_node(fleet, FLEET_WORKER, i)->worker, 1 + i % 2 * 3);
+            stand_worker_set_slowdown(fleet_node(fleet, FLEET_WORKER, i)->worker, 1 + i % 2 * 3);
         submit(fleet, "gang", STEP(4, 100000, 1500, ",\"gang\":true"), "");
         submit(fleet, "after", STEP(16, 64, 700, ""), "");
         fleet_run(fleet, 1000);
@@ -140,7 +140,7 @@
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed);
         for (int i = 0; i < 6; i++)
-            stand_worker_slow(fleet_node(fleet, FLEET_WORKER, i)->worker, 1 + i % 2 * 3);
+            stand_worker_set_slowdown(fleet_node(fleet, FLEET_WORKER, i)->worker, 1 + i % 2 * 3);
         submit(fleet, "gang", STEP(4, 100000, 1500, ",\"gang\":true"), "");
         fleet_run(fleet, 1200);
         for (int i = 1; i < 6; i += 2)
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -163,7 +163,7 @@
     Fleet *fleet = begin();
     Loop *loop = sim_loop(fleet->world, fleet->caller_machine);
     CallerSettings settings = {
-        .name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
+        .name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .submission_ms = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
         settings.entries[0] = fleet_node(fleet, FLEET_ENTRY_POINT, i)->settings.http;
         Caller *caller = caller_start(loop, loop, &settings);
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -139,14 +139,14 @@
 {
     const bool open = argc == 4 && strcmp(argv[3], "open") == 0;
     FILE *file = argc == 3 || open ? fopen(argv[1], "r") : NULL;
-    if (file == NULL || mix_of_word(argv[2]) == MIX_COUNT) {
+    if (file == NULL || mix_from_word(argv[2]) == MIX_COUNT) {
         fprintf(stderr, "usage: spancart-replay RECORD trentvale|atlas [open]\n");
         if (file != NULL)
             fclose(file);
         return 2;
     }
     Replay *replay = talloc_zero(NULL, Replay);
-    replay->mix = mix_of_word(argv[2]);
+    replay->mix = mix_from_word(argv[2]);
     replay->jobs = map_new(replay);
     replay->frozen = map_new(replay);
     const CheckerSettings settings = {replay, replay_now, replay_frozen, replay_job, NULL};
--- a/packages/sim/tool/sweep.c
+++ b/packages/sim/tool/sweep.c
@@ -35,7 +35,7 @@
         else if (sweep_site_of(argv[i]) != SWEEP_SITES)
             settings.site = sweep_site_of(argv[i]);
         else
-            settings.mix = mix_of_word(argv[i]);
+            settings.mix = mix_from_word(argv[i]);
     }
     if (argc < 3 || settings.mix == MIX_COUNT) {
         fprintf(
--- a/src/standins.c
+++ b/src/standins.c
@@ -146,8 +146,8 @@
                        .resources = {(uint64_t)cpu_count * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
             .watch = {&stand_in->record, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_notified},
-            .fails_all = fails_all != 0,
-            .slow_times = slow,
+            .fails_all_tasks = fails_all != 0,
+            .slowdown_factor = slow,
         };
         char rest[64];
         snprintf(rest, sizeof(rest), "%d %d", cpu_count * 1000, mem_mb);
@@ -243,7 +243,7 @@
         return;
     }
     stand_in->caller = caller_start(stand_in, stand_in->loop, settings);
-    const int64_t until_ms = loop_now_ms(stand_in->loop) + settings->for_ms + 120000;
+    const int64_t until_ms = loop_now_ms(stand_in->loop) + settings->submission_ms + 120000;
     while (!caller_done(stand_in->caller) && loop_now_ms(stand_in->loop) < until_ms)
         loop_sleep(stand_in->loop, 50);
     print_summary(stand_in);
@@ -271,9 +271,10 @@
     void *mem = talloc_new(NULL);
     StandIn *stand_in = talloc_zero(mem, StandIn);
     CallerSettings *settings = &stand_in->caller_settings;
-    *settings = (CallerSettings){.name = name != NULL ? name : "job", .rate_milli = rate_milli, .for_ms = for_ms};
-    settings->mix = mix_of_word(mix != NULL ? mix : "trentvale");
-    for (char *at = entries; at != NULL && settings->entry_count < ENTRIES_MAX;) {
+    *settings =
+        (CallerSettings){.name = name != NULL ? name : "job", .rate_milli = rate_milli, .submission_ms = for_ms};
+    settings->mix = mix_from_word(mix != NULL ? mix : "trentvale");
+    for (char *at = entries; at != NULL && settings->entry_count < CALLER_ENTRY_POINTS_MAX;) {
         char *comma = strchr(at, ',');
         if (comma != NULL)
             *comma++ = '\0';
@@ -297,7 +298,7 @@
         stand_in->record = (EventRecord){stand_in->loop, record_path != NULL ? fopen(record_path, "a") : NULL};
         stand_in->configure = configure != 0;
         settings->watch =
-            (CallerWatch){&stand_in->record, on_sent, on_accepted, on_refused, on_job_ended, on_unknown, NULL};
+            (CallerCallbacks){&stand_in->record, on_sent, on_accepted, on_refused, on_job_ended, on_unknown, NULL};
         loop_spawn(stand_in->loop, "caller", caller_main, stand_in);
         real_loop_run(stand_in->loop, NULL, NULL);
         code = stand_in->code;
