--- a/scripts/check_changed.sh
+++ b/scripts/check_changed.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Looks at the C sources that are changed against HEAD, new ones included: the formatter, the linter, the counted words
-# and long files. As a hook (ln -s ../../scripts/check_changed.sh .git/hooks/pre-commit), or with --staged, it looks
-# at those that are staged. The linter needs the build folder (build, or $BUILD) with compile_commands.json; where a
-# source is not in there yet, or the folder is not there, that is said and fails.
+# Checks the C sources that differ from HEAD, untracked ones included: formatting, linter, word counts and file length.
+# As a hook (ln -s ../../scripts/check_changed.sh .git/hooks/pre-commit), or with --staged, it checks the staged sources.
+# The linter needs the build folder (build, or $BUILD) with compile_commands.json; a missing folder, or a source that
+# compile_commands.json does not list, is reported as an error.
 set -uo pipefail
 cd "$(git rev-parse --show-toplevel)"
 build=${BUILD:-build}
@@ -26,20 +26,20 @@
 mapfile -d '' -t sources < <(changed '*.c' '*.h')
 mapfile -d '' -t units < <(changed '*.c')
 bad=0
-# what is looked at is what lies in the folder: a staged file that was changed since is not what is committed
+# The tools read the working tree, so a staged file that was edited afterwards differs from what is committed.
 if [ $staged = yes ] && [ ${#sources[@]} -gt 0 ] && ! git diff --quiet -- "${sources[@]}"; then
   git diff --name-only -- "${sources[@]}" >&2
-  echo "the files above are staged and were changed since: add them, or stash the rest" >&2
+  echo "the files above were changed after they were staged: stage the changes or stash them" >&2
   bad=1
 fi
 if [ ${#sources[@]} -gt 0 ] && ! clang-format --dry-run --Werror "${sources[@]}"; then
-  echo "clang-format -i lays the lines above out" >&2
+  echo "formatting differs in the lines above: run clang-format -i" >&2
   bad=1
 fi
 if [ ${#units[@]} -gt 0 ]; then
   for unit in "${units[@]}"; do
     if ! grep -qF "\"file\": \"$PWD/$unit\"" "$build/compile_commands.json"; then
-      echo "$unit: not in $build/compile_commands.json, which cmake writes" >&2
+      echo "$unit: not listed in $build/compile_commands.json; run cmake again" >&2
       bad=1
     fi
   done
--- a/scripts/cleanbuild.py
+++ b/scripts/cleanbuild.py
@@ -1,16 +1,17 @@
 #!/usr/bin/env python3
-"""Shows that the packages which deploy/system.toml declares are enough to build and run the program.
+"""Checks that the packages declared in deploy/system.toml are enough to build and run the program.
 
 cleanbuild.py [--work DIR] [-v]
 
-What is committed is built in a scratch folder by the deploy file's own command. Then each file of the system
-that the build used is looked up (dpkg): the tools, the headers that the compiler read, the module files of cmake
-and pkg-config, the libraries that the linker opened and that the program loads. Each must belong to a package
-that comes with the declared ones by Depends and Pre-Depends alone (Recommends don't count), or to an
-essential one with what it depends on. A file of no package, or of another one, fails.
+The script builds HEAD in a scratch folder with the build command of the deploy file. It then looks up (dpkg) the
+package of each system file that the build used: the tools, the headers that the compiler read, the module files
+of cmake and pkg-config, the libraries that the linker opened and those that the program loads. Each package must
+be reachable from the declared packages through Depends and Pre-Depends alone (Recommends are ignored), or from
+the essential packages. A file that belongs to no package, or to any other package, is an error.
 
-For each alternative in a dependency the first one that is installed here counts, as an installer takes the first
-that it can have. Declared packages that no file asks for are printed, not refused: they may stand for others.
+Of the alternatives in a dependency, the first one that is installed on this machine is used, as an installer takes
+the first one available. Declared packages that own none of the used files are printed but are not an error: they
+may be declared for their dependencies.
 """
 import argparse
 import collections
@@ -24,7 +25,7 @@
 import tomllib
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-# only what a fresh machine has: no variable that points the build to another compiler or folder
+# The variables of a fresh machine; none of them points the build to another compiler or folder.
 ENVIRONMENT = {"PATH": "/usr/sbin:/usr/bin:/sbin:/bin", "LC_ALL": "C", "HOME": "/nonexistent"}
 GCC_TOOLS = ("cc1", "collect2", "as", "ld", "lto-wrapper")
 CACHED_TOOLS = ("CMAKE_COMMAND", "CMAKE_C_COMPILER", "CMAKE_AR", "CMAKE_RANLIB", "CMAKE_LINKER", "CMAKE_MAKE_PROGRAM",
@@ -36,7 +37,7 @@
 
 
 class Packages:
-    """What is installed here, and what comes with what."""
+    """The packages installed on this machine, with their dependencies."""
 
     def __init__(self):
         self.depends, self.essential = {}, set()
@@ -47,19 +48,21 @@
             name, status, essential, depends, provides = line.split("\t")
             if status != "installed":
                 continue
-            self.depends[name] = [[self.bare(one) for one in group.split("|")] for group in depends.split(",") if group.strip()]
+            self.depends[name] = [[self.bare_name(one) for one in group.split("|")]
+                                  for group in depends.split(",") if group.strip()]
             if essential == "yes":
                 self.essential.add(name)
             for one in provides.split(","):
                 if one.strip():
-                    self.provides[self.bare(one)].append(name)
+                    self.provides[self.bare_name(one)].append(name)
 
     @staticmethod
-    def bare(text):
-        """A package's name without version and architecture."""
+    def bare_name(text):
+        """Returns a package name without its version and architecture."""
         return re.sub(r"\(.*?\)", "", text).strip().split(":")[0]
 
-    def taken(self, group):
+    def first_installed(self, group):
+        """Returns the first installed alternative of a dependency, as a list of at most one name."""
         for name in group:
             if name in self.depends:
                 return [name]
@@ -68,13 +71,13 @@
         return []
 
     def closure(self, names):
-        """Everything that comes with the named ones, each with the package that asked for it."""
+        """Maps each package that the named ones need to the package that depends on it (None for the named ones)."""
         reached = {name: None for name in names}
         waiting = collections.deque(names)
         while waiting:
             name = waiting.popleft()
             for group in self.depends.get(name, []):
-                for other in self.taken(group):
+                for other in self.first_installed(group):
                     if other not in reached:
                         reached[other] = name
                         waiting.append(other)
@@ -82,22 +85,22 @@
 
 
 def owners(paths):
-    """The packages of each file; a file may stand under / and /usr alike."""
-    spelled = {}
+    """Maps each path to the packages that own it; a package may list a file under / or under /usr."""
+    path_of_spelling = {}
     for path in paths:
         for each in {path, os.path.realpath(path)}:
-            spelled[each] = path
-            spelled[each[4:] if each.startswith("/usr/") else "/usr" + each] = path
+            path_of_spelling[each] = path
+            path_of_spelling[each[4:] if each.startswith("/usr/") else "/usr" + each] = path
     found = {path: set() for path in paths}
-    names = sorted(spelled)
+    names = sorted(path_of_spelling)
     for at in range(0, len(names), 500):
         run = subprocess.run(["dpkg", "-S", *names[at:at + 500]], capture_output=True, text=True, env=ENVIRONMENT)
         for line in run.stdout.splitlines():
             if line.startswith("diversion "):
                 continue
-            who, _, path = line.partition(": ")
-            if path in spelled:
-                found[spelled[path]] |= {Packages.bare(one) for one in who.split(",")}
+            owners_of_file, _, path = line.partition(": ")
+            if path in path_of_spelling:
+                found[path_of_spelling[path]] |= {Packages.bare_name(one) for one in owners_of_file.split(",")}
     return found
 
 
@@ -111,12 +114,12 @@
     run = subprocess.run(["sh", "-c", command], cwd=source, env=ENVIRONMENT, stdout=subprocess.PIPE,
                          stderr=subprocess.STDOUT, text=True)
     if run.returncode != 0:
-        sys.exit(run.stdout[-4000:] + f"\nthe deploy file's build ended with {run.returncode}")
+        sys.exit(run.stdout[-4000:] + f"\nthe build command of the deploy file failed with exit code {run.returncode}")
     return source
 
 
 def headers(target):
-    """From the dependency files of the compiler."""
+    """Returns the headers listed in the dependency files that the compiler wrote."""
     found = set()
     for folder, _, names in os.walk(target):
         for name in names:
@@ -127,13 +130,13 @@
     return found
 
 
-def cached(target):
+def cmake_cache(target):
     with open(os.path.join(target, "CMakeCache.txt")) as file:
         return dict(re.findall(r"^(\w+):\w+=(.+)$", file.read(), re.M))
 
 
 def tools(target):
-    cache = cached(target)
+    cache = cmake_cache(target)
     compiler = cache["CMAKE_C_COMPILER"]
     found = {cache[name] for name in CACHED_TOOLS if cache.get(name, "").startswith("/")}
     for name in GCC_TOOLS:
@@ -143,10 +146,10 @@
 
 
 def module_files(target):
-    """The files of cmake that it lists as read, and pkg-config's of each module asked for, with those behind them."""
+    """Returns the files that cmake lists as read, and the .pc files of the required pkg-config modules, transitively."""
     with open(os.path.join(target, "CMakeFiles/Makefile.cmake")) as file:
         found = set(re.findall(r'"(/[^"]+)"', file.read()))
-    program = cached(target)["PKG_CONFIG_EXECUTABLE"]
+    program = cmake_cache(target)["PKG_CONFIG_EXECUTABLE"]
     with open(os.path.join(ROOT, "CMakeLists.txt")) as file:
         text = file.read()
     text = re.sub(r"if\(SPANCART_TESTS\)\n  pkg_check_modules.*?endif\(\)", "", text, flags=re.S)
@@ -165,7 +168,7 @@
 
 
 def libraries(target):
-    """What the linker opens for each program, and what the programs load."""
+    """Returns the files that the linker opens for each program, and the libraries that the programs load."""
     opened, loaded = set(), set()
     for folder, _, names in os.walk(target):
         if "link.txt" not in names:
@@ -204,38 +207,39 @@
         used = {kind: {path for path in paths if not path.startswith(work)} for kind, paths in used.items()}
     finally:
         shutil.rmtree(work)
-    good = judge(used, deploy["packages"], args.verbose)
+    good = check_packages(used, deploy["packages"], args.verbose)
     sys.exit(0 if good else 1)
 
 
-def judge(used, declared, verbose):
+def check_packages(used, declared, verbose):
     packages = Packages()
     good = True
     for name in declared:
         if name not in packages.depends:
             good = False
-            print(f"{name}: declared, not installed here", file=sys.stderr)
+            print(f"{name}: declared, but not installed on this machine", file=sys.stderr)
     allowed = packages.closure(declared)
     base = packages.closure(sorted(packages.essential))
     needed = collections.defaultdict(set)
     for kind, paths in used.items():
-        for path, who in sorted(owners(paths).items()):
-            if not who:
+        for path, owners_of_file in sorted(owners(paths).items()):
+            if not owners_of_file:
                 good = False
-                print(f"{kind} {path}: of no package", file=sys.stderr)
-            elif not any(name in allowed or name in base for name in who):
+                print(f"{kind} {path}: belongs to no package", file=sys.stderr)
+            elif not any(name in allowed or name in base for name in owners_of_file):
                 good = False
-                print(f"{kind} {path}: of {', '.join(sorted(who))}, which no declared package brings", file=sys.stderr)
-            for name in who:
+                print(f"{kind} {path}: belongs to {', '.join(sorted(owners_of_file))}, which no declared package brings",
+                      file=sys.stderr)
+            for name in owners_of_file:
                 needed[name].add(kind)
         print(f"{kind}: {len(paths)} files")
     if verbose:
         for name in sorted(needed):
             by = name if name in declared else allowed.get(name)
-            print(f"{name}: {', '.join(sorted(needed[name]))} (by {by or 'the essential ones'})")
-    idle = [name for name in declared if name not in needed]
-    print(f"{len(needed)} packages used, of {len(allowed)} that {len(declared)} declared ones bring"
-          + (f"; no file asks for {', '.join(idle)} itself" if idle else ""))
+            print(f"{name}: {', '.join(sorted(needed[name]))} (by {by or 'the essential packages'})")
+    unused = [name for name in declared if name not in needed]
+    print(f"{len(needed)} packages used, of {len(allowed)} reachable from {len(declared)} declared packages"
+          + (f"; no used file belongs to {', '.join(unused)}" if unused else ""))
     return good
 
 
--- a/scripts/elfobject.py
+++ b/scripts/elfobject.py
@@ -6,20 +6,20 @@
 SHN_UNDEF, SHN_LORESERVE = 0, 0xFF00
 STB_LOCAL = 0
 STT_FUNC, STT_SECTION, STT_FILE = 2, 3, 4
-# how many bytes a relocation fills in, by its type
+# Width in bytes of the field that a relocation changes, by relocation type (x86-64)
 WIDTHS = {1: 8, 2: 4, 4: 4, 9: 4, 10: 4, 11: 4, 24: 8, 41: 4, 42: 4}
 PC32, PLT32 = 2, 4
 
 
 class Section:
-    """One section; what the linker fills in is zero in its bytes."""
+    """One section; the fields that relocations fill in are zero in `data`."""
 
     def __init__(self, index, name, header, data):
         self.index, self.name = index, name
         self.type, self.flags, self.size, self.align, self.entsize = header
         self.data = data
         self.relocations = []
-        self.symbols = []  # those defined in it, by value, without the compiler's .L names
+        self.symbols = []  # the symbols defined in the section, by value, without the compiler's .L names
 
     def merged(self):
         return bool(self.flags & SHF_MERGE)
@@ -40,14 +40,14 @@
 
 
 class Object:
-    """All of one object file."""
+    """A whole object file."""
 
     def __init__(self, path):
         self.path = path
         with open(path, "rb") as file:
             self.raw = file.read()
         if self.raw[:6] != b"\x7fELF\x02\x01":
-            raise ValueError(f"{path}: no little-endian ELF64 file")
+            raise ValueError(f"{path}: not a little-endian ELF64 file")
         (self.shoff,) = struct.unpack_from("<Q", self.raw, 40)
         entry, count, names = struct.unpack_from("<HHH", self.raw, 58)
         headers = [struct.unpack_from("<IIQQQQIIQQ", self.raw, self.shoff + at * entry) for at in range(count)]
@@ -90,17 +90,17 @@
         section.relocations.sort(key=lambda each: each.offset)
 
     def constant(self, relocation):
-        """What a relocation into a section of merged constants points at, and the addend that is left: the
-        whole string or number. None where it points elsewhere."""
+        """Returns the whole string or number that a relocation into a section of merged constants points at, and
+        the remaining addend; None for a relocation that points elsewhere."""
         symbol = relocation.symbol
         if not 0 < symbol.section < SHN_LORESERVE or not self.sections[symbol.section].merged():
             return None
         section = self.sections[symbol.section]
         begin, left = symbol.value, relocation.addend
         if symbol.type == STT_SECTION:
-            # relative to the place, the assembler keeps the constant's own symbol
+            # for a PC-relative relocation the assembler keeps the symbol of the constant
             if relocation.type in (PC32, PLT32):
-                raise ValueError(f"{self.path}: a relative relocation to {section.name} without its symbol")
+                raise ValueError(f"{self.path}: PC-relative relocation to {section.name} without a symbol")
             begin, left = relocation.addend, 0
         if not section.flags & SHF_STRINGS:
             return bytes(section.data[begin:begin + section.entsize]), left
@@ -110,7 +110,7 @@
         return bytes(section.data[begin:end]), left
 
     def content(self):
-        """The sections that hold code and data of their own: no notes, no merged constants."""
+        """Returns the sections with code and data, without notes and merged constants."""
         return [section for section in self.sections
                 if section.flags & SHF_ALLOC and not section.merged() and section.size
                 and not section.name.startswith((".note", ".eh_frame"))]
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,22 +1,23 @@
 #!/usr/bin/env python3
-"""Starts a whole spancart fleet on one machine and stops it cleanly.
+"""Runs a whole spancart fleet on one machine and stops it cleanly.
 
   fleet.py start DIR [--mix trentvale|atlas] [--workers 11] [--gates 3]
   fleet.py stop DIR
-  fleet.py kill DIR NAME        SIGKILL one process
+  fleet.py kill DIR NAME        send SIGKILL to one process
   fleet.py restart DIR NAME     start it again
-  fleet.py entries DIR          HTTP addresses of the gates
-  fleet.py run DIR [--mix ...]  start, run the mix, kill a worker and then the
-                                leader during it, stop, check every never
-                                --hard: an agent and the leader frozen (SIGSTOP),
-                                then every process killed at once and started again
-                                --wide: a gate killed, another frozen, the second
-                                core killed, a whole zone killed and started again,
-                                then a TERM to one of each role under load
-                                --soak SEED: signals, restarts and changes that overlap (soak.py)
-
-Each process gets its own addresses (ports that are free), its zone and
-three seed addresses in a props file of its own; nothing else tells it of others.
+  fleet.py entries DIR          print the HTTP addresses of the entry points (gates)
+  fleet.py run DIR [--mix ...]  start the fleet, run the load of the mix, kill a worker and
+                                then the leader meanwhile, stop, check every safety property
+                                --hard: freeze an agent and the leader (SIGSTOP), then kill
+                                every process at once and start it again
+                                --wide: kill an entry point, freeze another, kill the second
+                                controller, kill a whole zone and start it again, then send
+                                SIGTERM to one process of each role under load
+                                --soak SEED: overlapping signals, restarts and configuration
+                                changes (soak.py)
+
+Each process has a settings file of its own with its addresses (free ports), its zone and
+three seed addresses. This is all that it knows of the other processes.
 """
 import argparse
 import json
@@ -35,7 +36,7 @@
 ZONES = ["north", "south", "west"]
 PORTS = (10000, 32000)
 PORT_BLOCK = 1000
-HELD = []
+RESERVED_SOCKETS = []
 HERE = os.path.dirname(os.path.abspath(__file__))
 
 
@@ -49,9 +50,9 @@
 
 
 def free_ports(count):
-    """Ports of one block that are free now. They lie below those that the kernel gives to outgoing connections, which
-    would otherwise take one while its process is down; the block's first port is held until this process ends, so that
-    no other fleet takes the block."""
+    """Returns free ports of one block. The blocks lie below the range that the kernel assigns to outgoing connections;
+    otherwise a connection could take the port of a process that is down. The first port of the block stays bound until
+    this process ends, so that no other fleet uses the block."""
     while True:
         first = random.randrange(*PORTS, PORT_BLOCK)
         guard = socket.socket()
@@ -60,13 +61,15 @@
         except OSError:
             guard.close()
             continue
-        HELD.append(guard)
+        RESERVED_SOCKETS.append(guard)
         ports = [port for port in range(first + 1, first + PORT_BLOCK) if is_free(port)]
         if len(ports) >= count:
             return ports[:count]
 
 
 class Fleet:
+    """The processes of a fleet: `nodes` maps each name to its arguments, HTTP address, role and process ID."""
+
     def __init__(self, folder, binary):
         self.folder = os.path.abspath(folder)
         self.binary = binary
@@ -111,7 +114,7 @@
                     "--rack", f"rack{i // 3}", "--cores", str(cores), "--mem", str(mem), "--record", self.record]
             self.nodes[name] = {"args": args, "http": "", "role": "worker"}
 
-    def note(self, words):
+    def record_event(self, words):
         with open(self.record, "a") as file:
             file.write(f"{now_ms()} {words}\n")
 
@@ -139,14 +142,14 @@
             if how == signal.SIGKILL:
                 if name in self.children:
                     self.children[name].wait()
-                self.note(f"gone {name}")
+                self.record_event(f"gone {name}")
 
-    def entries(self):
+    def entry_addresses(self):
         return [node["http"] for node in self.nodes.values() if node["role"] == "gate"]
 
-    def ask(self, path, entry=None, timeout=3):
-        """The leader's answer through a gate; None when it does not come."""
-        for http in [entry] if entry else self.entries():
+    def query(self, path, entry=None, timeout=3):
+        """Returns the answer of the leader through an entry point as JSON; None if no entry point answers."""
+        for http in [entry] if entry else self.entry_addresses():
             try:
                 with urllib.request.urlopen(f"http://{http}{path}", timeout=timeout) as answer:
                     return json.load(answer)
@@ -154,17 +157,17 @@
                 continue
         return None
 
-    def settle(self, workers, seconds=60):
+    def wait_until_ready(self, workers, seconds=60):
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            status = self.ask("/v1/status")
+            status = self.query("/v1/status")
             if status and sum(row["ready"] for row in status["liveset"]) >= workers:
                 return status
             time.sleep(0.1)
         raise SystemExit("the fleet did not settle")
 
     def stop(self):
-        """Workers first, so that they leave cleanly; then the rest."""
+        """Stops the workers first, so that they leave cleanly, then the other processes."""
         for roles in (["worker"], ["agent", "gate"], ["core"]):
             names = [name for name, node in self.nodes.items() if node["role"] in roles and self.alive(name)]
             for name in names:
@@ -183,8 +186,9 @@
     return values[min(len(values) - 1, int(len(values) * part))]
 
 
-def gap_after(fleet, at_ms):
-    """From a kill to the first acceptance of a job that was sent after it."""
+def longest_silence_after(fleet, at_ms):
+    """Returns the longest time without an accepted job that begins within 5 s after a kill, in ms; None if no job was
+    accepted after the kill."""
     times = []
     with open(fleet.record) as file:
         for line in file:
@@ -193,30 +197,29 @@
                 times.append(int(words[0]))
     if not times:
         return None
-    # the longest silence that begins within five seconds after the kill
     times = [at_ms] + sorted(times)
     return max((b - a for a, b in zip(times, times[1:]) if a < at_ms + 5000), default=None)
 
 
-def failures(fleet, options):
-    """Kills a worker, then the leader; what was killed and when."""
+def inject_failures(fleet, options):
+    """Kills a worker, then the leader. Returns the time of each kill, in ms, and the names of the killed processes."""
     kills = {}
     time.sleep(options.seconds * 0.3)
     kills["worker"] = now_ms()
     fleet.kill("worker2")
     time.sleep(options.seconds * 0.3)
-    leader = fleet.ask("/v1/status")["leader"]
+    leader = fleet.query("/v1/status")["leader"]
     kills["leader"] = now_ms()
     fleet.kill(leader)
     return kills, [leader, "worker2"]
 
 
-def hard_failures(fleet, options):
-    """Freezes an agent and the leader past every hold; then kills everything at once."""
+def inject_hard_failures(fleet, options):
+    """Freezes an agent and the leader for longer than every lease, then kills all processes at once."""
     kills = {}
     for what in ("agent3", None):
         time.sleep(options.seconds * 0.1)
-        name = what or fleet.ask("/v1/status")["leader"]
+        name = what or fleet.query("/v1/status")["leader"]
         kills["freeze-of-" + ("agent" if what else "leader")] = now_ms()
         fleet.kill(name, signal.SIGSTOP)
         time.sleep(5)
@@ -232,11 +235,12 @@
     return (int("".join(c for c in name if c.isdigit())) - 1) % 3
 
 
-def wide_failures(fleet, options):
-    """Gates, the second core, a whole zone; then one of each role asked to stop."""
-    kills, gone = {}, []
+def inject_wide_failures(fleet, options):
+    """Kills and freezes entry points, kills the second controller and a whole zone; then sends SIGTERM to one process
+    of each role."""
+    kills, killed = {}, []
 
-    def back(names):
+    def restart_later(names):
         time.sleep(3)
         for name in names:
             fleet.launch(name)
@@ -249,19 +253,19 @@
     fleet.kill("gate2", signal.SIGSTOP)
     time.sleep(3)
     fleet.kill("gate2", signal.SIGCONT)
-    back(["gate1"])
-    leader = fleet.ask("/v1/status")["leader"]
+    restart_later(["gate1"])
+    leader = fleet.query("/v1/status")["leader"]
     second = next(name for name in ("core1", "core2", "core3") if name != leader)
     kills["second-core"] = now_ms()
     fleet.kill(second)
-    back([second])
+    restart_later([second])
     zone = [name for name in fleet.nodes if zone_of(name) == zone_of(leader)]
     kills["zone-of-the-leader"] = now_ms()
     for name in zone:
         fleet.kill(name)
-    back(zone)
-    fleet.settle(options.workers)
-    leader = fleet.ask("/v1/status")["leader"]
+    restart_later(zone)
+    fleet.wait_until_ready(options.workers)
+    leader = fleet.query("/v1/status")["leader"]
     for name in ("worker1", "agent1", "gate3", leader):
         kills["term-of-" + name.rstrip("0123456789")] = now_ms()
         fleet.kill(name, signal.SIGTERM)
@@ -271,55 +275,56 @@
         if fleet.alive(name):
             raise SystemExit(f"{name} did not stop on SIGTERM")
         if name.startswith("worker"):
-            fleet.note(f"gone {name}")
+            fleet.record_event(f"gone {name}")
         fleet.launch(name)
         time.sleep(2)
-    return kills, gone
+    return kills, killed
 
 
-def soak_failures(fleet, options):
-    """A seeded series of signals and changes; what broke beside the safety properties is printed."""
-    played = soak.Soak(fleet, options.soak)
-    threads = played.run(options.seconds)
-    fleet.settle(options.workers)
-    broken = played.end(threads)
-    for words in broken:
+def inject_soak_failures(fleet, options):
+    """Runs a seeded series of signals and configuration changes and prints the violations that the soak found."""
+    soak_run = soak.Soak(fleet, options.soak)
+    threads = soak_run.run(options.seconds)
+    fleet.wait_until_ready(options.workers)
+    violations = soak_run.end(threads)
+    for words in violations:
         print(f"soak {options.soak}: {words}")
-    options.broken = len(broken)
+    options.violations = len(violations)
     return {}, []
 
 
 def run(fleet, options):
     workers = options.workers
-    # each run begins with empty disks: the same job ids are new jobs
+    # Each run starts with empty disks, because the job IDs are the same in each run.
     shutil.rmtree(fleet.folder, ignore_errors=True)
     fleet.plan(options.mix, workers, options.gates)
     for name in fleet.nodes:
         fleet.launch(name)
     failed = False
     try:
-        fleet.settle(workers)
+        fleet.wait_until_ready(workers)
         rate = 10000 if options.mix == "trentvale" else 9000
         caller_log = os.path.join(fleet.folder, "caller.log")
         with open(caller_log, "w") as log:
-            caller = subprocess.Popen([fleet.binary, "caller", "--entries", ",".join(fleet.entries()), "--mix", options.mix,
+            caller = subprocess.Popen([fleet.binary, "caller", "--entries", ",".join(fleet.entry_addresses()),
+                                       "--mix", options.mix,
                                        "--rate", str(rate), "--for", str(options.seconds * 1000), "--configure",
                                        "--record", fleet.record], stdout=log, stderr=log)
-        play = hard_failures if options.hard else wide_failures if options.wide else failures
-        kills, gone = (soak_failures if options.soak is not None else play)(fleet, options)
+        inject = inject_hard_failures if options.hard else inject_wide_failures if options.wide else inject_failures
+        kills, killed = (inject_soak_failures if options.soak is not None else inject)(fleet, options)
         if options.hard:
-            for name in gone:
+            for name in killed:
                 fleet.launch(name)
         caller.wait(timeout=options.seconds + 150)
         with open(caller_log) as log:
             print(log.read().rstrip())
         for what, at_ms in kills.items():
-            print(f"{what}: longest-silence-after {gap_after(fleet, at_ms)} ms")
-        failed |= caller.returncode != 0 or options.broken > 0
-        for name in [] if options.hard else gone:
+            print(f"{what}: longest-silence-after {longest_silence_after(fleet, at_ms)} ms")
+        failed |= caller.returncode != 0 or options.violations > 0
+        for name in [] if options.hard else killed:
             fleet.launch(name)
-        fleet.settle(workers)
-        print("back: what was killed serves again")
+        fleet.wait_until_ready(workers)
+        print("recovered: the killed processes serve again")
     finally:
         fleet.stop()
     replay = subprocess.run([os.path.join(os.path.dirname(fleet.binary), "spancart-replay"), fleet.record,
@@ -341,7 +346,7 @@
     parser.add_argument("--hard", action="store_true")
     parser.add_argument("--wide", action="store_true")
     parser.add_argument("--soak", type=int, metavar="SEED")
-    parser.set_defaults(broken=0)
+    parser.set_defaults(violations=0)
     parser.add_argument("--binary", default=os.path.join(HERE, "..", "build", "spancart"))
     options = parser.parse_args()
     fleet = Fleet(options.folder, os.path.abspath(options.binary))
@@ -351,16 +356,16 @@
         fleet.plan(options.mix, options.workers, options.gates)
         for name in fleet.nodes:
             fleet.launch(name)
-        fleet.settle(options.workers)
-        print("the fleet serves; gates: " + " ".join(fleet.entries()))
+        fleet.wait_until_ready(options.workers)
+        print("the fleet is ready; entry points: " + " ".join(fleet.entry_addresses()))
         return 0
     fleet.load()
     if options.verb == "stop":
         fleet.stop()
     elif options.verb == "entries":
-        print(" ".join(fleet.entries()))
+        print(" ".join(fleet.entry_addresses()))
     elif options.name not in fleet.nodes:
-        print(f"there is no process {options.name}", file=sys.stderr)
+        print(f"unknown process {options.name}", file=sys.stderr)
         return 2
     elif options.verb == "kill":
         fleet.kill(options.name)
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Proof by removal: takes one guard out of a scratch copy, runs its scenario,
-and shows which never breaks without it. With the guard in, the same scenario
-must pass. A removal that nothing notices is a finding: the guard is idle or the
-scenario is weak.
+"""Mutation tests of the guards (safeguards in the code): removes one guard from a
+scratch copy, runs the scenario of the guard and shows the violation that follows.
+With the guard in place the same scenario must pass. A removal that no check detects
+is a finding: the guard has no effect or the scenario is too weak.
 
   guards.py [--only NAME,NAME] [--work FOLDER] [--list] [--fit]
 
-Exit code 1 when a removal was not noticed, or a scenario breaks with its guard in.
+Exit code 1 if a removal was not detected, or if a scenario fails with its guard in place.
 """
 import argparse
 import glob
@@ -21,24 +21,28 @@
 
 
 class Guard:
-    """name: what guards; path, out, instead: the edit that removes it; never: words of
-    what must break; scenario: ("explore" or "precise", "seeds", first, last), ("sweep", mix, first, last), ("timeline", mix, seeds, text) or ("test", name):
-    a program of test cases, whose failing cases are what breaks."""
+    """One guard and how to remove it.
 
-    def __init__(self, name, what, path, out, instead, never, *scenario, also=()):
+    name: the guard's name on the command line; what: the rule that it enforces;
+    path, original, replacement: the edit of a source that removes it;
+    violation: a pattern that matches the violations expected without it;
+    scenario: ("explore" or "precise", "seeds", first, last), ("sweep", mix, first, last),
+    ("timeline", mix, seeds, text) or ("test", name), a program whose failing test cases are the violations;
+    also: further edits, of code that backs the guard and would hide its removal."""
+
+    def __init__(self, name, what, path, original, replacement, violation, *scenario, also=()):
         self.name, self.what = name, what
-        # also: what backs the guard and has to go with it for the removal to show
-        self.edits = ((path, out, instead),) + tuple(also)
-        self.never, self.scenario = never, scenario
+        self.edits = ((path, original, replacement),) + tuple(also)
+        self.violation, self.scenario = violation, scenario
 
 
 def pattern_of(text):
-    """Finds a row's text whatever its lines are broken like: clang-format breaks them anew when a name gets longer."""
+    """Returns a pattern of the text that ignores line breaks: clang-format moves them when a name gets longer."""
     tokens = [re.escape(token) for token in re.findall(r"\w+|[^\w\s]", text)]
     return re.compile(r"\s*".join(tokens))
 
 
-EXPLORE_SHARE = 6  # seeds in one process
+SEEDS_PER_PROCESS = 6  # of spancart-explore
 
 CLAIM = "before the lost worker's claim lapsed"
 
@@ -74,7 +78,7 @@
 14001  start   start   start   start   .
 20000  .       .       .       .       end
 """
-SEATS_WAKE = """
+VOTERS_RESTART = """
 ms     leader  second  third   callers
 0      .       .       .       call:20
 3000   cut     .       .       .
@@ -158,110 +162,110 @@
 """
 
 GUARDS = [
-    Guard("hold-counted-late", "the leader counts a hold from when it answered, with slack", "packages/heartbeat/src/liveset.c",
+    Guard("hold-counted-late", "the leader counts a worker as lost only when the lease that it granted with its answer, plus slack, has lapsed", "packages/heartbeat/src/liveset.c",
           "const int64_t until_ms = now_ms + lease_claim_ms(lease_ms);", "const int64_t until_ms = now_ms + lease_ms / 3;",
           CLAIM, "timeline", "trentvale", 3, MACHINE_OFF),
-    Guard("hold-after-win", "a new leader waits a whole hold before it calls anybody lost", "packages/controller/src/log_events.c",
+    Guard("hold-after-win", "a new leader waits for a whole lease before it counts a worker as lost", "packages/controller/src/log_events.c",
           "liveset_reset(controller->liveset, replication_lease_won_ms(controller->replication) + controller_claim_ms(controller), names, count);",
           "liveset_reset(controller->liveset, replication_lease_won_ms(controller->replication), names, count);",
           CLAIM, "timeline", "trentvale", 6, OFF_WITH_LEADER),
-    Guard("hold-counted-from-sending", "an agent counts its hold from when it sent the beat", "packages/agent/src/heartbeat.c",
+    Guard("hold-counted-from-sending", "an agent counts its lease from the time it sent the heartbeat", "packages/agent/src/heartbeat.c",
           "lease_renewed(&agent->lease, answer->term, heartbeat->sent_ms, answer->lease_ms)",
           "lease_renewed(&agent->lease, answer->term, loop_now_ms(agent->loop), answer->lease_ms)",
           "running twice|" + CLAIM, "timeline", "trentvale", 16, AGENTS_FROZEN_THEN_CUT),
-    Guard("hold-handed-on", "the agent hands the worker no more than is left of its own hold", "packages/agent/src/answer.c",
+    Guard("hold-handed-on", "an agent grants its worker no more time than is left of its own lease", "packages/agent/src/answer.c",
           "int64_t left_ms = lease_left_ms(&agent->lease, now_ms);",
           "int64_t left_ms = lease_runs(&agent->lease, now_ms) ? AGENT_LEASE_MS : 0;",
           "running twice|" + CLAIM, "timeline", "trentvale", 4, AGENT_CUT),
-    Guard("woken-seat-waits", "a restarted seat grants nothing for a whole lock hold", "packages/replication/src/recover.c",
+    Guard("woken-seat-waits", "a restarted voter grants nothing for the length of a lock grant", "packages/replication/src/recover.c",
           "replication->lock.not_before_ms = loop_now_ms(replication->loop) + LOCK_GRANT_MS;", "replication->lock.not_before_ms = 0;",
           "restarted_voter_waits", "test", "explored"),
-    Guard("granted-hold", "a seat promises nobody else while the hold it granted runs", "packages/lock/src/lock.c",
+    Guard("granted-hold", "a voter grants no lock to another node while an earlier grant is running", "packages/lock/src/lock.c",
           "if (voter->holder != holder && lock_held(voter, now_ms))", "if (false && lock_held(voter, now_ms))",
           "two nodes say|lacks what|has changed", "precise", "seeds", 2385, 2390),
-    Guard("lock-majority", "a lock is a majority of the seats' grants", "packages/lock/include/lock/lock.h",
+    Guard("lock-majority", "holding the lock takes grants of a majority of the voters", "packages/lock/include/lock/lock.h",
           "return voters / 2 + 1;", "return (voters + 1) / 2 - (voters > 1);",
           "two leaders|forgotten|finished well|running twice", "timeline", "trentvale", 6, LEADER_CUT),
-    Guard("contact", "what others act on is answered after a round of contact, whatever the clock says",
+    Guard("contact", "a request that others act on is answered only after a majority confirmed the leader, whatever the clock says",
           "packages/callers/src/routes.c",
           "return replication_confirm_leader(request->service->replication, until_ms) == STATUS_OK && replication_led_term(replication) == term;",
           "return until_ms > 0 && replication_led_term(replication) == term;", "clock_stands", "test", "serving"),
-    Guard("lease-shorter", "a holder counts on less than a seat grants", "packages/lock/src/lock.c",
+    Guard("lease-shorter", "a holder relies on less time than a voter grants", "packages/lock/src/lock.c",
           "sent_ms + lock_lease_ms(grant_ms);", "sent_ms + grant_ms;", "clocks_apart", "test", "lock"),
-    Guard("grant-kept", "a seat never takes back what it granted", "packages/lock/src/lock.c",
+    Guard("grant-kept", "a voter never shortens a grant", "packages/lock/src/lock.c",
           "    if (until_ms > voter->lease_until_ms)\n        voter->lease_until_ms = until_ms;",
           "    voter->lease_until_ms = until_ms;", "shorter_grant_takes_nothing_back", "test", "lock"),
-    Guard("change-base", "a change counts only on the newest revision when it is delivered",
+    Guard("change-base", "a configuration change takes effect only if it is based on the newest revision when it is delivered",
           "packages/state/src/deliver_config.c", "set->base == current && version > current",
           "set->base <= current && version > current", "whole_against|patch_against|eight_at_once", "test", "resends",
           also=[("packages/callers/src/configs.c", "    if (set.base != current) {", "    if (set.base > current) {")]),
-    Guard("change-known", "a change that was taken is known when it is sent again", "packages/state/src/deliver_config.c",
+    Guard("change-known", "a configuration change that was accepted is recognized when it is sent again", "packages/state/src/deliver_config.c",
           "const uint64_t known = versions_find_digest(versions, set->digest);", "const uint64_t known = 0;",
           "eight_at_once", "test", "resends"),
-    Guard("calls-kept", "the calls of a thousand changes are known", "packages/state/src/versions.c",
+    Guard("calls-kept", "the digests of a thousand configuration changes are kept, to recognize repeated requests", "packages/state/src/versions.c",
           "    if (versions->count > versions->digest_limit + CONFIG_HISTORY_STEP) {\n        const size_t drop = versions->count - versions->digest_limit;",
           "    if (versions->count > versions->text_limit + CONFIG_HISTORY_STEP) {\n        const size_t drop = versions->count - versions->text_limit;",
           "after_hundreds", "test", "resends"),
-    Guard("leader-clock", "a leader looks at its lock's hold before each decision", "packages/replication/src/lease.c",
+    Guard("leader-clock", "a leader checks its lock's lease before each decision", "packages/replication/src/lease.c",
           "return replication->phase == REPLICATION_LEADING && loop_now_ms(replication->loop) < lock_lease_until(&replication->lease);",
           "return replication->phase == REPLICATION_LEADING;", "two leaders|running twice|" + CLAIM, "timeline", "trentvale", 16, LEADER_FROZEN),
-    Guard("repair-unknown", "nobody is told of a job before the repair has ended", "packages/callers/src/routes.c",
+    Guard("repair-unknown", "requests about jobs are not answered before the repair has ended", "packages/callers/src/routes.c",
           "if (!request->service->callbacks.repairing(request->service->callbacks.arg) || strcmp(request->task->path, \"/v1/status\") == 0)", "if (true)",
           "forgotten", "timeline", "atlas", 12, POWER_LOST),
-    Guard("repair", "what the disks lost is told again", "packages/controller/src/log_events.c",
+    Guard("repair", "a repair submits again what the disks lost", "packages/controller/src/log_events.c",
           "    if (repair && (new_holder || !controller->repairing)) {", "    if (false && (new_holder || !controller->repairing)) {",
           "forgotten|finished well|running twice|" + CLAIM, "timeline", "atlas", 6, POWER_LOST),
-    Guard("accepted-after-commit", "a job is accepted when it is committed", "packages/replication/src/commit.c",
+    Guard("accepted-after-commit", "a job is accepted only when it is committed", "packages/replication/src/commit.c",
           "    uint64_t least = replication->synced_index;", "    uint64_t least = log_last_index(replication->log);\n    replication->commit_index = least;\n    replication_deliver(replication);\n    signal_raise(replication->loop, &replication->changed);\n    return;",
           "committed on fewer|acknowledged on fewer|lacks what|own disk does not hold", "explore", "seeds", 1, 24),
-    Guard("finish-after-commit", "a finish is answered when it is committed", "packages/controller/src/attempt_updates.c",
+    Guard("finish-after-commit", "the end of an attempt is acknowledged only when it is committed", "packages/controller/src/attempt_updates.c",
           "    while (!batch->done)\n        signal_wait(controller->loop, &batch->done_signal, INT64_MAX);\n", "",
           "finished well", "timeline", "trentvale", 24, LEADER_KILLED),
     Guard("steps", "a step waits for those it depends on", "packages/queue/src/ready_queue.c",
           "        if (!done && first < end && task_steps_done(job, &job->tasks[first])) {", "        if (!done && first < end) {",
           "before its steps or its due time", "timeline", "trentvale", 2, MACHINE_OFF),
-    Guard("due", "nothing starts before its due time or delay", "packages/queue/src/ready_queue.c",
+    Guard("due", "no task starts before its due time or delay", "packages/queue/src/ready_queue.c",
           "occurrence < occurrences && queue_due(job, occurrence, clock); occurrence++)", "occurrence < occurrences; occurrence++)",
           "before its steps or its due time", "timeline", "varied", 2, MACHINE_OFF),
-    Guard("wall-median", "a due time is judged by the median of the seats' clocks", "packages/replication/src/clock.c",
+    Guard("wall-median", "due times are compared with the median of the voters' clocks", "packages/replication/src/clock.c",
           "replication->wall_offset_ms = offsets[(count - 1) / 2];", "replication->wall_offset_ms = offsets[count - 1];",
           "before its steps or its due time", "timeline", "varied", 4, """
 ms     second         callers
 0      jump:3600000   call:10
 12000  .              end
 """),
-    Guard("quota", "a tenant's work is held to its quota", "packages/queue/src/queue.c",
+    Guard("quota", "a tenant's tasks stay within its quota", "packages/queue/src/queue.c",
           "return (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&", "return true || (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&",
           "more of a tenant", "timeline", "varied", 2, WORKERS_KILLED),
-    Guard("quota-unconfirmed", "what may still run counts though the table has it no more", "packages/scheduler/src/unconfirmed.c",
+    Guard("quota-unconfirmed", "an attempt that may still be running counts towards the quota although it is no longer in the table", "packages/scheduler/src/unconfirmed.c",
           "if (!worker_lease_ended(pass->scheduler, worker))", "if (false)",
           "copies_count_beside_what_they_replace|gang_members_count", "test", "quota"),
-    Guard("quota-inherited", "a new leader counts what may run on workers it has not heard", "packages/scheduler/src/unconfirmed.c",
+    Guard("quota-inherited", "a new leader counts towards the quota what may be running on workers that have not sent it a heartbeat", "packages/scheduler/src/unconfirmed.c",
           "if (now_ms > until_ms || all_workers_listed(pass))", "if (all_workers_listed(pass) || now_ms <= until_ms)",
           "count_for_a_new_leader", "test", "quota"),
-    Guard("quota-removed", "a tenant that was taken out keeps its quota", "packages/queue/src/queue.c",
+    Guard("quota-removed", "the quota of a tenant that was removed from the configuration still applies to its jobs", "packages/queue/src/queue.c",
           "tenant != NULL ? tenant->quota : job->terms.quota", "tenant != NULL ? tenant->quota : (Resources){0}",
           "removed_tenant_keeps_its_limit", "test", "quota"),
-    Guard("kind", "a worker is of the kind asked for", "packages/plan/src/plan.c",
+    Guard("kind", "a task runs only on a worker of the requested kind", "packages/plan/src/plan.c",
           "if (need->kind[0] != '\\0' && strcmp(need->kind, worker->kind) != 0)", "if (false)",
           "packed beyond its room or given what it lacks", "timeline", "varied", 2, MACHINE_OFF),
-    Guard("labels", "a worker has every label asked for", "packages/plan/src/plan.c",
+    Guard("labels", "a task runs only on a worker with all requested labels", "packages/plan/src/plan.c",
           "        if (!has)\n            return false;", "        (void)has;",
           "packed beyond its room or given what it lacks", "timeline", "varied", 2, MACHINE_OFF),
-    Guard("room", "a task goes only where its room is free", "packages/plan/src/plan.c",
+    Guard("room", "a task is placed only on a worker with enough free resources", "packages/plan/src/plan.c",
           "return resources_fits(need->resources, worker->free) && plan_meets_constraints(worker, need);", "return plan_meets_constraints(worker, need);",
           "packed beyond its room", "timeline", "varied", 2, """
 ms     callers
 0      call:60
 9000   end
 """),
-    Guard("stop-confirmed", "room is used once the old round is known to be over", "packages/state/include/state/job.h",
+    Guard("stop-confirmed", "resources are reused only after the previous attempt is known to have ended", "packages/state/include/state/job.h",
           "X(STOPPING, \"stopping\", true)", "X(STOPPING, \"stopping\", false)",
           "packed beyond its resources|running twice|forgotten|" + CLAIM, "sweep", "varied", 1, 24),
-    Guard("drained", "an emptied zone gets no new work", "packages/scheduler/src/pass.c",
+    Guard("drained", "a drained zone gets no new tasks", "packages/scheduler/src/pass.c",
           "!table_zone_is_drained(scheduler->table, worker->zone) && ", "",
           "emptied zone", "timeline", "trentvale", 2, ZONE_DRAINED),
-    Guard("leaving", "a leaving worker gets no new work", "packages/heartbeat/src/liveset.c",
+    Guard("leaving", "a leaving worker gets no new tasks", "packages/heartbeat/src/liveset.c",
           "!row->leaving && ", "",
           "leaving worker", "timeline", "trentvale", 3, LEAVES,
           also=[("packages/agent/src/worker.c", "    if (leaving)\n        attempts_withdraw(agent, \"the worker leaves\");\n", ""),
@@ -275,10 +279,10 @@
           "starting long after its job was cancelled|running on after", "sweep", "varied", 1, 24,
           also=[("packages/state/src/deliver_place.c", "if (task == NULL || (*job)->ending != JOB_ACTIVE)", "if (task == NULL)"),
                 ("packages/state/src/phase.c", "            task_set_phase(table, job, task, TASK_CANCELLED, \"\", at_ms, PHASE_BY_LEADER);\n        else if", "            (void)task;\n        else if")]),
-    Guard("stop-told", "what is not wanted is stopped", "packages/agent/src/orders.c",
+    Guard("stop-told", "an attempt that is no longer wanted is stopped", "packages/agent/src/orders.c",
           "            attempt->phase = PHASE_STOPPING;\n        signal_raise", "            (void)attempt;\n        signal_raise",
           "running on after", "timeline", "trentvale", 3, CANCELLED),
-    Guard("gang-whole", "a gang is placed whole or not at all", "packages/scheduler/src/placement.c",
+    Guard("gang-whole", "a gang is placed completely or not at all", "packages/scheduler/src/placement.c",
           "            capacity_return(pass, step, where, i);\n            return false;",
           "            ((Candidate *)(uintptr_t)candidate)->count = i;\n            return i > 0;",
           "left waiting alone", "timeline", "varied", 4, """
@@ -288,197 +292,197 @@
 60000  .        .        .        .        .        .        .        .        end
 """, also=[("packages/state/src/deliver_place.c", "return together == open ? together : 0;", "return together;"),
            ("packages/scheduler/src/planner.c", "        gangs_repair(scheduler, mem);", "        (void)mem;")]),
-    Guard("gang-stopped", "when a member is lost the others stop", "packages/state/src/gang.c",
+    Guard("gang-stopped", "when a gang member is lost, the other members are stopped", "packages/state/src/gang.c",
           "        if (other != task && (other->phase", "        if (false && (other->phase",
           "lost_once_for_an_attempt", "test", "gangs"),
-    Guard("base-check", "a configuration builds on the one in force", "packages/state/src/deliver_config.c",
+    Guard("base-check", "a configuration change is based on the revision in force", "packages/state/src/deliver_config.c",
           "set->base == current && version > current && (!set->patch", "(!set->patch",
           "configuration", "sweep", "varied", 1, 60),
-    Guard("config-refused", "a refused configuration is not taken", "packages/callers/src/configs.c",
+    Guard("config-refused", "a refused configuration change does not take effect", "packages/callers/src/configs.c",
           "    if (set.base != current) {\n        refuse_stale(request, current);\n        return;\n    }",
           "    if (set.base != current) {\n        refuse_stale(request, current);\n        set.base = current;\n        "
           "request->task = talloc_memdup(request->mem, request->task, sizeof(HttpTask));\n    }",
           "refused configuration|configuration", "sweep", "varied", 1, 60),
-    Guard("key-known", "a call under an unknown key is refused", "packages/callers/src/queue_entry.c",
+    Guard("key-known", "a request with an unknown key is refused", "packages/callers/src/queue_entry.c",
           "if (request->caller != NULL || place->queue->is_public || !place->cell->keyed)", "if (true)",
           "unknown_key_never_runs|keys_change_at_every_node_at_once", "test", "tenants"),
-    Guard("gone-later", "a retry that an earlier leader may have taken is not told 401 or 404", "packages/callers/src/queue_entry.c",
+    Guard("gone-later", "a retry of a job that an earlier leader may have accepted is not answered with 401 or 404", "packages/callers/src/queue_entry.c",
           "if (!request->task->again || table_job(request->service->table, request->name) == NULL)", "if (true)",
           "taken_job_is_not_refused_when_its_key_goes|taken_job_is_not_refused_when_its_queue_goes", "test", "tenants"),
-    Guard("job-of-tenant", "a job is shown to its tenant's callers only", "packages/callers/src/queue_entry.c",
+    Guard("job-of-tenant", "a job is visible only to callers of its tenant", "packages/callers/src/queue_entry.c",
           "return !tenant->keyed || tenant == request->caller;", "return true;",
           "job_is_shown_to_its_tenant_only", "test", "tenants"),
-    Guard("key-shared", "no two tenants have one key", "packages/config/src/tenants.c",
+    Guard("key-shared", "no two tenants share a key", "packages/config/src/tenants.c",
           "if (other == NULL)", "if (true)", "shared_key_is_refused", "test", "tenants"),
-    Guard("key-last", "a tenant's last key opens nothing by going", "packages/config/src/tenants.c",
+    Guard("key-last", "removing a tenant's last key does not open its queues to callers without a key", "packages/config/src/tenants.c",
           "tenant->keyed = list != NULL;", "tenant->keyed = list != NULL && json_object_array_length(list) > 0;",
           "accepted_jobs_outlive_key_and_tenant", "test", "tenants"),
     Guard("refused-not-run", "a refused job is not submitted", "packages/callers/src/jobs.c",
           "    if (!job_admissible(request->faults, spec, config, service->table)) {\n        request_refuse(request);\n        return NULL;\n    }",
           "    if (!job_admissible(request->faults, spec, config, service->table)) {\n        request_refuse(request);\n        request->task = talloc_memdup(request->mem, request->task, sizeof(HttpTask));\n    }",
           "a refused job running", "sweep", "varied", 1, 12),
-    Guard("read-synced", "what a restarted process reads is synced before it counts", "packages/sim/src/disk.c",
+    Guard("read-synced", "data that a restarted process reads is synced before it counts as durable", "packages/sim/src/disk.c",
           "    synced(sim_file->machine, from);\n", "", "read_is_synced", "test", "journal", "read_is_synced"),
-    Guard("rewrite-queued", "what a rewrite wrote counts as queued, and the newer entry counts",
+    Guard("rewrite-queued", "entries written by a journal rewrite count as queued, and the newer of two entries with one index is used",
           "packages/replication/src/disk.c", "    replication->queued_index = log_last_index(replication->log);\n    const Status status = journal_rewrite", "    const Status status = journal_rewrite",
           "snapshot_then_trimmed", "test", "disk_state", "snapshot_then_trimmed",
           also=[("packages/replication/src/log.c", "    log_trim(log, entry->index - 1);\n    if (entry->term <", "    if (entry->index <= log_last_index(log))\n        return STATUS_OK;\n    if (entry->term <")]),
-    Guard("log-bytes", "the log is bounded in bytes", "packages/replication/src/snapshot.c",
+    Guard("log-bytes", "the log is limited in bytes", "packages/replication/src/snapshot.c",
           "return log->count >= most || log->bytes >= bytes;", "return log->count >= most || bytes == 0;",
           "away_for_big", "test", "catch_up", "away_for_big"),
-    Guard("fill-pieces", "a large snapshot goes in pieces", "packages/replication/src/send_snapshot.c",
+    Guard("fill-pieces", "a large snapshot is sent in pieces", "packages/replication/src/send_snapshot.c",
           "    if (whole.count > SNAPSHOT_WHOLE_BYTES) {", "    if (whole.count > SNAPSHOT_WHOLE_BYTES && false) {",
           "large_state", "test", "catch_up", "large_state"),
-    Guard("spoilt-founds-not", "a disk that was not whole founds nothing", "packages/replication/src/recover.c",
+    Guard("spoilt-founds-not", "a process with a damaged disk does not found a cluster", "packages/replication/src/recover.c",
           "        replication->settings.founding_mode = FOUNDING_NEVER;", "        (void)replication;",
           "all_spoilt", "test", "disk_state", "all_spoilt"),
-    Guard("committed-stays", "what is committed is not dropped, whoever orders it", "packages/replication/src/install_snapshot.c",
+    Guard("committed-stays", "committed entries are not dropped, whoever asks for it", "packages/replication/src/install_snapshot.c",
           "    if (last_index < replication->commit_index && replication->settings.disks_durable)\n        return history_conflict_refuse(replication, last_index + 1);\n", "",
           "committed_stays", "test", "disk_state", "committed_stays"),
-    Guard("old-list", "a list of voters older than a committed one is not voted by", "packages/replication/src/voter_list.c",
+    Guard("old-list", "a voter does not vote by a list of voters that is older than a committed one", "packages/replication/src/voter_list.c",
           "    replication->list_reverted = true;", "    replication->list_reverted = false;", "old_list_votes_not", "test", "disk_state", "old_list_votes_not"),
-    Guard("other-ways", "a gate that can't reach the leader asks through other cores", "packages/routing/src/leader_route_search.c",
+    Guard("other-ways", "an entry point that can't reach the leader forwards requests through other controllers", "packages/routing/src/leader_route_search.c",
           "        if (!leader_route_hop(leader_route, nth, &hop)) {", "        if (nth > 0 || !leader_route_hop(leader_route, nth, &hop)) {",
           "not serving", "sweep", "varied", 86, 86),
-    Guard("repair-together", "a repair does not take a commit for each change", "packages/controller/src/repair.c",
+    Guard("repair-together", "a repair does not wait for a commit after each change", "packages/controller/src/repair.c",
           "status = replication_submit_async(controller->replication, item->change, payload_to_submit(mem, item));",
           "{\n            ChangeResult one;\n            status = replication_submit(controller->replication, item->change, payload_to_submit(mem, item), &one);\n        }",
           "not serving", "sweep", "varied", 80, 80),
-    Guard("gang-one-end", "one good end of a gang stands for all of its members", "packages/state/src/attempt.c",
+    Guard("gang-one-end", "one successful end of a gang member counts for all members", "packages/state/src/attempt.c",
           "    const Gang gang = gang_of(job, task);\n    const TaskPhase phase", "    const Gang gang = {task, 1};\n    const TaskPhase phase",
           "finished well|not ended|forgotten|left waiting alone", "sweep", "varied", 1, 24),
-    Guard("turns", "a turn starts when it is due", "packages/queue/src/wait.c",
+    Guard("turns", "each occurrence of a periodic job starts when it is due", "packages/queue/src/wait.c",
           "const int64_t occurrence_ms = spec->first_wall_ms != 0 ? spec->first_wall_ms + (int64_t)occurrence * spec->period_ms : 0;",
           "const int64_t occurrence_ms = spec->first_wall_ms != 0 && occurrence == 0 ? spec->first_wall_ms : 0;",
           "before its steps or its due time", "timeline", "varied", 2, MACHINE_OFF),
-    Guard("lasting", "a lasting task goes on however its round ends", "packages/state/src/deliver_attempt.c",
+    Guard("lasting", "a lasting task is restarted however its attempt ends", "packages/state/src/deliver_attempt.c",
           "if (update->word == ATTEMPT_DONE && !job->spec.lasting) {", "if (update->word == ATTEMPT_DONE) {",
           "forgotten", "sweep", "varied", 1, 8),
-    Guard("order-known", "an order for a zone that was taken is known when it is sent again", "packages/state/src/deliver_zone.c",
+    Guard("order-known", "a zone order that was accepted is recognized when it is sent again", "packages/state/src/deliver_zone.c",
           "        if (row->order[0] != '\\0' && strcmp(row->order, drain->order) == 0)\n            return DRAIN_DELIVERED;\n", "",
           "leader_lost|callers_name", "test", "drains"),
-    Guard("order-based", "an order for a zone counts only while nothing came after what it builds on", "packages/state/src/deliver_zone.c",
+    Guard("order-based", "a zone order takes effect only if no later order than its base was accepted", "packages/state/src/deliver_zone.c",
           "if (drain->based && row->stamp > drain->base) {", "if (drain->based && row->stamp < 0) {",
           "late_start|overtaken", "test", "drains"),
-    Guard("order-late", "an unnamed order that a process reads as it goes on after a pause is not taken", "packages/routing/src/order.c",
+    Guard("order-late", "an order without an ID that a process reads when it resumes after a pause is refused", "packages/routing/src/order.c",
           "    if (may_be_stale(forwarding)) {", "    if (may_be_stale(forwarding) && forwarding == NULL) {", "late_start_at_a_frozen", "test", "drains"),
-    Guard("sent-once", "what stands in no row of the table is not forwarded again", "packages/routing/src/retry_rules.c",
+    Guard("sent-once", "a request that no row of the retry rules permits is not forwarded again", "packages/routing/src/retry_rules.c",
           "    return RETRY_NEVER;\n}", "    return RETRY_BY_REQUEST_ID;\n}",
           "answers_lost|not_repeated", "test", "repeats"),
-    Guard("large-elsewhere", "a large configuration does not pass through a gate: its caller is sent to the leader",
+    Guard("large-elsewhere", "a large configuration does not pass through an entry point: its caller is redirected to the leader",
           "packages/entry_point/src/entry_point.c",
           "    if (task->body.count <= CONFIG_LARGE_BYTES && !(in_result && config_watch_size(entry_point->config_watch) > CONFIG_LARGE_BYTES))\n",
           "    if (task->body.count > 0 || !in_result || config_watch_size(entry_point->config_watch) > 0)\n",
           "read_at_any_node|others_are_served", "test", "large_config"),
-    Guard("large-kept", "a large change is not pushed to gates before it is answered", "packages/callers/src/repair_copy.c",
+    Guard("large-kept", "a large configuration change is not copied to entry points before it is answered", "packages/callers/src/repair_copy.c",
           "    if (payload_bytes(repair_items) > CONFIG_LARGE_BYTES)", "    if (payload_bytes(repair_items) == 0)",
           "changed_at_an_entry_point", "test", "large_config"),
-    Guard("large-pieces", "a gate comes to hold a large document in pieces", "packages/routing/src/config_watch.c",
+    Guard("large-pieces", "an entry point fetches a large document in pieces", "packages/routing/src/config_watch.c",
           ".piece_most = CONFIG_WATCH_EAGER_BYTES};", ".piece_most = 0};",
           "held_without_a_stall", "test", "large_config"),
-    Guard("large-goes-on", "a document that has begun to come goes on while changes follow", "packages/routing/src/config_watch.c",
+    Guard("large-goes-on", "the transfer of a document continues while newer changes arrive", "packages/routing/src/config_watch.c",
           "(stable || pieces_in_progress(&config_watch->pieces))", "stable",
           "held_through_changes", "test", "large_config"),
-    Guard("large-had", "what a repairing leader has of the configuration is not told to it again",
+    Guard("large-had", "a repairing leader is not sent the configuration that it has already",
           "packages/controller/src/repair.c", "{.config_have = collection->config_have};", "{.config_have = 0};",
           "woken_without_a_stall", "test", "large_config"),
-    Guard("answer-kind", "an answer is taken only if it is one to the kind that was asked", "packages/wire/src/answer.c",
+    Guard("answer-kind", "an answer is accepted only if its kind matches the request", "packages/wire/src/answer.c",
           "    if (envelope.kind != request->kind) {", "    if (false) {",
           "wrong_answers", "test", "answers"),
-    Guard("answer-cluster", "an answer of another cluster is not taken", "packages/wire/src/answer.c",
+    Guard("answer-cluster", "an answer from another cluster is not accepted", "packages/wire/src/answer.c",
           "    if (!rpc_same_cluster(envelope->cluster, rpc->cluster)) {", "    if (false) {",
           "wrong_answers", "test", "answers"),
-    Guard("answer-peer", "an answer of another process, or of an earlier life, is not taken", "packages/wire/src/answer.c",
+    Guard("answer-peer", "an answer from another process or from another incarnation is not accepted", "packages/wire/src/answer.c",
           "    if (!from_meant(request, envelope)) {", "    if (false) {",
           "wrong_peers", "test", "answers"),
-    Guard("question-meant", "a question meant for another process is not carried out", "packages/wire/src/serve.c",
+    Guard("question-meant", "a request addressed to another process is not executed", "packages/wire/src/serve.c",
           "    if (envelope->peer != self->id) {", "    if (false) {",
           "address_reused", "test", "questions"),
-    Guard("question-life", "a question meant for an earlier life is not carried out", "packages/wire/src/serve.c",
+    Guard("question-life", "a request addressed to an earlier incarnation is not executed", "packages/wire/src/serve.c",
           "    if (envelope->peer_life != self->incarnation && envelope->peer_life != rpc->first_incarnation) {", "    if (false) {",
           "address_reused", "test", "questions"),
-    Guard("know-meant", "a member that is gone is not answered for by whoever has its address", "packages/agent/src/isolated.c",
+    Guard("know-meant", "a process does not answer for the member that had its address before", "packages/agent/src/isolated.c",
           "        request->peer = member_peer(record);\n", "",
           "answers_for_another", "test", "places"),
-    Guard("hello-difference", "an answer has only the records that the asker lacks", "packages/member/src/difference.c",
+    Guard("hello-difference", "an answer to a hello contains only the records that the sender of the hello lacks", "packages/member/src/difference.c",
           "    return both_controllers || ask->digest != difference_digest(members) ? ANSWER_CONTROLLERS : ANSWER_NONE;", "    return both_controllers ? ANSWER_CONTROLLERS : ANSWER_ALIVE;",
           "exchange_fills_narrow_links", "test", "member_exchange"),
-    Guard("hello-watermark", "a watermark of another process, incarnation or future hides no member", "packages/member/src/difference.c",
+    Guard("hello-watermark", "a watermark of another process or incarnation, or from the future, does not hide members", "packages/member/src/difference.c",
           "    return same_process && ask->have <= members->sequence ? ask->have : 0;", "    return ask->have;",
           "watermark_lies", "test", "member_bounds"),
-    Guard("hello-asker", "one that is known with a higher incarnation is told so", "packages/member/src/difference.c",
+    Guard("hello-asker", "a process that is known with a higher incarnation is told so", "packages/member/src/difference.c",
           "        if (conflicts_with_requester(&row->record, &ask->self) ||\n", "        if (",
           "time_of_day_set_back", "test", "member_bounds"),
-    Guard("table-bound", "a full table takes no more members, and still controllers", "packages/member/src/table.c",
+    Guard("table-bound", "a full member table accepts no more members except controllers", "packages/member/src/table.c",
           "    if (members->table->count >= MEMBERS_MAX + (controller ? CONTROLLERS_MAX : 0)) {", "    if (false) {",
           "table_is_full", "test", "member_bounds"),
-    Guard("record-cluster", "a record of another cluster is not taken from a member", "packages/member/src/hello.c",
+    Guard("record-cluster", "a member's record of a process of another cluster is not accepted", "packages/member/src/hello.c",
           "    if (record->cluster != 0 && own != 0 && record->cluster != own) {", "    if (false) {",
           "stranger_is_named", "test", "member_bounds"),
-    Guard("trace-whole", "a trace at an entry point asks members beyond its partial view", "packages/trace/src/gather.c",
+    Guard("trace-whole", "a trace at an entry point also queries members outside its partial member table", "packages/trace/src/gather.c",
           "const size_t count = members_list_all(trace->members, gathering, &records);", "const size_t count = members_table(trace->members)->count;\n    MemberRecord *own = talloc_array(gathering, MemberRecord, (unsigned)count);\n    for (size_t i = 0; i < count; i++)\n        own[i] = members_table(trace->members)->rows[i].record;\n    records = own;",
           "trace_misses_members_beyond_the_view", "test", "traces"),
     Guard("hello-attempts", "a lost hello is sent again before the member counts as silent", "packages/member/src/hello.c",
           "hello_task_spawn(members, address)->attempts = HELLO_ATTEMPTS;", "hello_task_spawn(members, address);",
           "lost_messages_raise_suspicion", "test", "member_exchange"),
-    Guard("question-cancelled", "what was given up before it left is not sent", "packages/wire/src/ask.c",
+    Guard("question-cancelled", "a request that was cancelled before it was sent is not sent", "packages/wire/src/ask.c",
           " || (target->sending != NULL && target->sending->cancelled))", ")",
           "cancelled", "test", "questions"),
-    Guard("late-answers", "a connection on which answers come late is not taken for dead", "packages/wire/src/answer.c",
+    Guard("late-answers", "a connection with late answers is not considered dead", "packages/wire/src/answer.c",
           "connection->misses = 0; /* slow, but not silent */", "",
           "late_answers_keep_the_connection", "test", "rpc"),
-    Guard("transfer-in-time", "what is kept for repair is handed on no longer than the grace span lasts",
+    Guard("transfer-in-time", "the transfer of a repair buffer takes no longer than the grace period",
           "packages/routing/src/repair_transfer.c", "return left_ms < ASK_TIMEOUT_MS ? left_ms : ASK_TIMEOUT_MS;",
           "return left_ms < 0 ? left_ms : ASK_TIMEOUT_MS;",
           "carrier_that_is_cut_off_ends_in_time", "test", "repair_transfer"),
-    Guard("voter-silent", "a silent voter is replaced within a part of the span of a loss", "packages/replication/src/voters.c",
+    Guard("voter-silent", "a silent voter is replaced within a fraction of the time after which it counts as lost", "packages/replication/src/voters.c",
           "const int64_t part_ms = voter_replace_ms(replication) / VOTER_SILENT_PART;", "const int64_t part_ms = VOTER_REPLACE_MS;",
           "learner_then_loss|attempts", "test", "replaced"),
-    Guard("vote-given", "a voter that is told to end waits until its vote is another's", "packages/replication/src/leave.c",
+    Guard("vote-given", "a voter that is told to stop waits until another process has its vote", "packages/replication/src/leave.c",
           "const bool votes = replication_is_voter(replication), given = votes && successor_available(replication);",
           "const bool votes = replication_is_voter(replication), given = votes && until_ms == 0 && successor_available(replication);",
           "leaves_then_loss", "test", "leaving"),
-    Guard("successor-first", "a voter that lives is removed only after its successor was added",
+    Guard("successor-first", "a live voter is removed only after its successor was added",
           "packages/replication/src/membership.c", "if (voter->lost && !voter->self && (found == NONE",
           "if ((voter->lost || voter->leaving) && !voter->self && (found == NONE", "no_step_bears_less", "test", "membership",
           also=[("packages/replication/src/membership.c", "if (!now->voters[lost].disk_lost && now->voter_count % 2 != 0", "if (!now->voters[lost].disk_lost && !now->voters[lost].leaving && now->voter_count % 2 != 0")]),
-    Guard("silent-successor-first", "a voter that is silent is removed only after its successor was added",
+    Guard("silent-successor-first", "a silent voter is removed only after its successor was added",
           "packages/replication/src/membership.c", "if (!now->voters[lost].disk_lost && now->voter_count % 2 != 0", "if (false && now->voter_count % 2 != 0",
           "no_step_bears_less", "test", "membership"),
-    Guard("learner-above", "a learner that promised a higher term has a term above it", "packages/replication/src/view_change.c",
+    Guard("learner-above", "a learner that promised a higher term causes an election with a term above it", "packages/replication/src/view_change.c",
           "bool election_needed = learner_promised_higher(replication, now_ms);", "bool election_needed = learner_promised_higher(replication, now_ms) && now_ms < 0;",
           "learner_with_a_higher_promise", "test", "learners"),
-    Guard("learner-settles", "a learner that leaves waits until it knows whether it has the vote", "packages/replication/src/leave.c",
+    Guard("learner-settles", "a leaving learner waits until it knows whether it has become a voter", "packages/replication/src/leave.c",
           "    pending_vote_await(replication, until_ms);", "    (void)pending_vote_await;", "learner_leaves_as_it_gets_the_vote", "test", "leaving"),
-    Guard("agent-clock", "an agent whose wall clock was set back is not taken for an older one", "packages/agent/src/heartbeat.c",
+    Guard("agent-clock", "an agent whose wall clock was set back is not mistaken for an older incarnation", "packages/agent/src/heartbeat.c",
           "    if (agent->heartbeat_answered_ms == 0)\n        agent->incarnation = members_self(agent->members)->incarnation;\n", "",
           "it runs nothing", "timeline", "trentvale", 6, AGENT_CLOCK_SET_BACK),
-    Guard("refusing-replaced", "a voter whose disk refuses writes is replaced though it answers", "packages/replication/src/voters.c",
+    Guard("refusing-replaced", "a voter whose disk refuses writes is replaced although it answers", "packages/replication/src/voters.c",
           "if (refuses_ms != INT64_MAX &&", "if (refuses_ms == 0 &&", "refusing_follower_is_replaced", "test", "bad_disks"),
-    Guard("disk-backoff", "a full disk is not tried again and again", "packages/replication/src/disk.c",
+    Guard("disk-backoff", "writes to a full disk are not retried without a pause", "packages/replication/src/disk.c",
           "        if (again)\n            loop_sleep(", "        if (again && rest_ms == 0)\n            loop_sleep(",
           "nearly_full_does_not_go_in_circles", "test", "bad_disks"),
-    Guard("handed-on", "a leaving entry point hands on what it keeps for repair", "packages/entry_point/src/entry_point.c",
+    Guard("handed-on", "a leaving entry point transfers its repair buffer", "packages/entry_point/src/entry_point.c",
           "    if (!entry_point->disks_keep)\n", "    if (entry_point == NULL)\n", "entry_point_leaves", "test", "repair_transfer"),
-    Guard("two-copies", "two entry points keep what disks may lose", "packages/callers/src/repair_copy.c",
+    Guard("two-copies", "two entry points keep copies of what disks may lose", "packages/callers/src/repair_copy.c",
           "plan.copy_count < REPAIR_COPIES; tries++", "plan.copy_count < 1; tries++", "carrier_is_lost|_carries", "test", "repair_copies"),
-    Guard("copies-apart", "... in different zones", "packages/callers/src/repair_copy.c",
+    Guard("copies-apart", "the entry points with the copies are in different zones", "packages/callers/src/repair_copy.c",
           "(anywhere == 1 || !zone_has_copy(plan, plan->targets[target].zone))", "(anywhere < 2 || !zone_has_copy(plan, plan->targets[target].zone))",
           "carrier_is_lost|_carries", "test", "repair_copies"),
-    Guard("last-block-told", "a last block that was synced is no torn tail", "packages/journal/src/open.c",
+    Guard("last-block-told", "damage in the last block is not a torn tail if the block was synced", "packages/journal/src/open.c",
           "if (status == STATUS_OK && valid_bytes < synced)", "if (status == STATUS_OK && valid_bytes < synced && synced == 1)",
           "flipped|cut", "test", "last_block"),
-    Guard("hint-of-this-file", "a hint counts for the file that it was written for", "packages/journal/src/hint.c",
+    Guard("hint-of-this-file", "a journal hint is valid only for the file that it was written for", "packages/journal/src/hint.c",
           "record->at_ms == hint->journal->generation;", "record->at_ms >= 0;", "hint_may_be_anything", "test", "journal_hint"),
-    Guard("state-bounded", "no job is taken once the state is near what a snapshot may have", "packages/callers/src/jobs.c",
+    Guard("state-bounded", "no job is accepted once the state is close to the size limit of a snapshot", "packages/callers/src/jobs.c",
           "if (replication_admit(service->replication, request->task->body.count) != STATUS_OK) {", "if (request == NULL) {",
           "full_then_smaller", "test", "state_full"),
-    Guard("state-measured", "... and is measured again at a refusal", "packages/replication/src/snapshot.c",
+    Guard("state-measured", "the size of the state is measured again when a job is refused", "packages/replication/src/snapshot.c",
           "if (now_ms - replication->size_measured_ms >= STATE_SHRINK_MS) {", "if (now_ms - replication->size_measured_ms >= STATE_SHRINK_MS * 1000) {",
           "full_then_smaller", "test", "state_full"),
-    Guard("handed-on-by-controllers", "... and so does a controller", "packages/controller/src/controller.c",
+    Guard("handed-on-by-controllers", "a leaving controller transfers its repair buffer", "packages/controller/src/controller.c",
           "    if (controller->settings->cluster_settings.disks_keep == 0)\n", "    if (controller == NULL)\n", "controller_leaves", "test", "repair_transfer"),
-    Guard("lists-one-by-one", "a list of voters is committed before the next is ordered", "packages/replication/src/reconfigure.c",
+    Guard("lists-one-by-one", "a list of voters is committed before the next one is proposed", "packages/replication/src/reconfigure.c",
           "    if (replication->list_index > replication->commit_index)\n        return false;\n    MembershipInput input;", "    MembershipInput input;",
           "was ordered before the last was committed", "precise", "seeds", 1, 1300,
           also=[("packages/replication/src/reconfigure.c", "|| !replication_may_append(replication) || replication->list_index > replication->commit_index)", "|| !replication_may_append(replication))")]),
@@ -493,10 +497,10 @@
           "    if (missing.step != MEMBERSHIP_KEEP)",
           "    if (missing.step != MEMBERSHIP_KEEP && lost_voter_step(now, ready_count).step == MEMBERSHIP_KEEP)",
           "no_step_bears_less", "test", "membership"),
-    Guard("members-asked", "all are asked once more before a change of membership", "packages/replication/src/reconfigure.c",
+    Guard("members-asked", "all processes are contacted once more before the voters change", "packages/replication/src/reconfigure.c",
           "    membership_gather(replication, contact, input);", "    membership_gather(replication, contact != 0 ? 0 : contact, input);",
           "learner_lost_just_before_its_vote", "test", "learners"),
-    Guard("fill-keeps", "a snapshot that the log holds already replaces nothing", "packages/replication/src/install_snapshot.c",
+    Guard("fill-keeps", "a snapshot that the log covers already replaces no entries", "packages/replication/src/install_snapshot.c",
           "if (snapshot_covered(replication, &ask->snapshot, ask->over))", "if (false && snapshot_covered(replication, &ask->snapshot, ask->over))",
           "has changed|got shorter", "explore", "seeds", 1, 240,
           also=[("packages/replication/src/install_snapshot.c", "    if (shortens_log(replication, snapshot, entry_count)) {", "    if (false && shortens_log(replication, snapshot, entry_count)) {"),
@@ -508,25 +512,25 @@
     Guard("commit-majority", "a change is committed on a majority of the voters", "packages/replication/src/commit.c",
           "    if (majority < least)\n        least = majority;\n", "    (void)majority;\n",
           "committed on fewer disks", "explore", "seeds", 1, 60),
-    Guard("first-entry", "a leader counts no entry of an earlier term before the first of its own", "packages/replication/src/commit.c",
+    Guard("first-entry", "a leader commits no entry of an earlier term before the first entry of its own term", "packages/replication/src/commit.c",
           "if (least < replication->term_entry_index || least <= replication->commit_index)", "if (least <= replication->commit_index)",
           "entries_of_earlier_terms_wait", "test", "commit"),
-    Guard("ack-disks", "what is acknowledged is on one disk more than the losses to be borne", "packages/replication/src/lease.c",
+    Guard("ack-disks", "acknowledged changes are on one disk more than the number of losses to tolerate", "packages/replication/src/lease.c",
           "return copies >= lock_majority(voters_wanted(replication));",
           "const size_t there = lock_majority(replication->voter_count > VOTERS_INITIAL ? replication->voter_count : VOTERS_INITIAL);\n"
           "    return copies >= there || copies >= lock_majority(voters_wanted(replication));",
           "acknowledged on fewer", "explore", "seeds", 641, 700),
-    Guard("lead-by-lease", "who says that it leads has a lease that runs", "packages/replication/src/lease.c",
+    Guard("lead-by-lease", "a process that says that it leads has a valid lease", "packages/replication/src/lease.c",
           "return replication->phase == REPLICATION_LEADING && loop_now_ms(replication->loop) < lock_lease_until(&replication->lease);",
           "return replication->phase == REPLICATION_LEADING;", "two nodes say", "explore", "seeds", 1, 60),
-    Guard("wiped-votes-not", "a wiped disk does not answer for the voter that stood at its address", "packages/replication/src/serve.c",
+    Guard("wiped-votes-not", "a process with a wiped disk does not answer for the voter that had its address", "packages/replication/src/serve.c",
           "return to == 0 || to == replication->disk;", "return to == 0 || to != 0;",
           "promises that no disk|fewer disks|has changed|lacks what", "explore", "seeds", 1, 240),
 ]
 
 
 class Scratch:
-    """A copy of the tree with a build of its own."""
+    """A scratch copy of the tree with its own build."""
 
     def __init__(self, folder):
         self.folder = os.path.abspath(folder)
@@ -547,30 +551,31 @@
         got = self.run(["cmake", "--build", self.build, "--target", "spancart-sweep", "spancart-timeline",
                         "spancart-explore"] + tests)
         if got.returncode != 0:
-            raise SystemExit("the scratch copy does not build:\n" + got.stdout[-3000:])
+            raise SystemExit("the build of the scratch copy failed:\n" + got.stdout[-3000:])
 
     def edit(self, guard):
+        """Removes a guard. Returns (path, text before) of each edit, for restore()."""
         before = []
-        for path, out, instead in guard.edits:
+        for path, original, replacement in guard.edits:
             path = os.path.join(self.folder, path)
             with open(path) as file:
                 text = file.read()
-            found = pattern_of(out).search(text)
+            found = pattern_of(original).search(text)
             if not found:
-                raise SystemExit(f"{guard.name}: {path} does not have the text that is to be taken out")
+                raise SystemExit(f"{guard.name}: {path} does not contain the text to remove")
             before.append((path, text))
             with open(path, "w") as file:
-                file.write(text[:found.start()] + instead + text[found.end():])
+                file.write(text[:found.start()] + replacement + text[found.end():])
         return before
 
     @staticmethod
     def restore(before):
-        for path, text in reversed(before):  # a file that was edited twice ends as it began
+        for path, text in reversed(before):  # in reverse, so that a file with two edits gets its first text back
             with open(path, "w") as file:
                 file.write(text)
 
     def scenario(self, guard):
-        """What broke first, and the seed; None when all runs pass."""
+        """Yields (seed or test program, violation or failed test case) of each run that failed."""
         kind, mix = guard.scenario[:2]
         if kind == "test":
             got = self.run([os.path.join(self.build, "test-" + mix)])
@@ -583,8 +588,8 @@
             runs = [["spancart-timeline", path, str(seed), str(seed), mix] for seed in range(1, guard.scenario[2] + 1)]
         elif kind in ("explore", "precise"):
             how = ["--precise"] if kind == "precise" else []
-            runs = [["spancart-explore", *how, "--seeds", f"{seed}..{min(seed + EXPLORE_SHARE - 1, guard.scenario[3])}", "--no-shrink"]
-                    for seed in range(guard.scenario[2], guard.scenario[3] + 1, EXPLORE_SHARE)]
+            runs = [["spancart-explore", *how, "--seeds", f"{seed}..{min(seed + SEEDS_PER_PROCESS - 1, guard.scenario[3])}", "--no-shrink"]
+                    for seed in range(guard.scenario[2], guard.scenario[3] + 1, SEEDS_PER_PROCESS)]
         else:
             runs = [["spancart-sweep", str(seed), str(seed), mix] for seed in range(guard.scenario[2], guard.scenario[3] + 1)]
         at = os.cpu_count() or 1
@@ -599,11 +604,11 @@
                 if broke:
                     yield broke.group(1), broke.group(2)
                 elif child.returncode not in (0, 1):
-                    yield "?", f"the run ended with {child.returncode}"
+                    yield "?", f"the run ended with exit code {child.returncode}"
 
 
 def cases_of(test):
-    """The cases of a test program, by its source."""
+    """Returns the test cases in the source of a test program."""
     found = []
     for folder in glob.glob(os.path.join(ROOT, "packages", "*", "test")) + [os.path.join(ROOT, "platform", "test")]:
         path = os.path.join(folder, test + ".c")
@@ -613,18 +618,19 @@
     return found
 
 
-def unfit(guard):
-    """What of a row's texts does not stand in the sources exactly once."""
-    for path, out, _ in guard.edits:
+def fit_errors(guard):
+    """Yields an error for each text of a guard that does not occur exactly once in the sources, and for each
+    pattern that matches no test case."""
+    for path, original, _ in guard.edits:
         with open(os.path.join(ROOT, path)) as file:
-            count = len(pattern_of(out).findall(file.read()))
+            count = len(pattern_of(original).findall(file.read()))
         if count != 1:
-            yield f"{guard.name}: {path} has {count} times: {out.strip().splitlines()[0][:90]}"
+            yield f"{guard.name}: expected once in {path}, found {count} times: {original.strip().splitlines()[0][:90]}"
     if guard.scenario[0] == "test":
         cases = cases_of(guard.scenario[1])
-        for words in guard.never.split("|"):
-            if not any(re.search(words, case) for case in cases):
-                yield f"{guard.name}: test {guard.scenario[1]} has no case like {words}"
+        for pattern in guard.violation.split("|"):
+            if not any(re.search(pattern, case) for case in cases):
+                yield f"{guard.name}: test {guard.scenario[1]} has no case that matches {pattern}"
 
 
 def main():
@@ -632,12 +638,12 @@
     parser.add_argument("--only", default="")
     parser.add_argument("--work", default="/tmp/spancart-guards")
     parser.add_argument("--list", action="store_true")
-    parser.add_argument("--fit", action="store_true", help="only whether each row's text stands once in the sources")
+    parser.add_argument("--fit", action="store_true", help="only check that each guard's text occurs once in the sources")
     options = parser.parse_args()
     names = [name for name in options.only.split(",") if name]
     unknown = set(names) - {guard.name for guard in GUARDS}
     if unknown:
-        print("there is no guard " + ", ".join(sorted(unknown)), file=sys.stderr)
+        print("unknown guard: " + ", ".join(sorted(unknown)), file=sys.stderr)
         return 2
     chosen = [guard for guard in GUARDS if not names or guard.name in names]
     if options.list:
@@ -645,8 +651,8 @@
             print(f"{guard.name}: {guard.what}")
         return 0
     if options.fit:
-        bad = [line for guard in chosen for line in unfit(guard)]
-        print("\n".join(bad) or f"{len(chosen)} rows fit the sources")
+        bad = [line for guard in chosen for line in fit_errors(guard)]
+        print("\n".join(bad) or f"{len(chosen)} guards fit the sources")
         return 1 if bad else 0
     scratch = Scratch(options.work)
     bad = 0
@@ -656,16 +662,16 @@
         scratch.make()
         others, found, last = 0, None, ""
         for seed, why in scratch.scenario(guard):
-            if re.search(guard.never, why):
+            if re.search(guard.violation, why):
                 found = (seed, why)
                 break
             others, last = others + 1, why
         scratch.restore(before)
         scratch.make()
-        good = found is not None and with_it is None
-        bad += not good
-        print(f"{'seen' if good else 'FINDING'} {guard.name}: {guard.what}\n     without it: "
-              + (f"seed {found[0]}, {found[1][:150]}" if found else f"nothing of it broke ({others} other breaks{': ' + last[:120] if last else ''})")
+        detected = found is not None and with_it is None
+        bad += not detected
+        print(f"{'detected' if detected else 'FINDING'} {guard.name}: {guard.what}\n     without it: "
+              + (f"seed {found[0]}, {found[1][:150]}" if found else f"no expected violation ({others} others{': ' + last[:120] if last else ''})")
               + (f"\n     WITH it: seed {with_it[0]}, {with_it[1][:150]}" if with_it else ""), flush=True)
     print(f"{len(chosen) - bad} passed, {bad} failed")
     return 1 if bad else 0
--- a/scripts/lint.py
+++ b/scripts/lint.py
@@ -1,12 +1,13 @@
 #!/usr/bin/env python3
-"""Runs clang-tidy over every source of the build, beside each other, and compares with what is known.
+"""Runs clang-tidy on every source of the build, in parallel, and compares the findings with a baseline.
 
 lint.py BUILD [--jobs N] [--lower | --anew] [FILE...]
 
-BUILD holds compile_commands.json. The rules, each with its reason, stand in .clang-tidy. A finding fails
-unless .ci/known/lint.txt lists it by rule, file and function; magic numbers are counted by file, in the
-sources of the control side only. --lower takes out of the list what is gone; --anew writes it as found, which
-a reviewer then sees in the change. With FILEs only these are read, and only what is new fails.
+BUILD is the build folder with compile_commands.json. The rules and their reasons are in .clang-tidy. A finding is
+an error unless the baseline .ci/known/lint.txt lists it by rule, file and function; magic numbers are counted by
+file, and only in the sources of the control plane. --lower removes findings that are gone from the baseline; --anew
+writes all findings as the new baseline, so that a reviewer sees them in the diff. With FILEs, only these are checked,
+and only new findings are errors.
 """
 import argparse
 import collections
@@ -21,9 +22,10 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 KNOWN = os.path.join(ROOT, ".ci/known/lint.txt")
-CONTROL = ("replication", "lock", "member", "routing", "wire", "entry_point", "controller", "scheduler", "inforce", "callers")
+CONTROL_PLANE = ("replication", "lock", "member", "routing", "wire", "entry_point", "controller", "scheduler",
+                 "inforce", "callers")
 FINDING = re.compile(r"^(/.*?):(\d+):(\d+): (?:warning|error): (.*) \[([\w.,-]+)\]$")
-AT_ONCE = 3  # sources for each process, so that the slow ones spread
+SOURCES_PER_PROCESS = 3  # small, so that slow sources are spread over the processes
 
 
 def sources(build):
@@ -35,13 +37,13 @@
     run = subprocess.run(["clang-tidy", "-p", build, "--quiet", *files], capture_output=True, text=True, cwd=ROOT)
     matches = map(FINDING.match, run.stdout.split("\n"))
     found = [match.groups() for match in matches if match]
-    # a source that can't be read at all is no finding of a rule
+    # a source that can't be read is an error, not a finding of a rule
     broken = [line for line in run.stderr.split("\n") if line.startswith(("Error ", "error:"))]
     return found, broken
 
 
 def function_at(path, line):
-    """The function around a line: the last line above it that begins one."""
+    """Returns the function that contains a line: the last one that begins above it; - if there is none."""
     with open(path) as file:
         lines = file.read().split("\n")[:line]
     for text in reversed(lines):
@@ -56,7 +58,7 @@
     rule = rules.split(",")[0]
     if rule == "readability-magic-numbers":
         match = re.match(r"packages/(\w+)/src/", relative)
-        return f"{rule} {relative}" if match and match[1] in CONTROL else None
+        return f"{rule} {relative}" if match and match[1] in CONTROL_PLANE else None
     return f"{rule} {relative} {function_at(path, int(line))}"
 
 
@@ -69,10 +71,10 @@
     parser.add_argument("files", nargs="*")
     args = parser.parse_intermixed_args()
     if args.files and (args.lower or args.anew):
-        parser.error("the list is written from all sources")
+        parser.error("--lower and --anew need all sources: FILE is not permitted")
     files = [os.path.abspath(file) for file in args.files] or sources(args.build)
-    parts = [files[at:at + AT_ONCE] for at in range(0, len(files), AT_ONCE)]
-    places = collections.defaultdict(set)
+    parts = [files[at:at + SOURCES_PER_PROCESS] for at in range(0, len(files), SOURCES_PER_PROCESS)]
+    locations = collections.defaultdict(set)
     failed = False
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         for found, broken in pool.map(lambda part: tidy(args.build, part), parts):
@@ -82,11 +84,11 @@
             for path, line, column, text, rules in found:
                 key = key_of(path, line, rules)
                 if key is not None:
-                    places[key].add((os.path.relpath(path, ROOT), int(line), int(column), text))
-    counts = {key: len(each) for key, each in places.items()}
+                    locations[key].add((os.path.relpath(path, ROOT), int(line), int(column), text))
+    counts = {key: len(each) for key, each in locations.items()}
 
     def where(key):
-        return [f"{path}:{line}:{column}: {text}" for path, line, column, text in sorted(places[key])]
+        return [f"{path}:{line}:{column}: {text}" for path, line, column, text in sorted(locations[key])]
 
     good = ratchet.compare(KNOWN, counts, where, args.lower, args.anew, not args.files)
     print(f"{len(files)} sources, {sum(counts.values())} known findings" if good else "see .clang-tidy for the rules")
--- a/scripts/ratchet.py
+++ b/scripts/ratchet.py
@@ -1,9 +1,9 @@
-"""A list of known findings that may only shrink.
+"""A baseline of known findings that may only shrink.
 
-A file of lines `COUNT KEY`, sorted by key. What is found now must match it: a finding that is not listed, or
-that is counted higher than listed, fails; one that is listed and gone, or counted lower, fails too until the
-list is lowered, so that it can't come back. `--lower` of the scripts that use this writes the lower counts,
-and never a higher one.
+The baseline is a file of lines `COUNT KEY`, sorted by key. The current findings must match it. A finding that is not
+listed, or more frequent than listed, is an error. A listed finding that is gone or less frequent is an error too until
+the baseline is lowered, so that it can't come back. The option `--lower` of the scripts that use this module writes
+the lower counts, and never a higher one.
 """
 import sys
 
@@ -21,7 +21,7 @@
     return known
 
 
-def head(path):
+def header(path):
     try:
         with open(path) as file:
             return "".join(line for line in file if line.startswith("#"))
@@ -30,7 +30,7 @@
 
 
 def write(path, found):
-    first = head(path)
+    first = header(path)
     with open(path, "w") as file:
         file.write(first)
         for key in sorted(found):
@@ -38,8 +38,9 @@
 
 
 def compare(path, found, where, lower=False, anew=False, whole=True):
-    """Whether what was found is what is known; `where` says for a key where it stands. Prints the rest.
-    Where only a part was looked at (not `whole`), what is gone can't be told."""
+    """Returns whether the findings (count by key) match the baseline, and prints the differences; `where` returns the
+    lines that locate the findings of a key. If only some sources were checked (not `whole`), missing findings are
+    not reported. `lower` writes the lower counts first; `anew` only writes the findings as the new baseline."""
     if anew:
         write(path, found)
         return True
@@ -54,8 +55,8 @@
             good = False
             for line in where(key):
                 print(line, file=sys.stderr)
-            print(f"{key}: {now}, at most {listed} by {path}", file=sys.stderr)
+            print(f"{key}: found {now}, but {path} permits at most {listed}", file=sys.stderr)
         elif now < listed and whole:
             good = False
-            print(f"{key}: {now}, but {listed} in {path}: lower it there with --lower", file=sys.stderr)
+            print(f"{key}: found {now}, but {path} lists {listed}: lower the count with --lower", file=sys.stderr)
     return good
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -1,12 +1,13 @@
 #!/usr/bin/env python3
-"""Two releases side by side: builds the present tree and a scratch copy of it with
-a field added to messages and records and a message that the other does not know,
-then rolls the next release over a running fleet under load, one process at a time
-(cores that do not lead, the leader, gates, agents), and back again. Afterwards the
-record of what really ran is checked for every never.
+"""Rolling update test with two releases. The next release is built from a scratch copy
+of the tree, with fields added to messages and records and with a message kind that the
+present release does not know. The script rolls the next release out to a running fleet
+under load, one process at a time (controllers that do not lead, the leader, entry points,
+agents), and then rolls it back. Afterwards the record of the real executions is checked
+for every safety property.
 
   rollout.py FOLDER --binary SPANCART
-  rollout.py --fit       whether the sources still have what the next release changes
+  rollout.py --fit       check that the sources still contain the places that the next release changes
 """
 import argparse
 import os
@@ -17,13 +18,13 @@
 import sys
 import time
 
-import fleet as fleets
+import fleet as fleet_script
 
 HERE = os.path.dirname(os.path.abspath(__file__))
 ROOT = os.path.dirname(HERE)
 
-# What the next release adds: fields at the end, of a heartbeat, of an answer with
-# orders, of a carried request, of a record of the log; and a message kind.
+# The additions of the next release: a field at the end of a heartbeat, of an answer with orders, of a
+# forwarded request and of records of the log; and a message kind.
 NEXT_FIELDS = [
     ("packages/heartbeat/include/heartbeat/messages.h", "HEARTBEAT_ASK_FIELDS", "X(U64, added_later, 0)"),
     ("packages/heartbeat/include/heartbeat/messages.h", "FETCH_ANSWER_FIELDS", "X(TXT, noteLater, 0)"),
@@ -37,24 +38,24 @@
              "    const Status status = rpc_ask_peer(")
 
 
-def edited(root, path, pattern, instead):
-    """The text of path with the one place that pattern finds changed."""
+def edited_text(root, path, pattern, instead):
+    """Returns the text of a file with the single match of pattern replaced."""
     with open(os.path.join(root, path)) as file:
         text = file.read()
     text, count = re.subn(pattern, instead, text)
     if count != 1:
-        raise SystemExit(f"{path} has {count} places that the next release changes, wanted 1: {pattern}")
+        raise SystemExit(f"{path}: expected 1 match for the change of the next release, found {count}: {pattern}")
     return text
 
 
 def next_edits(root):
-    """(path, edit) of each; a list of fields is one macro, with its continued lines."""
+    """Yields (path, edit) of each change; a list of fields is one macro with its continued lines."""
     for path, name, field in NEXT_FIELDS:
-        yield path, lambda folder, path=path, name=name, field=field: edited(
+        yield path, lambda folder, path=path, name=name, field=field: edited_text(
             folder, path, r"(#define " + name + r"\(X\)(?:[^\n]*\\\n)*[^\n]*)\n",
             lambda match: match.group(1) + " \\\n    " + field + "\n")
     path, pattern, instead = NEXT_KIND
-    yield path, lambda folder: edited(folder, path, pattern, lambda match: instead)
+    yield path, lambda folder: edited_text(folder, path, pattern, lambda match: instead)
 
 
 def run(args):
@@ -63,7 +64,8 @@
         raise SystemExit("the next release does not build:\n" + got.stdout[-2000:] + got.stderr[-2000:])
 
 
-def next_release(folder):
+def build_next_release(folder):
+    """Copies the tree to a folder, applies the changes and builds the program. Returns its path."""
     shutil.copytree(ROOT, folder, ignore=lambda at, names: [
         name for name in names if name == ".git" or name.startswith(("build", "run", "target")) and at == ROOT])
     for path, edit in next_edits(folder):
@@ -76,9 +78,9 @@
 
 
 def roll(fleet, binary):
-    """One process at a time; each is asked to stop, and the other release started."""
+    """Replaces one process at a time: stops it with SIGTERM and starts the given release."""
     fleet.binary = binary
-    leader = fleet.ask("/v1/status")["leader"]
+    leader = fleet.query("/v1/status")["leader"]
     cores = [name for name in ("core1", "core2", "core3") if name != leader] + [leader]
     for name in cores + [name for name, node in fleet.nodes.items() if node["role"] in ("gate", "agent")]:
         fleet.kill(name, signal.SIGTERM)
@@ -91,12 +93,12 @@
         if name.startswith("core"):
             until = time.monotonic() + 20
             while time.monotonic() < until:
-                status = fleet.ask("/v1/status")
+                status = fleet.query("/v1/status")
                 if status and all(seat["inView"] for seat in status["seats"]):
                     break
                 time.sleep(0.2)
             else:
-                raise SystemExit(f"{name} did not come back into the view")
+                raise SystemExit(f"{name} did not rejoin the view")
         else:
             time.sleep(0.3)
 
@@ -113,32 +115,33 @@
             edit(ROOT)
         return 0
     if options.folder is None:
-        parser.error("a folder is needed")
+        parser.error("FOLDER is required")
     shutil.rmtree(options.folder, ignore_errors=True)
     os.makedirs(options.folder)
     present = os.path.abspath(options.binary)
-    later = next_release(os.path.join(os.path.abspath(options.folder), "next"))
-    fleet = fleets.Fleet(os.path.join(options.folder, "fleet"), present)
+    later = build_next_release(os.path.join(os.path.abspath(options.folder), "next"))
+    fleet = fleet_script.Fleet(os.path.join(options.folder, "fleet"), present)
     fleet.plan("trentvale", options.workers, 2)
     failed = True
     log_path = os.path.join(fleet.folder, "caller.log")
     try:
         for name in fleet.nodes:
             fleet.launch(name)
-        fleet.settle(options.workers)
+        fleet.wait_until_ready(options.workers)
         with open(log_path, "w") as log:
-            caller = subprocess.Popen([present, "caller", "--entries", ",".join(fleet.entries()), "--mix", "trentvale", "--rate",
-                                       "5000", "--for", "600000", "--configure", "--record", fleet.record], stdout=log, stderr=log)
+            caller = subprocess.Popen([present, "caller", "--entries", ",".join(fleet.entry_addresses()),
+                                       "--mix", "trentvale", "--rate", "5000", "--for", "600000", "--configure",
+                                       "--record", fleet.record], stdout=log, stderr=log)
         try:
             time.sleep(2)
             roll(fleet, later)
-            print("the next release runs everywhere")
+            print("all processes run the next release")
             roll(fleet, present)
-            print("and the present one again")
+            print("all processes run the present release again")
         finally:
-            caller.kill()  # it hands in without end
+            caller.kill()  # it submits jobs until it is killed
             caller.wait()
-        fleet.settle(options.workers)
+        fleet.wait_until_ready(options.workers)
         failed = False
     finally:
         fleet.stop()
@@ -147,7 +150,7 @@
         for line in file:
             accepted += line.split()[1] == "accepted"
             ended += line.split()[1] == "job-ended"
-    print(f"{accepted} jobs accepted and {ended} seen to their end while the releases were rolled up and down")
+    print(f"{accepted} jobs accepted and {ended} completed during the rollout and the rollback")
     replay = subprocess.run([os.path.join(os.path.dirname(present), "spancart-replay"), fleet.record, "trentvale", "open"], check=False)
     failed |= replay.returncode != 0 or ended == 0
     print("0 passed, 1 failed" if failed else "1 passed, 0 failed")
--- a/scripts/same_identifiers.py
+++ b/scripts/same_identifiers.py
@@ -1,32 +1,32 @@
-"""Strings that the compiler made of a renamed type or field, for scripts/same_objects.py --identifiers.
+"""Recognizes strings that name a renamed type or field, for scripts/same_objects.py --identifiers.
 
-Two kinds of places hold such a string, and only these are looked at:
-- type: the name that talloc is given with a block, talloc_zero(mem, Type), and the name of a Shape;
-- field: the name of a row in a shape's table, ROWS of SHAPE_TABLE.
-Both are read by nobody but talloc's reports and the text of a refused frame. What stands anywhere else (a key of
-JSON, a setting, a metric's name, a message) is no place of these, whatever it looks like, and differs.
+Macros make such strings, and they occur in two kinds of places:
+- type: the type name that is passed to talloc with a block, talloc_zero(mem, Type), and the name of a Shape;
+- field: the name of a row in the table of a shape, ROWS of SHAPE_TABLE.
+Only talloc's reports and the message about a refused frame show them. A string in any other place (a JSON key, a
+setting, the name of a metric, a message) counts as different when it changes, even if it looks like a name.
 """
 import collections
 import re
 
 import elfobject
 
-# in clang-format's layout: what begins a line
+# Declarations of types, in the layout of clang-format, where each one begins a line
 DECLARED = re.compile(r"^(?:typedef\s+(?:struct|enum|union)\s+([A-Z]\w*)|\}\s*([A-Z]\w*);|SHAPE\((\w+),)|"
                       r"^(?:typedef\s+)?(?:struct|enum|union)\s+([A-Z]\w*)\s*\{", re.MULTILINE)
 LITERAL = re.compile(r'"([A-Za-z_]\w*)"')
 TYPE = re.compile(r"((?:const )?(?:struct )?)([A-Za-z_]\w*)((?: ?\*)*)$")
 FIELD = re.compile(r"[A-Za-z_]\w*$")
-# talloc's functions that its macros hand the name of a type to, and the register of that argument, by its number
+# The talloc functions whose macros pass the name of a type, and the number of the register with that argument
 RSI, RDX, RCX, R8 = 6, 2, 1, 8
 TALLOC = {"_talloc_zero": RDX, "talloc_named_const": RDX, "_talloc_pooled_object": RDX, "_talloc_array": RCX,
           "_talloc_zero_array": RCX, "_talloc_realloc_array": R8, "_talloc_get_type_abort": RSI, "talloc_check_name": RSI}
-ABSOLUTE32 = 10  # a relocation's type
-SHAPE_BYTES, SHAPE_FIELDS, ROW_BYTES = 24, 16, 40  # of a Shape; in it, its function's place; of a row
+ABSOLUTE32 = 10  # relocation type R_X86_64_32
+SHAPE_BYTES, SHAPE_FIELDS, ROW_BYTES = 24, 16, 40  # size of a Shape, offset of its function, size of a row
 
 
 class Sources:
-    """The names of types that a tree's sources declare, and those of its string literals that are identifiers."""
+    """The types that the sources of a tree declare, and their string literals that have the form of an identifier."""
 
     def __init__(self, texts):
         self.types, self.literals = set(), set()
@@ -36,7 +36,8 @@
 
 
 def register_loaded(section, relocation):
-    """The register that an instruction loads a constant's address into: lea or mov; -1: another instruction."""
+    """Returns the number of the register into which a lea or mov loads the address of a constant; -1 for any other
+    instruction."""
     at = relocation.offset
     before = section.data[max(at - 3, 0):at]
     if relocation.type == elfobject.PC32 and len(before) == 3 and before[0] & 0xFB == 0x48 and before[1] == 0x8D:
@@ -47,12 +48,12 @@
 
 
 class Places:
-    """Where in an object the names of types and fields stand."""
+    """The places of an object that hold names of types and fields."""
 
     def __init__(self, object_):
         self.object = object_
-        self.shapes = {}  # the section of a Shape -> its place there
-        self.tables = set()  # the sections of rows
+        self.shapes = {}  # section with a Shape -> offset of the Shape
+        self.tables = set()  # sections with the rows of a shape
         for section in object_.content():
             for symbol in section.symbols:
                 if re.search(r"(_s|S)hape$", symbol.name) and symbol.size == SHAPE_BYTES:
@@ -73,7 +74,7 @@
                 self.tables.add(rows)
 
     def kind(self, section, relocation):
-        """What the string is the name of: type, field, or None for any other."""
+        """Returns what the string at a relocation names: "type", "field", or None for any other string."""
         if section.index in self.tables:
             return "field" if relocation.offset % ROW_BYTES == 0 else None
         if section.index in self.shapes:
@@ -82,8 +83,8 @@
 
     @staticmethod
     def _for_talloc(section, relocation):
-        """Whether the call that comes next in the code is talloc's, and the string's address is loaded into the
-        register of the name: no call leaves that as it is, so that the string is for this one alone."""
+        """Returns whether the next call in the code is one of talloc's, and the address of the string is loaded into
+        the register of the name. A call does not preserve that register, so that the string is for this call only."""
         for each in section.relocations:
             if each.offset > relocation.offset and each.type == elfobject.PLT32 and not each.symbol.name.endswith(".cold"):
                 return each.symbol.undefined() and TALLOC.get(each.symbol.name) == register_loaded(section, relocation)
@@ -91,27 +92,27 @@
 
 
 class Identifiers:
-    """Old and new names of types and fields: those that changed, one to one in each kind."""
+    """The renamed types and fields. Old and new names must correspond one to one within each kind."""
 
     def __init__(self, old_sources, new_sources):
         self.old, self.new = old_sources, new_sources
         self.new_of = {"type": {}, "field": {}}
         self.old_of = {"type": {}, "field": {}}
         self.counts = collections.Counter()
-        self.kept = collections.Counter()  # those that stayed, by kind and name
+        self.kept = collections.Counter()  # unchanged names, by kind and name
 
     def renamed(self, kind, was, now):
-        """Takes the change of a string of this kind; tells what speaks against it, or None."""
+        """Records the change of a string of this kind. Returns why it is not a rename, or None if it is one."""
         if kind == "type":
             old, new = TYPE.match(was), TYPE.match(now)
             if not old or not new or (old[1], old[3]) != (new[1], new[3]):
                 return "no names of types"
             was, now = old[2], new[2]
-            wrong = self._undeclared(was, self.old, "old") or self._undeclared(now, self.new, "new")
+            reason = self._undeclared(was, self.old, "old") or self._undeclared(now, self.new, "new")
         else:
-            wrong = None if FIELD.match(was) and FIELD.match(now) else "no names of fields"
-        if wrong:
-            return wrong
+            reason = None if FIELD.match(was) and FIELD.match(now) else "no names of fields"
+        if reason:
+            return reason
         known = self.new_of[kind].setdefault(was, now)
         if known != now:
             return f"{kind} {was}, but -> {known} elsewhere"
@@ -122,7 +123,7 @@
         return None
 
     def keep(self, kind, name):
-        """Takes a string of this kind that stayed. No fault of its own, but show() tells it."""
+        """Records an unchanged string of this kind, which is no difference but is printed by show()."""
         self.kept[kind, TYPE.match(name)[2] if kind == "type" and TYPE.match(name) else name] += 1
 
     @staticmethod
@@ -133,14 +134,16 @@
             return f"{name} is also a string literal of the {which} sources"
         return None
 
-    def handed_on(self):
-        """Names that one gave up and another one took, as where two are swapped: no rename that can be told apart."""
+    def reused_names(self):
+        """Returns the names that one identifier gave up and another one took, as in a swap: this can't be told from a
+        rename."""
         return [f"{kind} {was} -> {now}, which was another one's name" for kind, names in self.new_of.items()
                 for was, now in sorted(names.items()) if now in names]
 
     def show(self, pairs):
-        """The table: how many names of each kind changed in how many places, and with pairs which ones. A name that
-        another type or field kept, or had before, is said: types of one file and fields of one shape may have it."""
+        """Prints how many names of each kind changed in how many places, and with `pairs` the names. Also prints the
+        names that another type or field kept or had before: types local to a file and fields of several shapes may
+        share a name."""
         for kind, names in self.new_of.items():
             changed = sorted(names.items())
             places = sum(self.counts[kind, was] for was, _ in changed)
--- a/scripts/same_objects.py
+++ b/scripts/same_objects.py
@@ -1,37 +1,37 @@
 #!/usr/bin/env python3
-"""Proves that one commit only renames what another holds: the compiled objects are the same.
+"""Proves that two commits differ only in names: their compiled objects are the same.
 
-same_objects.py A B           every object of A and B at -O2: code, data, read-only data, relocations
-same_objects.py --moved A B   every function and every datum by its name at -O0, whichever object it stands in
+same_objects.py A B           compares all objects of A and B at -O2: code, data, read-only data, relocations
+same_objects.py --moved A B   compares functions and data by name at -O0, whichever object contains them
 same_objects.py [--moved] --folders A B    A and B are folders of objects that were compiled with --print-flags
 
-A and B are commits; WORK stands for the files as they lie here. What was compiled stays in build-same/TREE, so that
-a chain of commits costs one build each. What may differ between A and B, and nothing else:
-- names of symbols, when old and new names belong to each other one to one: global ones over the whole tree, local
-  ones in their object; what the tree itself doesn't define (libraries) keeps its name;
-- line numbers, __FILE__, __func__ and the text of an assert() or of cmocka's assertions: both sides are compiled without them, with the
-  conditions kept;
-- in test programs, a string that is the name of a function there, when the function is renamed likewise;
-- strings that --strings FILE lists (old TAB new, a line each, with C's escapes);
-- with --identifiers, strings that the compiler made of a renamed type or field, see below;
-- the order of functions in an object, when each has its counterpart.
-Files are paired by path; by `git diff -M` or --files FILE (old TAB new, files or folders) where they were renamed.
-
---identifiers permits the change of a string only where it stands as the name of a type that a call of talloc is
-given or as a Shape's name, both types being declared in their sources and not spelled as a string there; or as the
-name of a row of a shape's table (ROWS). Names that changed must belong to each other one to one over the tree, types
-and fields each for themselves; one that was given up and taken by another (two fields swapped) differs. How many
-changed is printed, and what kept such a name; with --symbols each pair and in how many places. Limits: that a string
-is given to talloc is told by the call that comes next in the code and by the register. One that the compiler keeps in
-another register for several calls differs; --level O0-merged, where it keeps none, then shows what it is for. Between the
-load and the next call the code may jump: a call elsewhere with the same argument in the same register would not be
-told from talloc's, if the string too were just the name of a declared type that no literal spells. Types and fields
-that no string names are not counted, and whether a new name is a good one is not judged. With --folders, the sources
-are those beside the objects.
-
---moved tells what is gone, new and changed; a function is the same when its bytes are and when it points at the
-same names, with the same strings and constants. It passes when nothing is gone, new or changed. Whether a name is
-static is not compared; of a name that several files have, the set of what it stands for is.
+A and B are commits; WORK means the files in the working tree. The objects of a tree are kept in build-same/TREE, so
+that a chain of commits needs one build for each. Only these differences between A and B are permitted:
+- names of symbols, if old and new names correspond one to one, global symbols over the whole tree and local symbols
+  within their object; symbols that the tree does not define (of libraries) keep their names;
+- line numbers, __FILE__, __func__ and the texts of assert() and of cmocka's assertions: both sides are compiled
+  without them, but with the conditions;
+- in test programs, a string that is the name of a function of the program, if the function is renamed likewise;
+- strings listed in --strings FILE (old TAB new, one pair a line, with C escapes);
+- with --identifiers, strings that macros make of the name of a renamed type or field, see below;
+- the order of functions in an object, if each function has its counterpart.
+Files are paired by path; renamed files by `git diff -M` or by --files FILE (old TAB new, files or folders).
+
+--identifiers permits the change of a string only if it is the type name passed to a talloc function or the name of a
+Shape, where both types are declared in their sources and no string literal there has their names; or if it is the
+name of a row of a shape's table (ROWS). Old and new names must correspond one to one over the tree, separately for
+types and for fields; a name that one identifier gave up and another one took (two swapped fields) is a difference.
+The script prints the number of changed names and which identifiers kept such a name; with --symbols also each pair
+and the number of its places. Limits: a string counts as passed to talloc by the next call in the code and by the
+register. A string that the compiler keeps in another register for several calls is reported as a difference; compare
+with --level O0-merged then, where it keeps none. The code may jump between the load and the next call: another
+call with the same argument in the same register would be mistaken for talloc's, provided that the string is the name
+of a declared type that no literal spells. Types and fields that no string names are not counted, and the choice of a
+new name is not judged. With --folders, the sources are the files beside the objects.
+
+--moved reports what is gone, new and changed. A function is the same if its bytes are the same and it refers to the
+same names, strings and constants. The comparison passes if nothing is gone, new or changed. Whether a name is static
+is not compared; for a name that occurs in several files, the sets of its definitions are compared.
 """
 import argparse
 import collections
@@ -75,19 +75,19 @@
 """}
 COMMON = ["-g0", "-ffunction-sections", "-fdata-sections", "-fno-asynchronous-unwind-tables",
           "-w"]
-# a function is then compiled the same whether what it calls stands in its own file or in another one
+# At O0 with these flags, a function compiles to the same code whether its callees are in its own file or another one.
 LEVELS = {"O2": ["-O2"], "O0": ["-O0", "-fno-inline", "-fno-pie", "-fno-jump-tables", "-fno-ipa-stack-alignment"],
-          # each string is loaded where it is handed on
+          # each string is loaded right before the call that it is passed to
           "O0-merged": ["-O0", "-fno-pie", "-fmerge-constants"]}
 KINDS = re.compile(r"\.(text\.(?:unlikely|startup|exit|hot)|text|rodata|data\.rel\.ro\.local|data\.rel\.ro|"
                    r"data\.rel\.local|data\.rel|data|bss|tdata|tbss)(?=\.|$)")
-SHOWN = 8  # bytes shown from the first that differ
+BYTES_SHOWN = 8  # bytes printed from the first difference
 
 
 # ---- building
 
 def flags(level, folder):
-    """The compiler's flags; folder gets the headers that they name."""
+    """Returns the flags of the compiler, and writes the headers that they name to the folder."""
     os.makedirs(folder, exist_ok=True)
     for name, text in SHIM.items():
         with open(os.path.join(folder, name), "w") as file:
@@ -100,7 +100,7 @@
 
 
 def tree_of(name):
-    """The id of a commit's tree; of the files as they lie here for WORK."""
+    """Returns the ID of the tree of a commit; of the files in the working tree for WORK."""
     if name != "WORK":
         return git("rev-parse", name + "^{tree}").decode().strip()
     with tempfile.TemporaryDirectory() as folder:
@@ -111,7 +111,7 @@
 
 
 def compile_tree(tree, level, jobs):
-    """Compiles all objects of a tree, or finds them compiled; returns their folder."""
+    """Compiles all objects of a tree unless that was done before. Returns their folder."""
     home = os.path.join(CACHE, tree, level)
     os.makedirs(home, exist_ok=True)
     with open(os.path.join(home, "lock"), "w") as lock:
@@ -137,7 +137,7 @@
             if subprocess.run(["ninja", "-C", build, "-k", "20", "-j", str(jobs), *outputs], stdout=log, stderr=log).returncode:
                 log.seek(0)
                 errors = [line for line in log.read().split("\n") if "error" in line]
-                sys.exit("\n".join(errors[:20]) + f"\n{tree} doesn't compile, see {log.name}")
+                sys.exit("\n".join(errors[:20]) + f"\n{tree} does not compile, see {log.name}")
         for output in outputs:
             target = os.path.join(objects, output)
             os.makedirs(os.path.dirname(target), exist_ok=True)
@@ -152,7 +152,7 @@
 # ---- pairing files
 
 class Place:
-    """Where an object stands: CMakeFiles/TARGET.dir/SOURCE.o, or just its path."""
+    """The path of an object with its target and source: CMakeFiles/TARGET.dir/SOURCE.o, or just a source."""
 
     def __init__(self, path):
         self.path = path
@@ -190,7 +190,7 @@
 
 
 def unescaped(text):
-    """A string as C writes it, a character for each byte."""
+    """Resolves the C escapes of a string; the result has one character for each byte."""
     return text.encode().decode("unicode_escape")
 
 
@@ -207,7 +207,7 @@
 
 
 def pair_places(old, new, renames):
-    """Pairs of paths, and what stands on one side only."""
+    """Returns the pairs of paths, the unpaired old paths and the unpaired new paths."""
     votes = collections.defaultdict(collections.Counter)
     for was, now in renames.items():
         was, now = was.split("/"), now.split("/")
@@ -236,14 +236,14 @@
 # ---- comparing objects that only rename
 
 class Names:
-    """Old and new names of the tree's global symbols, one to one."""
+    """The correspondence between old and new names of the global symbols, which is one to one."""
 
     def __init__(self, old_defined, new_defined):
         self.old_defined, self.new_defined = old_defined, new_defined
         self.new_of, self.old_of, self.where = {}, {}, {}
 
-    def tie(self, old, new, where):
-        """Ties two names to each other; tells what speaks against it, or None."""
+    def pair_names(self, old, new, where):
+        """Records that two names correspond. Returns why they can't, or None if they can."""
         if (old in self.old_defined) != (new in self.new_defined):
             return f"symbol {old} -> {new}: only one of them is defined in its tree"
         if old not in self.old_defined and old != new:
@@ -273,13 +273,13 @@
 
 
 class Comparison:
-    """One pair of objects."""
+    """The comparison of one pair of objects."""
 
     def __init__(self, old, new, where, names, permitted, identifiers, tests):
         self.old, self.new, self.where = old, new, where
         self.names, self.permitted, self.identifiers, self.tests = names, permitted, identifiers, tests
         self.places = {each: same_identifiers.Places(each) for each in (old, new)} if identifiers else {}
-        self.used = set()  # the permitted changes of strings that were seen
+        self.used = set()  # the permitted string changes that occurred
         self.differences = []
         self.pairs = self._pair()
         self.new_index = {a.index: b.index for a, b in self.pairs}
@@ -287,7 +287,7 @@
     def differ(self, text):
         self.differences.append(text)
 
-    # -- which section belongs to which
+    # -- pairing of sections
 
     def _pair(self):
         old, new = self.old.content(), self.new.content()
@@ -312,7 +312,7 @@
         return pairs
 
     def _pair_rest(self, left, rest, pairs):
-        """What has no counterpart differs; paired by name or by place, so that the difference can be told."""
+        """Pairs the sections without a counterpart by name or by position, so that differences can be reported."""
         for section in left:
             named = [each for each in rest if each.name == section.name]
             alike = [each for each in rest if kind_of(each) == kind_of(section)]
@@ -326,7 +326,7 @@
             self.differ(f"{rest[0].name}: has no counterpart in the old object")
 
     def _colours(self, object_, sections, old):
-        """Sections with the same colour look alike, and so does all that they point at."""
+        """Maps each section to a hash of its contents and of the sections that it refers to (colour refinement)."""
         functions = functions_of(object_) if self.tests else {}
         defined = self.names.old_defined if old else self.names.new_defined
 
@@ -352,9 +352,9 @@
                 colours.get(each.symbol.section) for each in section.relocations))) for section in sections}
         return colours
 
-    # -- what the pairs hold
+    # -- comparison of the pairs
 
-    def tie_definitions(self):
+    def pair_definitions(self):
         for a, b in self.pairs:
             if len(a.symbols) != len(b.symbols):
                 self.differ(f"{a.name}: {len(a.symbols)} symbols, now {len(b.symbols)}")
@@ -363,9 +363,9 @@
                 if (x.value, x.size, x.type, x.bind, x.visibility) != (y.value, y.size, y.type, y.bind, y.visibility):
                     self.differ(f"{a.name}: symbols {x.name} and {y.name} differ in place, size, kind or linkage")
                 elif x.bind != elfobject.STB_LOCAL:
-                    wrong = self.names.tie(x.name, y.name, self.where)
-                    if wrong:
-                        self.differ(wrong)
+                    reason = self.names.pair_names(x.name, y.name, self.where)
+                    if reason:
+                        self.differ(reason)
 
     def compare(self):
         for a, b in self.pairs:
@@ -377,7 +377,7 @@
             return
         for at, (x, y) in enumerate(zip(a.data, b.data)):
             if x != y:
-                self.differ(f"{a.name}+0x{at:x}: {a.data[at:at + SHOWN].hex(' ')} -> {b.data[at:at + SHOWN].hex(' ')}"
+                self.differ(f"{a.name}+0x{at:x}: {a.data[at:at + BYTES_SHOWN].hex(' ')} -> {b.data[at:at + BYTES_SHOWN].hex(' ')}"
                             + (f" ({a.size} -> {b.size} bytes)" if a.size != b.size else ""))
                 return
         if a.size != b.size:
@@ -386,7 +386,7 @@
             self.differ(f"{a.name}: {shape_of(a)[:4]} -> {b.name}: {shape_of(b)[:4]}")
 
     def _permitted_array(self, a, b):
-        """An array that holds just a permitted string."""
+        """Returns whether the sections are arrays that consist of a permitted string."""
         was, now = bytes(a.data[:-1]).decode("latin-1"), bytes(b.data[:-1]).decode("latin-1")
         if a.data[-1:] != b"\0" or b.data[-1:] != b"\0" or kind_of(a) != kind_of(b):
             return False
@@ -402,9 +402,9 @@
         if len(a.relocations) != len(b.relocations):
             self.differ(f"{a.name}: {len(a.relocations)} -> {len(b.relocations)} relocations")
         for x, y in zip(a.relocations, b.relocations):
-            wrong = self._compare_relocation(a, x, b, y)
-            if wrong:
-                self.differ(f"{a.name}+0x{x.offset:x}: {wrong}")
+            reason = self._compare_relocation(a, x, b, y)
+            if reason:
+                self.differ(f"{a.name}+0x{x.offset:x}: {reason}")
 
     def _compare_relocation(self, a, x, b, y):
         if (x.offset, x.type) != (y.offset, y.type):
@@ -416,7 +416,7 @@
             return f"{self._shown(self.old, x)} -> {self._shown(self.new, y)}"
         if x.symbol.undefined() or y.symbol.undefined():
             if x.symbol.undefined() and y.symbol.undefined():
-                return self.names.tie(x.symbol.name, y.symbol.name, self.where)
+                return self.names.pair_names(x.symbol.name, y.symbol.name, self.where)
         elif x.symbol.section >= elfobject.SHN_LORESERVE or y.symbol.section >= elfobject.SHN_LORESERVE:
             if (x.symbol.section, x.symbol.value) == (y.symbol.section, y.symbol.value):
                 return None
@@ -440,10 +440,10 @@
             old, new = was[0].decode("latin-1"), now[0].decode("latin-1")
             if self._permitted(old, new) or (self.tests and self._function_renamed(old, new)):
                 return None
-            wrong = self.identifiers.renamed(kind, old, new) if kind else None
-            if kind and not wrong:
+            reason = self.identifiers.renamed(kind, old, new) if kind else None
+            if kind and not reason:
                 return None
-            why = f" ({wrong})" if wrong else ""
+            why = f" ({reason})" if reason else ""
         return " -> ".join(repr(each[0]) if each and each[1] in (0, -4) else str(each or "no constant")
                            for each in (was, now)) + why
 
@@ -474,7 +474,7 @@
 
 
 def sources_in(folder):
-    """The texts of the sources beside the objects."""
+    """Yields the texts of the sources beside the objects."""
     for where, _, names in os.walk(folder):
         for name in names:
             if name.endswith((".c", ".h")):
@@ -498,7 +498,7 @@
                               old_places[a].tests() and new_places[b].tests())
                    for a, b in pairs]
     for each in comparisons:
-        each.tie_definitions()
+        each.pair_definitions()
     for each in comparisons:
         each.compare()
     for path in gone:
@@ -514,8 +514,8 @@
             print(f"{was}\t{now}")
     for was, now in sorted(set().union(*(each.used for each in comparisons))):
         print(f"permitted string: {was!r} -> {now!r}")
-    handed_on = identifiers.handed_on() if identifiers else []
-    for text in handed_on:
+    reused_names = identifiers.reused_names() if identifiers else []
+    for text in reused_names:
         print(text)
     if identifiers:
         identifiers.show(symbols)
@@ -524,13 +524,13 @@
     local = sum(each.local_renamed() for each in comparisons)
     print(f"{count} objects, {count - differ} the same, {differ} differ; "
           f"{len(changed)} global and {local} local symbols renamed")
-    return differ == 0 and not handed_on and count > 0
+    return differ == 0 and not reused_names and count > 0
 
 
 # ---- comparing by name
 
 class Named:
-    """The functions and data of one tree by name: what each consists of, as digests."""
+    """The functions and data of one tree by name, with digests of their contents."""
 
     def __init__(self, folder, permitted):
         self.permitted = permitted
@@ -541,7 +541,7 @@
 
     @staticmethod
     def _plain(name):
-        return re.sub(r"\.\d+$", "", name)  # a static variable in a function has a number
+        return re.sub(r"\.\d+$", "", name)  # the compiler appends a number to a static variable of a function
 
     def _read(self, object_, source):
         self.cuts = collections.defaultdict(set)
@@ -561,7 +561,8 @@
 
     def _digest(self, object_, section, symbol):
         begin, end = symbol.value, symbol.value + symbol.size
-        # a const datum without pointers stands in .rodata, one with in .data.rel.ro: that is seen by its relocations
+        # The section is not compared: const data is in .rodata without pointers and in .data.rel.ro with them, which
+        # the relocations show.
         what = [symbol.type, symbol.size, bytes(section.data[begin:end])]
         for each in section.relocations:
             if begin <= each.offset < end:
@@ -584,7 +585,7 @@
         for each in section.symbols:
             if each.value <= begin < each.value + max(each.size, 1):
                 return "name", self._plain(each.name), relocation.addend - each.value
-        # a nameless constant: up to the next one that is pointed at
+        # an unnamed constant extends to the next one that is referred to
         end = min((cut for cut in self.cuts[symbol.section] if cut > begin), default=section.size)
         return "nameless", bytes(section.data[begin:end]).rstrip(b"\0")
 
@@ -615,13 +616,13 @@
     parser.add_argument("--strings", metavar="FILE")
     parser.add_argument("--files", metavar="FILE")
     parser.add_argument("--identifiers", action="store_true",
-                        help="permit the strings that the compiler makes of renamed types and fields")
+                        help="permit changed strings that are names of renamed types and fields")
     parser.add_argument("--symbols", action="store_true",
-                        help="print the global symbols that were renamed, and the types and fields")
-    parser.add_argument("--all", action="store_true", help="print all differences of an object, not just its first")
-    parser.add_argument("--level", choices=["O2", "O0-merged"], default="O2", help="how to compile; --moved has its own")
+                        help="print the renamed global symbols, types and fields")
+    parser.add_argument("--all", action="store_true", help="print all differences of an object, not only the first")
+    parser.add_argument("--level", choices=["O2", "O0-merged"], default="O2", help="optimization level; --moved uses O0")
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--print-flags", metavar="FOLDER", help="write the headers there and print the flags")
+    parser.add_argument("--print-flags", metavar="FOLDER", help="write the headers to FOLDER and print the compiler flags")
     parser.add_argument("old", nargs="?")
     parser.add_argument("new", nargs="?")
     args = parser.parse_args()
@@ -630,7 +631,7 @@
         print(*flags(level, os.path.abspath(args.print_flags)))
         return
     if args.identifiers and args.moved:
-        parser.error("--identifiers is of renames, --moved compares by name")
+        parser.error("--identifiers can't be combined with --moved, which compares by name")
     if not args.new:
         parser.error("two commits or folders are needed")
     renames = {}
--- a/scripts/sweep.py
+++ b/scripts/sweep.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Runs many seeds of random failures on all CPUs.
+"""Runs the sweep (random failures by seed) for a range of seeds on all CPUs.
 
   sweep.py FIRST LAST [--mix trentvale|atlas|varied|all] [--site plain|three|six|eight] [--jobs N] [--shrink]
 
-Prints each seed that broke with the never and how; with --shrink, the drawn
-timeline too, after leaving out every failure that the break does not need.
-Exit code 1 when a seed broke.
+Prints each seed that broke a safety property, with the property and the details; with --shrink also the
+timeline of the seed, reduced to the failures that are needed to break the property.
+Exit code 1 if a seed broke a safety property.
 """
 import argparse
 import collections
@@ -22,32 +22,33 @@
 SITE = ["plain"]
 
 
-def one(seed, mix, skip=(), loud=False):
-    args = [TOOL, str(seed), str(seed), mix, SITE[0]] + (["-v"] if loud else [])
+def run_seed(seed, mix, skip=(), verbose=False):
+    """Runs one seed. Returns the number of its steps, the violation (None: none) and the output."""
+    args = [TOOL, str(seed), str(seed), mix, SITE[0]] + (["-v"] if verbose else [])
     if skip:
         args += ["--skip", ",".join(map(str, sorted(skip)))]
     got = subprocess.run(args, capture_output=True, text=True, errors="replace", check=False)
     broke = re.search(r"BROKE of (\d+) steps: (.*)", got.stdout)
     if got.returncode not in (0, 1) and not broke:
-        return 0, f"the run ended with {got.returncode}: {got.stderr[-200:]}", got.stdout
+        return 0, f"the run ended with exit code {got.returncode}: {got.stderr[-200:]}", got.stdout
     return (int(broke.group(1)), broke.group(2), got.stdout) if broke else (0, None, got.stdout)
 
 
-def never_of(why):
-    """The never without its time and details, to know the same break again."""
+def property_of(why):
+    """Returns the name of the safety property, without time and details, to recognize the same violation."""
     return re.sub(r"^at \d+ ms: ", "", why).split(":")[0]
 
 
 def shrink(seed, mix, steps, why):
-    """Leaves out halves, quarters, ... single failures as long as the same never breaks."""
+    """Returns the steps to skip: leaves out halves, quarters, ... single failures while the same property breaks."""
     skip, size = set(), max(1, steps // 2)
     while size >= 1:
         for begin in range(0, steps, size):
             more = skip | set(range(begin, min(begin + size, steps)))
             if more == skip:
                 continue
-            _, again, _ = one(seed, mix, more)
-            if again and never_of(again) == never_of(why):
+            _, again, _ = run_seed(seed, mix, more)
+            if again and property_of(again) == property_of(why):
                 skip = more
         size = size // 2 if size > 1 else 0
     return skip
@@ -65,14 +66,14 @@
     SITE[0] = options.site
     mixes = ["trentvale", "atlas", "varied"] if options.mix == "all" else [options.mix]
     work = [(seed, mixes[seed % len(mixes)]) for seed in range(options.first, options.last + 1)]
-    count, broken, nevers = collections.Counter(), [], collections.Counter()
+    count, broken, properties = collections.Counter(), [], collections.Counter()
     worst = [0, 0, 0]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        for (seed, mix), (steps, why, text) in zip(work, pool.map(lambda w: one(*w), work)):
+        for (seed, mix), (steps, why, text) in zip(work, pool.map(lambda w: run_seed(*w), work)):
             count[mix] += 1
             if why:
                 broken.append((seed, mix, steps, why))
-                nevers[never_of(why)] += 1
+                properties[property_of(why)] += 1
                 print(f"seed {seed} {mix}: {why}", flush=True)
                 continue
             total = re.search(r"(\d+) failures, (\d+) starts, (\d+) times served, worst (\d+) (\d+) (\d+)", text)
@@ -82,14 +83,14 @@
     if options.shrink:
         for seed, mix, steps, why in broken:
             skip = shrink(seed, mix, steps, why)
-            steps, why, text = one(seed, mix, skip, loud=True)
+            steps, why, text = run_seed(seed, mix, skip, verbose=True)
             print(f"\nseed {seed} {mix} --skip {','.join(map(str, sorted(skip)))}\n{why}")
             print("\n".join(line for line in text.splitlines() if line.startswith("  ")))
     print(", ".join(f"{mix} {count[mix]}" for mix in mixes) + f" seeds; {len(broken)} broke; {count['failures']} failures "
-          f"brought about, {count['starts']} starts, an entry had to serve {count['served']} times; "
+          f"injected, {count['starts']} starts, an entry point had to serve {count['served']} times; "
           f"worst first acceptance {worst[0]}, status {worst[1]}, start {worst[2]} ms")
-    for never, times in nevers.most_common():
-        print(f"  {times} x {never}")
+    for name, times in properties.most_common():
+        print(f"  {times} x {name}")
     return 1 if broken else 0
 
 
