--- a/tests/cases.c
+++ b/tests/cases.c
@@ -1,11 +1,11 @@
-/* Linked into every test program: which of its cases run.
+/* Linked into every test program: selects the test cases to run.
  *
- *     test-NAME                 all
- *     test-NAME --only A,B      these; one that is not there is a failure
- *     test-NAME --but A,B       all others
+ *     test-NAME                 run all cases
+ *     test-NAME --only A,B      run these cases; a case that does not exist is an error
+ *     test-NAME --but A,B       run all other cases
  *
- * So that a long program is many tests for ctest, which runs them side by side.
- * The linker puts this in the place of cmocka's runner of groups. */
+ * With this, ctest can run the cases of a long program as separate tests in parallel.
+ * The linker replaces cmocka's group runner with this one (--wrap). */
 #include <errno.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -25,8 +25,9 @@
 int __wrap__cmocka_run_group_tests(const char *group, const struct CMUnitTest *tests, size_t count, Fixture setup,
                                    Fixture teardown);
 
-/* The arguments as the kernel keeps them: main of a test program takes none. */
-static size_t arguments(char *text, size_t size)
+/* Reads the arguments of the program, a zero byte after each, from /proc, because main of a test program takes none.
+ * Returns the number of bytes read. */
+static size_t read_arguments(char *text, size_t size)
 {
     FILE *file = fopen("/proc/self/cmdline", "r");
     const size_t got = file != NULL ? fread(text, 1, size - 1, file) : 0;
@@ -36,8 +37,8 @@
     return got;
 }
 
-/* Whether name is one of the list's, which are parted by commas. */
-static bool listed(const char *list, const char *name)
+/* Returns whether the comma-separated list contains the name. */
+static bool list_contains(const char *list, const char *name)
 {
     const size_t length = strlen(name);
     for (const char *at = list; (at = strstr(at, name)) != NULL; at += length)
@@ -50,26 +51,26 @@
                                    Fixture teardown)
 {
     char text[16384];
-    const size_t got = arguments(text, sizeof(text));
-    const char *flag = text + strlen(text) + 1;
-    if (flag >= text + got)
+    const size_t got = read_arguments(text, sizeof(text));
+    const char *option = text + strlen(text) + 1;
+    if (option >= text + got)
         return __real__cmocka_run_group_tests(group, tests, count, setup, teardown);
-    const char *list = flag + strlen(flag) + 1;
-    const bool only = strcmp(flag, "--only") == 0;
-    if (list >= text + got || (!only && strcmp(flag, "--but") != 0)) {
+    const char *list = option + strlen(option) + 1;
+    const bool only = strcmp(option, "--only") == 0;
+    if (list >= text + got || (!only && strcmp(option, "--but") != 0)) {
         fprintf(stderr, "usage: %s [--only CASE,CASE | --but CASE,CASE]\n", text);
         return 2;
     }
     struct CMUnitTest *chosen = calloc(count + 1, sizeof(*chosen));
-    size_t chosen_count = 0, wanted = 1;
+    size_t chosen_count = 0, listed_count = 1;
     for (size_t i = 0; chosen != NULL && i < count; i++)
-        if (listed(list, tests[i].name) == only)
+        if (list_contains(list, tests[i].name) == only)
             chosen[chosen_count++] = tests[i];
     for (const char *at = list; (at = strchr(at, ',')) != NULL; at++)
-        wanted++;
+        listed_count++;
     int code = 0;
-    if (chosen == NULL || (only && chosen_count != wanted)) {
-        fprintf(stderr, "%s: not all of %s are there\n", group, list);
+    if (chosen == NULL || (only && chosen_count != listed_count)) {
+        fprintf(stderr, "%s: not all of the cases %s exist\n", group, list);
         code = 2;
     } else if (chosen_count > 0) {
         code = __real__cmocka_run_group_tests(group, chosen, chosen_count, setup, teardown);
--- a/tests/doc_names.py
+++ b/tests/doc_names.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""scripts/doc_names.py passes pages that name what is there, and reports each kind of wrong name.
+"""Tests that scripts/doc_names.py accepts pages whose names all exist, and reports each kind of wrong name.
 
-It looks at the tree that it lies in: here a small one, with one page.
+The script checks the tree that contains it; the test copies it to a small tree with one page.
 """
 import os
 import re
@@ -30,8 +30,8 @@
 
     build/test-timelines --only zone_off
 """
-WRONG = (  # text of the page, the name that is reported
-    ("`lock_steal`", "lock_steal"),  # in a comment alone
+WRONG = (  # text on the page, name that must be reported
+    ("`lock_steal`", "lock_steal"),  # occurs only in a comment
     ("`LOCK_HOLD_MS`", "LOCK_HOLD_MS"),
     ("`lockRenew`", "lockRenew"),
     ("by lockRenew", "lockRenew"),
@@ -62,7 +62,7 @@
 
 
 def reported(root, page):
-    """Names that are reported for the page README.md, and for any other."""
+    """Writes the text to README.md and returns the names that the script reports for any page."""
     write(root, "README.md", "# Page\n\n" + page + "\n")
     command = [sys.executable, os.path.join(root, "scripts/doc_names.py")]
     lines = subprocess.run(command, capture_output=True, text=True, check=False).stderr.split("\n")
@@ -77,14 +77,14 @@
             write(root, path, text)
         os.makedirs(os.path.join(root, "scripts"))
         shutil.copy(os.path.join(ROOT, "scripts/doc_names.py"), os.path.join(root, "scripts"))
-        bad = [f"a right page is refused: {names}" for names in [reported(root, GOOD)] if names]
+        errors = [f"a correct page is reported: {names}" for names in [reported(root, GOOD)] if names]
         for text, name in WRONG:
             names = reported(root, GOOD.replace("\n\n", f" {text}\n\n") if not text.startswith("\n") else GOOD + text)
             if set(names) != {name}:
-                bad.append(f"{text.strip()}: reported {names}, not {name}")
-    for each in bad:
+                errors.append(f"{text.strip()}: reported {names}, expected {name}")
+    for each in errors:
         print("tests/doc_names.py:", each, file=sys.stderr)
-    sys.exit(1 if bad else 0)
+    sys.exit(1 if errors else 0)
 
 
 if __name__ == "__main__":
--- a/tests/embed.py
+++ b/tests/embed.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Installs libspancart into a folder, builds the example against it by its
-pkg-config file alone, runs three processes of it, kills the lock's holder, and
-checks that all deliver one order."""
+"""Test of embedding libspancart: installs the library, builds the example with nothing
+but its pkg-config file, runs three processes of the example, kills the holder of the
+lock, and checks that all processes deliver the same changes in the same order."""
 import os
 import signal
 import subprocess
@@ -20,13 +20,13 @@
         return [tuple(map(int, line.split())) for line in file if line.endswith("\n")]
 
 
-def wait(what, test, seconds=60):
+def wait_until(what, test, seconds=60):
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         if test():
             return
         time.sleep(0.1)
-    raise SystemExit(f"0 passed, 1 failed\nnot in time: {what}")
+    raise SystemExit(f"0 passed, 1 failed\ntimeout after {seconds} s: {what}")
 
 
 with tempfile.TemporaryDirectory() as folder:
@@ -38,33 +38,33 @@
     subprocess.run(["cc", "-std=gnu11", "-Wall", "-Wextra", "-Werror", "-o", counter,
                     os.path.join(SOURCE, "examples", "counter.c")] + flags, check=True)
     listen = [f"127.0.0.1:{port}" for port in free_ports(3)]
-    outs = [os.path.join(folder, f"out{i}") for i in range(3)]
+    output_paths = [os.path.join(folder, f"out{i}") for i in range(3)]
     children = []
     try:
         for i in range(3):
-            with open(outs[i], "w") as out:
+            with open(output_paths[i], "w") as out:
                 children.append(subprocess.Popen(
                     [counter, f"c{i}", listen[i], ",".join(listen), os.path.join(folder, f"d{i}")], stdout=out))
-        wait("all count", lambda: all(len(rows(out)) >= 10 for out in outs))
-        wait("two are live", lambda: rows(outs[0])[-1][2] == 2)
-        # the holder is the one that is ahead of the others; kill each in turn would do as well
-        lengths = [len(rows(out)) for out in outs]
+        wait_until("all processes deliver changes", lambda: all(len(rows(out)) >= 10 for out in output_paths))
+        wait_until("the holder counts two processes as live", lambda: rows(output_paths[0])[-1][2] == 2)
+        # The holder is usually ahead of the others; the checks hold whichever process is killed.
+        lengths = [len(rows(out)) for out in output_paths]
         victim = lengths.index(max(lengths))
         children[victim].send_signal(signal.SIGKILL)
         children[victim].wait()
-        left = [out for i, out in enumerate(outs) if i != victim]
+        left = [out for i, out in enumerate(output_paths) if i != victim]
         before = [len(rows(out)) for out in left]
-        wait("the others go on", lambda: all(len(rows(out)) >= n + 10 for out, n in zip(left, before)))
+        wait_until("the other processes continue", lambda: all(len(rows(out)) >= n + 10 for out, n in zip(left, before)))
     finally:
         for child in children:
             if child.poll() is None:
                 child.terminate()
         for child in children:
             child.wait(timeout=20)
-    orders = [[row[:2] for row in rows(out)] for out in outs]
+    orders = [[row[:2] for row in rows(out)] for out in output_paths]
     longest = max(orders, key=len)
     for order in orders:
-        assert order == longest[:len(order)], "two orders"
+        assert order == longest[:len(order)], "two processes delivered different orders"
     sums = [row[1] for row in longest]
-    assert sums == list(range(1, len(sums) + 1)), "an addition was lost or came twice"
-    print(f"{len(sums)} additions, one order\n1 passed, 0 failed")
+    assert sums == list(range(1, len(sums) + 1)), "an addition was lost or delivered twice"
+    print(f"{len(sums)} additions, delivered in one order\n1 passed, 0 failed")
--- a/tests/same_objects.py
+++ b/tests/same_objects.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""scripts/same_objects.py passes what only renames or only moves, and finds each kind of change.
+"""Tests that scripts/same_objects.py accepts pure renames and moves, and finds each kind of change.
 
-Two small trees of C files are compiled as it says (--print-flags) and compared as folders of objects.
+Two small trees of C files are compiled with its flags (--print-flags) and compared as folders of objects.
 """
 import functools
 import os
@@ -14,7 +14,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 SCRIPT = os.path.join(ROOT, "scripts/same_objects.py")
-COUNT = """
+COUNT_SOURCE = """
 #include <assert.h>
 typedef struct { int lowCount; int highCount; } Counter;
 int counterLow(const Counter *counter);
@@ -41,7 +41,7 @@
     return 1234;
 }
 """
-SHOW = """
+SHOW_SOURCE = """
 #include <assert.h>
 #include <stdio.h>
 typedef struct { int lowCount; int highCount; } Counter;
@@ -62,7 +62,7 @@
     return counterHigh(counter);
 }
 """
-TEST = """
+TEST_SOURCE = """
 typedef struct { const char *name; void (*run)(void **state); } Case;
 extern const Case CASES[];
 static volatile int seen;
@@ -70,8 +70,8 @@
 static void otherCase(void **state) { (void)state; seen = 2; }
 const Case CASES[] = {{"firstCase", firstCase}, {"otherCase", otherCase}};
 """
-# a type that talloc and a shape's table name, with a key, a message and a note that also have words of it
-KEEP = """
+# A type that is named to talloc and in a shape's table, with a key, a message and a note that contain the same words
+TALLOC_SOURCE = """
 #include <stddef.h>
 #include <stdio.h>
 typedef struct ShapeField { const char *name; int kind; size_t offset, count_offset; const void *of; } ShapeField;
@@ -100,7 +100,7 @@
     return kept;
 }
 """
-OTHER = """
+OTHER_SOURCE = """
 #include <stddef.h>
 #define NAME(name) #name
 typedef struct Keeper { int size; } Keeper;
@@ -111,11 +111,11 @@
     return _talloc_zero(mem, sizeof(Keeper), NAME(Keeper));
 }
 """
-KEEPING = {"keep.c": KEEP, "other.c": OTHER}
-LOW = "int counterLow(const Counter *counter)\n{"
-HIGH = "int counterHigh(const Counter *counter)\n{"
-BEGIN = {"count.c": COUNT, "show.c": SHOW, "test/cases.c": TEST}
-# NAME, what is replaced in which file (all: in each), what the finding says
+TALLOC_FILES = {"keep.c": TALLOC_SOURCE, "other.c": OTHER_SOURCE}
+LOW_HEAD = "int counterLow(const Counter *counter)\n{"
+HIGH_HEAD = "int counterHigh(const Counter *counter)\n{"
+OLD_FILES = {"count.c": COUNT_SOURCE, "show.c": SHOW_SOURCE, "test/cases.c": TEST_SOURCE}
+# Name, file (empty: all files), old text, new text; these must pass
 RENAMES = [
     ("function", "", "counterLow", "counter_low"),
     ("both functions", "", "counter", "gauge"),
@@ -126,6 +126,7 @@
     ("text and line of an assertion", "", "assert(", "\n\nassert(0 || "),
     ("test with its name", "test/cases.c", "firstCase", "first_case"),
 ]
+# Name, file, old text, new text, text that the output must contain; these must be found
 CHANGES = [
     ("constant", "count.c", "return 99", "return 98", "counterHigh"),
     ("constant in a table", "count.c", "{3, 5, 7}", "{3, 5, 8}", "WEIGHTS"),
@@ -145,14 +146,14 @@
     ("name of a test alone", "test/cases.c", '"firstCase"', '"first_case"', "first_case"),
     ("names of tests swapped", "test/cases.c", '"firstCase", firstCase', '"firstCase", otherCase', "firstCase"),
 ]
-# NAME, what is replaced (patterns) in which file (all: in each); these pass with --identifiers, and only with it
+# Name, file (empty: all files), replaced patterns; these must pass with --identifiers, and only with it
 IDENTIFIERS = [
     ("named type", "", [("Keeper", "Store")]),
     ("named field", "keep.c", [(r'(?<!")\broom\b(?! %)', "capacity")]),
     ("named type and field", "", [("Keeper", "Store"), (r'(?<!")\broom\b(?! %)', "capacity")]),
 ]
-# these fail also with it: what the finding says
-NO_IDENTIFIERS = [
+# The same and the text that the output must contain; these must be found with --identifiers, too
+NOT_IDENTIFIERS = [
     ("key", "keep.c", [('"room"', '"capacity"')], "b'room' -> b'capacity'"),
     ("key and field", "keep.c", [(r"\broom\b(?! %)", "capacity")], "b'room' -> b'capacity'"),
     ("key that is a type's name", "keep.c", [('"room"', '"Keeper"')], "keep.c.o"),
@@ -170,7 +171,7 @@
 
 @functools.cache
 def flags(way):
-    """The compiler's flags, and the folder of headers that they name."""
+    """Returns the compiler flags of a comparison (renamed, moved or merged), and writes the headers that they name."""
     shim = os.path.join(SCRATCH.name, "shim")
     level = {"renamed": [], "moved": ["--moved"], "merged": ["--level", "O0-merged"]}[way]
     printed = subprocess.run([SCRIPT, *level, "--print-flags", shim], check=True, capture_output=True, text=True)
@@ -187,7 +188,7 @@
 
 
 def build(name, files, way="renamed"):
-    """A folder with the objects of files, and these beside them; one that is there, when none are given."""
+    """Returns a folder with the sources and their objects; with no files, the folder that an earlier call made."""
     folder = os.path.join(SCRATCH.name, f"{name.replace(' ', '-')}-{way}")
     for path, text in files.items():
         path = os.path.join(folder, path + ".o")
@@ -198,135 +199,140 @@
     return folder
 
 
-def check(name, old, new, good, says=None, more=()):
+def check(name, old, new, good, expected_text=None, more=()):
     run = subprocess.run([SCRIPT, "--folders", *more, old, new], capture_output=True, text=True)
-    if (run.returncode == 0) != good or (says and says not in run.stdout) or run.stderr:
+    if (run.returncode == 0) != good or (expected_text and expected_text not in run.stdout) or run.stderr:
         global failed
         failed += 1
-        print(f"{name}: exit {run.returncode}, expected {'0' if good else 'another'} and {says}\n{run.stdout}{run.stderr}")
+        print(f"{name}: exit code {run.returncode}, expected {'0' if good else 'not 0'} and the text {expected_text}\n"
+              f"{run.stdout}{run.stderr}")
 
 
 def changed(name, which, old, new):
-    files = {path: text.replace(old, new) if which in ("", path) else text for path, text in BEGIN.items()}
-    if files == BEGIN:
-        sys.exit(f"{name}: {old} stands nowhere")
+    files = {path: text.replace(old, new) if which in ("", path) else text for path, text in OLD_FILES.items()}
+    if files == OLD_FILES:
+        sys.exit(f"{name}: {old} does not occur in the sources")
     return files
 
 
-def renamed(begin):
-    check("nothing", begin, begin, True, "3 objects, 3 the same")
+def test_renamed(base):
+    check("nothing", base, base, True, "3 objects, 3 the same")
     for name, which, old, new in RENAMES:
-        check(name, begin, build(name, changed(name, which, old, new)), True)
-    for name, which, old, new, says in CHANGES:
-        check(name, begin, build(name, changed(name, which, old, new)), False, says)
-    check("table of symbols", begin, build("function", changed(*RENAMES[0])), True, "counterLow\tcounter_low",
+        check(name, base, build(name, changed(name, which, old, new)), True)
+    for name, which, old, new, expected_text in CHANGES:
+        check(name, base, build(name, changed(name, which, old, new)), False, expected_text)
+    check("table of symbols", base, build("function", changed(*RENAMES[0])), True, "counterLow\tcounter_low",
           ["--symbols"])
-    less = {name: text for name, text in BEGIN.items() if name != "count.c"}
-    check("object gone", begin, build("less", less), False, "count.c.o: gone")
-    joined = {name: text.replace("counterHigh", "counterLow") for name, text in BEGIN.items()}
-    joined["count.c"] = COUNT
-    check("two names become one", begin, build("joined", joined), False, "counterLow")
+    less = {name: text for name, text in OLD_FILES.items() if name != "count.c"}
+    check("object gone", base, build("less", less), False, "count.c.o: gone")
+    joined = {name: text.replace("counterHigh", "counterLow") for name, text in OLD_FILES.items()}
+    joined["count.c"] = COUNT_SOURCE
+    check("two names become one", base, build("joined", joined), False, "counterLow")
 
 
-def reordered(begin):
-    at, end = COUNT.index(LOW), COUNT.index(HIGH)
-    files = {**BEGIN, "count.c": COUNT[:at] + COUNT[end:] + COUNT[at:end]}
-    check("order", begin, build("order", files), True)
+def test_reordered(base):
+    at, end = COUNT_SOURCE.index(LOW_HEAD), COUNT_SOURCE.index(HIGH_HEAD)
+    files = {**OLD_FILES, "count.c": COUNT_SOURCE[:at] + COUNT_SOURCE[end:] + COUNT_SOURCE[at:end]}
+    check("order", base, build("order", files), True)
     files["count.c"] = files["count.c"].replace("return 99", "return 98")
-    check("order and a constant", begin, build("order and constant", files), False, "counterHigh")
+    check("order and a constant", base, build("order and constant", files), False, "counterHigh")
 
 
-def permitted(begin):
-    """A string that is permitted to change passes, and no other."""
+def test_permitted(base):
+    """Tests that listed string changes are permitted, and no others."""
     listed = os.path.join(SCRATCH.name, "permitted.txt")
-    other = build("permitted", {**BEGIN, "show.c": SHOW.replace("ratio %g", "Ratio %g")})
+    other = build("permitted", {**OLD_FILES, "show.c": SHOW_SOURCE.replace("ratio %g", "Ratio %g")})
     for old, new, good in ((r"ratio %g\n", r"Ratio %g\n", True), (r"ratio %g\n", r"RATIO %g\n", False)):
         with open(listed, "w") as file:
             file.write(f"{old}\t{new}\n")
-        check("permitted string", begin, other, good, "Ratio", ["--strings", listed])
+        check("permitted string", base, other, good, "Ratio", ["--strings", listed])
 
 
-def substituted(which, patterns, begin):
-    files = dict(begin)
+def substituted(which, patterns, base):
+    files = dict(base)
     for pattern, new in patterns:
         before = dict(files)
         files = {path: re.sub(pattern, new, text) if which in ("", path) else text for path, text in files.items()}
         if files == before:
-            sys.exit(f"{pattern} stands nowhere")
+            sys.exit(f"{pattern} does not occur in the sources")
     return files
 
 
-def identifiers():
-    """Names of types and fields pass with --identifiers where talloc or a shape's table has them, nothing else."""
-    begin = build("keeping", KEEPING)
-    check("no identifiers", begin, begin, True, "strings of renamed types: 0 names in 0 places", ["--identifiers"])
+def test_identifiers():
+    """Tests that --identifiers permits changed names of types and fields in calls of talloc and in shapes, and
+    nothing else."""
+    base = build("keeping", TALLOC_FILES)
+    check("no identifiers", base, base, True, "strings of renamed types: 0 names in 0 places", ["--identifiers"])
     for name, which, patterns in IDENTIFIERS:
-        other = build(name, substituted(which, patterns, KEEPING))
-        check(name, begin, other, True, "2 objects, 2 the same", ["--identifiers"])
-        check(name + " without the option", begin, other, False)
-    check("table of identifiers", begin, build("named type", {}), True, "type\tKeeper\tStore\t3",
+        other = build(name, substituted(which, patterns, TALLOC_FILES))
+        check(name, base, other, True, "2 objects, 2 the same", ["--identifiers"])
+        check(name + " without the option", base, other, False)
+    check("table of identifiers", base, build("named type", {}), True, "type\tKeeper\tStore\t3",
           ["--identifiers", "--symbols"])
-    check("table of fields", begin, build("named field", {}), True, "field\troom\tcapacity\t1",
+    check("table of fields", base, build("named field", {}), True, "field\troom\tcapacity\t1",
           ["--identifiers", "--symbols"])
-    for name, which, patterns, says in NO_IDENTIFIERS:
-        other = build("no " + name.replace("'", ""), substituted(which, patterns, KEEPING))
-        check(name, begin, other, False, says, ["--identifiers"])
-    # a type's name that is noted as well, and one that a literal spells, were there before
-    for name, pattern, says in (("noted type", "note(NAME(Keeper))", "b'Keeper' -> b'Store'"),
-                                ("spelled type", 'note("Keeper")', "also a string literal")):
-        files = {**KEEPING, "keep.c": KEEP.replace('note("kept")', pattern)}
+    for name, which, patterns, expected_text in NOT_IDENTIFIERS:
+        other = build("no " + name.replace("'", ""), substituted(which, patterns, TALLOC_FILES))
+        check(name, base, other, False, expected_text, ["--identifiers"])
+    # the name of the type is also passed to note(): once made by the macro, once as a literal
+    for name, pattern, expected_text in (("noted type", "note(NAME(Keeper))", "b'Keeper' -> b'Store'"),
+                                         ("spelled type", 'note("Keeper")', "also a string literal")):
+        files = {**TALLOC_FILES, "keep.c": TALLOC_SOURCE.replace('note("kept")', pattern)}
         other = substituted("", [('(?<!")Keeper', "Store")], files)
-        check(name, build(name, files), build(name + " after", other), False, says, ["--identifiers"])
-    two = {"keep.c": KEEP.replace("Keeper", "Store"), "other.c": OTHER.replace("Keeper", "Shop")}
-    check("one type gets two names", begin, build("two names", two), False, "elsewhere", ["--identifiers"])
-    check("two types get one name", build("two names", {}), begin, False, "elsewhere", ["--identifiers"])
-    one = {**KEEPING, "other.c": two["other.c"]}
-    check("one of two types of a name", begin, build("one name", one), True, "another one keeps the name Keeper: 2 places",
+        check(name, build(name, files), build(name + " after", other), False, expected_text, ["--identifiers"])
+    two = {"keep.c": TALLOC_SOURCE.replace("Keeper", "Store"), "other.c": OTHER_SOURCE.replace("Keeper", "Shop")}
+    check("one type gets two names", base, build("two names", two), False, "elsewhere", ["--identifiers"])
+    check("two types get one name", build("two names", {}), base, False, "elsewhere", ["--identifiers"])
+    one = {**TALLOC_FILES, "other.c": two["other.c"]}
+    check("one of two types of a name", base, build("one name", one), True, "another one keeps the name Keeper: 2 places",
           ["--identifiers"])
-    check("name that another one has", build("one name", {}), begin, True, "as another one is called before and after",
+    check("name that another one has", build("one name", {}), base, True, "as another one is called before and after",
           ["--identifiers"])
-    # in a loop the string is kept in a register over the calls, which only -O0 tells from one that is used otherwise
+    # In a loop the compiler keeps the string in a register for all calls; only -O0 shows that talloc alone gets it.
     again = "    for (int i = 0; i < 9; i++)\n        note(_talloc_zero(mem, 1, NAME(Keeper)));\n"
-    files = {**KEEPING, "keep.c": KEEP.replace('    note("kept");\n', again)}
+    files = {**TALLOC_FILES, "keep.c": TALLOC_SOURCE.replace('    note("kept");\n', again)}
     other = substituted("", [("Keeper", "Store")], files)
-    for way, good, says in (("renamed", False, "b'Keeper' -> b'Store'"), ("merged", True, "2 objects, 2 the same")):
-        check("kept for several calls", build("loop", files, way), build("loop after", other, way), good, says,
+    for way, good, expected_text in (("renamed", False, "b'Keeper' -> b'Store'"),
+                                     ("merged", True, "2 objects, 2 the same")):
+        check("kept for several calls", build("loop", files, way), build("loop after", other, way), good, expected_text,
               ["--identifiers"])
-    files = {**KEEPING, "keep.c": KEEP.replace('note("kept")', "note(NAME(Keeper))")}
+    files = {**TALLOC_FILES, "keep.c": TALLOC_SOURCE.replace('note("kept")', "note(NAME(Keeper))")}
     other = substituted("", [("Keeper", "Store")], files)
     check("noted type, strings merged", build("noted type", files, "merged"), build("noted type after", other, "merged"), False,
           "b'Keeper' -> b'Store'", ["--identifiers"])
-    for name, which, old, new, says in CHANGES:
-        check(name + " with --identifiers", build("begin", {}), build(name, {}), False, says, ["--identifiers"])
+    for name, which, old, new, expected_text in CHANGES:
+        check(name + " with --identifiers", build("begin", {}), build(name, {}), False, expected_text, ["--identifiers"])
 
 
-def moved():
-    begin = build("begin", BEGIN, "moved")
-    check("nothing moved", begin, begin, True, "the same (0 of them in other files)", ["--moved"])
-    head = COUNT[:COUNT.index("static const int WEIGHTS")] + "int weigh(const Counter *counter, int at);\n"
-    part = COUNT[COUNT.index("static const int WEIGHTS"):COUNT.index(LOW)].replace("static __attribute__((noinline)) ", "")
-    files = {**BEGIN, "count.c": head + COUNT[COUNT.index(LOW):], "weigh.c": head + part}
-    check("moved", begin, build("parts", files, "moved"), True, "the same (2 of them in other files)", ["--moved"])
-    for name, old, new, says in (("moved and changed", "lowCount * WEIGHTS", "lowCount + WEIGHTS", "changed: function weigh"),
-                                 ("moved with another table", "{3, 5, 7}", "{3, 5, 8}", "changed: rodata WEIGHTS"),
-                                 ("moved and renamed", "weigh", "weight", "gone: function weigh")):
+def test_moved():
+    base = build("begin", OLD_FILES, "moved")
+    check("nothing moved", base, base, True, "the same (0 of them in other files)", ["--moved"])
+    head = COUNT_SOURCE[:COUNT_SOURCE.index("static const int WEIGHTS")] + "int weigh(const Counter *counter, int at);\n"
+    part = COUNT_SOURCE[COUNT_SOURCE.index("static const int WEIGHTS"):COUNT_SOURCE.index(LOW_HEAD)].replace(
+        "static __attribute__((noinline)) ", "")
+    files = {**OLD_FILES, "count.c": head + COUNT_SOURCE[COUNT_SOURCE.index(LOW_HEAD):], "weigh.c": head + part}
+    check("moved", base, build("parts", files, "moved"), True, "the same (2 of them in other files)", ["--moved"])
+    for name, old, new, expected_text in (
+            ("moved and changed", "lowCount * WEIGHTS", "lowCount + WEIGHTS", "changed: function weigh"),
+            ("moved with another table", "{3, 5, 7}", "{3, 5, 8}", "changed: rodata WEIGHTS"),
+            ("moved and renamed", "weigh", "weight", "gone: function weigh")):
         other = {path: text.replace(old, new) if path in ("count.c", "weigh.c") else text for path, text in files.items()}
-        check(name, begin, build(name, other, "moved"), False, says, ["--moved"])
+        check(name, base, build(name, other, "moved"), False, expected_text, ["--moved"])
     for name, which, old, new, _ in CHANGES:
-        if name != "linkage":  # a static one that becomes global is what a move may do
+        if name != "linkage":  # a move may make a static name global
             where = build(name, changed(name, which, old, new), "moved")
-            check("--moved: " + name, begin, where, False, "changed: ", ["--moved"])
+            check("--moved: " + name, base, where, False, "changed: ", ["--moved"])
 
 
 def main():
-    begin = build("begin", BEGIN)
-    renamed(begin)
-    reordered(begin)
-    permitted(begin)
-    identifiers()
-    moved()
+    base = build("begin", OLD_FILES)
+    test_renamed(base)
+    test_reordered(base)
+    test_permitted(base)
+    test_identifiers()
+    test_moved()
     if not failed:
-        print(f"{len(RENAMES) + len(IDENTIFIERS)} renames pass, {len(CHANGES) + len(NO_IDENTIFIERS) + 2} changes are found")
+        print(f"{len(RENAMES) + len(IDENTIFIERS)} renames accepted, {len(CHANGES) + len(NOT_IDENTIFIERS) + 2} changes found")
     SCRATCH.cleanup()
     sys.exit(1 if failed else 0)
 
