--- a/examples/counter.c
+++ b/examples/counter.c
@@ -1,11 +1,12 @@
-/* libspancart embedded: three processes that agree on one counter.
+/* Example of embedding libspancart: three processes replicate one counter.
  *
  *     counter NAME LISTEN SEED,SEED,SEED FOLDER
  *
- * The lock's holder adds one a few times a second; every process delivers the
- * same additions in the same order. The others heartbeat to the holder, which keeps
- * a liveset of them. Each addition delivered is a line on standard output:
- * index, sum, and how many the holder held live when it added. */
+ * The holder of the lock adds one to the counter every ADD_INTERVAL_MS; all processes
+ * deliver the same additions in the same order. The other processes send heartbeats to
+ * the holder, which keeps their live set. Each process prints a line for each delivered
+ * addition: the index of its entry, the sum, and the number of processes that the holder
+ * counted as ready when it added. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -15,8 +16,8 @@
 #include <loop/real.h>
 #include <replication/replication.h>
 
-#define CHANGE_PLUS REPLICATION_CHANGE_FIRST
-#define PLUS_MS 200
+#define CHANGE_ADD REPLICATION_CHANGE_FIRST
+#define ADD_INTERVAL_MS 200
 
 typedef struct Counter {
     Loop *loop;
@@ -27,16 +28,16 @@
     Members *members;
     Replication *replication;
     Liveset *liveset;
-    uint64_t sum; /* the state */
-    uint64_t heartbeats;
+    uint64_t sum;        /* the replicated state */
+    uint64_t heartbeats; /* number of heartbeats sent */
 } Counter;
 
-/* --- the state: what deliver, save and load know ----------------------------- */
+/* --- replicated state: delivery of changes, and its snapshot ----------------- */
 
 static void deliver(void *arg, const Record *change, ChangeResult *result)
 {
     Counter *counter = arg;
-    if (change->change != CHANGE_PLUS || change->payload.count != 1)
+    if (change->change != CHANGE_ADD || change->payload.count != 1)
         return;
     counter->sum++;
     result->number = counter->sum;
@@ -61,7 +62,7 @@
     return saved.count == 0 || saved.count == sizeof(counter->sum) ? STATUS_OK : STATUS_BAD_FRAME;
 }
 
-/* --- liveset: heartbeats and holds --------------------------------------------------- */
+/* --- live set: heartbeats and leases ------------------------------------------------- */
 
 static Status on_heartbeat(void *arg, void *mem, const void *ask, void *answer)
 {
@@ -98,7 +99,7 @@
     }
 }
 
-static size_t live(const Counter *counter, void *mem)
+static size_t count_ready(const Counter *counter, void *mem)
 {
     const LiveRow **rows;
     const size_t count = liveset_rows(counter->liveset, mem, &rows);
@@ -108,29 +109,29 @@
     return ready;
 }
 
-static void on_opened(void *arg, uint64_t term, bool new_holder, bool repair)
+static void on_term_opened(void *arg, uint64_t term, bool new_holder, bool repair)
 {
     Counter *counter = arg;
     (void)term;
     (void)repair;
-    if (new_holder) /* no process counts as lost before every lease of the last holder has lapsed */
+    if (new_holder) /* no process counts as lost before all leases that the previous holder granted have lapsed */
         liveset_reset(counter->liveset,
                       replication_lease_won_ms(counter->replication) + AGENT_LEASE_MS + LEASE_SLACK_MS, NULL, 0);
 }
 
-/* --- ordered delivery ------------------------------------------------------------- */
+/* --- submission of changes, and start ---------------------------------------------- */
 
-static void plus_main(void *arg)
+static void add_main(void *arg)
 {
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
-        loop_sleep(counter->loop, PLUS_MS);
+        loop_sleep(counter->loop, ADD_INTERVAL_MS);
         if (!replication_leading(counter->replication))
             continue;
         void *mem = talloc_new(counter);
-        uint8_t others = (uint8_t)live(counter, mem);
+        uint8_t ready_count = (uint8_t)count_ready(counter, mem);
         ChangeResult result;
-        replication_submit(counter->replication, CHANGE_PLUS, (Bytes){&others, 1, 0}, &result);
+        replication_submit(counter->replication, CHANGE_ADD, (Bytes){&ready_count, 1, 0}, &result);
         talloc_free(mem);
     }
 }
@@ -144,9 +145,9 @@
                                           .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->recorder),
                                           .recorder = counter->recorder,
                                           .state = {counter, deliver, save, load},
-                                          .opened = on_opened,
-                                          .opened_arg = counter,
-                                          .founds = FOUNDING_BY_THREE_DISKS};
+                                          .term_opened = on_term_opened,
+                                          .term_opened_arg = counter,
+                                          .founding_mode = FOUNDING_BY_THREE_DISKS};
     counter->liveset = liveset_new(counter);
     counter->replication = replication_new(counter, &settings);
     if (replication_open_disk(counter->replication, talloc_asprintf(counter, "%s/journal", counter->folder),
@@ -172,10 +173,10 @@
     members_start(counter->members);
     replication_found_start(counter->replication);
     loop_spawn(counter->loop, "beat", heartbeat_main, counter);
-    loop_spawn(counter->loop, "plus", plus_main, counter);
+    loop_spawn(counter->loop, "add", add_main, counter);
 }
 
-static void term_main(void *arg)
+static void stop_main(void *arg)
 {
     Counter *counter = arg;
     replication_step_down(counter->replication, INT32_MAX);
@@ -197,12 +198,12 @@
     char *at = argv[3];
     for (int i = 0; i < SEEDS; i++)
         if ((counter->seeds[i] = strsep(&at, ",")) == NULL || !real_address_valid(counter->seeds[i])) {
-            fprintf(stderr, "counter: three seed addresses are needed\n");
+            fprintf(stderr, "counter: SEED,SEED,SEED must be three addresses (IP:PORT)\n");
             return 2;
         }
     counter->loop = real_loop_new(mem);
     counter->recorder = recorder_new(mem, counter->name);
     loop_spawn(counter->loop, "start", start_main, counter);
-    real_loop_run(counter->loop, term_main, counter);
+    real_loop_run(counter->loop, stop_main, counter);
     return 0;
 }
