--- a/packages/packages.cmake
+++ b/packages/packages.cmake
@@ -122,7 +122,7 @@
 spancart_test(traces sim)
 spancart_cases(serving 10 sim)
 if(SPANCART_TESTS)
-  # it compares a log in memory with the one on disk
+  # these tests use internal headers, to compare the log in memory with the log on disk
   target_include_directories(test-commit PRIVATE packages/replication/src)
   target_include_directories(test-disk_state PRIVATE packages/replication/src)
   target_include_directories(test-catch_up PRIVATE packages/replication/src)
@@ -132,7 +132,7 @@
   target_include_directories(test-learners PRIVATE packages/replication/src)
   target_include_directories(test-old_disk PRIVATE packages/replication/src packages/sim/test)
   target_include_directories(test-old_state PRIVATE packages/replication/src packages/sim/test packages/replication/test)
-  set_tests_properties(old_disk old_state PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # where its fixtures are
+  set_tests_properties(old_disk old_state PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # they read fixtures from the source tree
   set_tests_properties(log_event PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # it reads docs/oncall.md
 endif()
 spancart_cases(resends 10 sim)
