--- a/packages/packages.cmake
+++ b/packages/packages.cmake
@@ -132,7 +132,7 @@
   target_include_directories(test-learners PRIVATE packages/replication/src)
   target_include_directories(test-old_disk PRIVATE packages/replication/src packages/sim/test)
   target_include_directories(test-old_state PRIVATE packages/replication/src packages/sim/test packages/replication/test)
-  set_tests_properties(old_disk old_state PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # they read fixtures from the source tree
-  set_tests_properties(log_event PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # it reads docs/oncall.md
+  set_tests_properties(old_disk old_state PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # the tests read fixtures there
+  set_tests_properties(log_event PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # the test reads docs/oncall.md
 endif()
 spancart_cases(resends 10 sim)
--- a/scripts/cleanbuild.py
+++ b/scripts/cleanbuild.py
@@ -105,6 +105,7 @@
 
 
 def build(work, command):
+    """Builds HEAD in the scratch folder. Returns the folder of its sources."""
     source = os.path.join(work, "source")
     os.makedirs(source)
     archive = subprocess.Popen(["git", "archive", "HEAD"], cwd=ROOT, stdout=subprocess.PIPE)
@@ -136,6 +137,7 @@
 
 
 def tools(target):
+    """Returns the paths of the build tools that cmake found and that gcc runs."""
     cache = cmake_cache(target)
     compiler = cache["CMAKE_C_COMPILER"]
     found = {cache[name] for name in CACHED_TOOLS if cache.get(name, "").startswith("/")}
@@ -212,6 +214,7 @@
 
 
 def check_packages(used, declared, verbose):
+    """Returns whether all used files belong to permitted packages, and prints those that do not."""
     packages = Packages()
     good = True
     for name in declared:
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -10,9 +10,9 @@
                                 then the leader meanwhile, stop, check every safety property
                                 --hard: freeze an agent and the leader (SIGSTOP), then kill
                                 every process at once and start it again
-                                --wide: kill an entry point, freeze another, kill the second
-                                controller, kill a whole zone and start it again, then send
-                                SIGTERM to one process of each role under load
+                                --wide: kill an entry point, freeze another, kill a controller
+                                that does not lead, kill a whole zone and start it again, then
+                                send SIGTERM to one process of each role under load
                                 --soak SEED: overlapping signals, restarts and configuration
                                 changes (soak.py)
 
@@ -34,9 +34,9 @@
 import soak
 
 ZONES = ["north", "south", "west"]
-PORTS = (10000, 32000)
+PORTS = (10000, 32000)  # range of the blocks' first ports
 PORT_BLOCK = 1000
-RESERVED_SOCKETS = []
+RESERVED_SOCKETS = []  # bound to the first port of each block, until this process ends
 HERE = os.path.dirname(os.path.abspath(__file__))
 
 
@@ -87,6 +87,7 @@
             json.dump(self.nodes, file, indent=1)
 
     def plan(self, mix, workers, gates):
+        """Assigns an address to each process and writes its settings file."""
         os.makedirs(self.folder, exist_ok=True)
         names = [("core", f"core{i + 1}", i) for i in range(3)]
         names += [("gate", f"gate{i + 1}", i) for i in range(gates)]
@@ -115,6 +116,7 @@
             self.nodes[name] = {"args": args, "http": "", "role": "worker"}
 
     def record_event(self, words):
+        """Appends an event to the record that spancart-replay checks."""
         with open(self.record, "a") as file:
             file.write(f"{now_ms()} {words}\n")
 
@@ -137,6 +139,7 @@
             return False
 
     def kill(self, name, how=signal.SIGKILL):
+        """Sends a signal to a process that is alive. SIGKILL is recorded once the process has ended."""
         if self.alive(name):
             os.kill(self.nodes[name]["pid"], how)
             if how == signal.SIGKILL:
@@ -158,6 +161,7 @@
         return None
 
     def wait_until_ready(self, workers, seconds=60):
+        """Returns the status once the live set has enough ready workers; exits if it does not in time."""
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             status = self.query("/v1/status")
@@ -236,11 +240,12 @@
 
 
 def inject_wide_failures(fleet, options):
-    """Kills and freezes entry points, kills the second controller and a whole zone; then sends SIGTERM to one process
-    of each role."""
+    """Kills an entry point, freezes another, kills a controller that does not lead and a whole zone; then sends SIGTERM
+    to one process of each role."""
     kills, killed = {}, []
 
-    def restart_later(names):
+    def restart_after_pause(names):
+        """Restarts the processes after 3 s."""
         time.sleep(3)
         for name in names:
             fleet.launch(name)
@@ -253,17 +258,17 @@
     fleet.kill("gate2", signal.SIGSTOP)
     time.sleep(3)
     fleet.kill("gate2", signal.SIGCONT)
-    restart_later(["gate1"])
+    restart_after_pause(["gate1"])
     leader = fleet.query("/v1/status")["leader"]
     second = next(name for name in ("core1", "core2", "core3") if name != leader)
     kills["second-core"] = now_ms()
     fleet.kill(second)
-    restart_later([second])
+    restart_after_pause([second])
     zone = [name for name in fleet.nodes if zone_of(name) == zone_of(leader)]
     kills["zone-of-the-leader"] = now_ms()
     for name in zone:
         fleet.kill(name)
-    restart_later(zone)
+    restart_after_pause(zone)
     fleet.wait_until_ready(options.workers)
     leader = fleet.query("/v1/status")["leader"]
     for name in ("worker1", "agent1", "gate3", leader):
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -46,6 +46,8 @@
 
 CLAIM = "before the lost worker's claim lapsed"
 
+# Timelines for spancart-timeline: time in ms, then a column of events for each process
+
 MACHINE_OFF = """
 ms     worker2  agent2  worker5  agent5  callers
 0      .        .       .        .       call:20
@@ -547,6 +549,7 @@
         return subprocess.run(args, capture_output=True, text=True, errors="replace", check=check)
 
     def make(self):
+        """Builds the programs that the scenarios run."""
         tests = sorted({"test-" + guard.scenario[1] for guard in GUARDS if guard.scenario[0] == "test"})
         got = self.run(["cmake", "--build", self.build, "--target", "spancart-sweep", "spancart-timeline",
                         "spancart-explore"] + tests)
--- a/scripts/lint.py
+++ b/scripts/lint.py
@@ -29,11 +29,13 @@
 
 
 def sources(build):
+    """Returns the sources that the build compiles."""
     with open(os.path.join(build, "compile_commands.json")) as file:
         return sorted({entry["file"] for entry in json.load(file)})
 
 
 def tidy(build, files):
+    """Runs clang-tidy on files. Returns its findings (path, line, column, text, rules) and its own errors."""
     run = subprocess.run(["clang-tidy", "-p", build, "--quiet", *files], capture_output=True, text=True, cwd=ROOT)
     matches = map(FINDING.match, run.stdout.split("\n"))
     found = [match.groups() for match in matches if match]
@@ -54,6 +56,7 @@
 
 
 def key_of(path, line, rules):
+    """Returns the baseline key of a finding; None for a magic number outside of the control plane."""
     relative = os.path.relpath(path, ROOT)
     rule = rules.split(",")[0]
     if rule == "readability-magic-numbers":
--- a/scripts/ratchet.py
+++ b/scripts/ratchet.py
@@ -9,6 +9,7 @@
 
 
 def read(path):
+    """Returns the counts of a baseline by key; a missing file is an empty baseline."""
     known = {}
     try:
         with open(path) as file:
@@ -22,6 +23,7 @@
 
 
 def header(path):
+    """Returns the comment lines of a baseline."""
     try:
         with open(path) as file:
             return "".join(line for line in file if line.startswith("#"))
@@ -30,6 +32,7 @@
 
 
 def write(path, found):
+    """Writes counts by key as the baseline and keeps its comment lines."""
     first = header(path)
     with open(path, "w") as file:
         file.write(first)
--- a/scripts/readable.py
+++ b/scripts/readable.py
@@ -51,7 +51,7 @@
     "line": ("packages/queue", "packages/scheduler", "packages/callers"),  # the queue; a line of text elsewhere
 }
 # ... or by the packages in which the word has another sense.
-NOT_IN = {"edge": ("platform",), "core": ("platform",)}  # the platform's own terms: its edge, and the cores of a processor
+NOT_IN = {"edge": ("platform",), "core": ("platform",)}  # the edge before its callers; the cores of a processor
 # `view` is not listed: it is a term, the set of voters that each commit waits for (docs/glossary.md). These words need
 # no pattern, because no identifier uses them in their ordinary sense: book, hand ("handed" does not match), push (the
 # compiler's pragma is not an identifier), face, core, room, box, ring, ground, round, hold.
@@ -74,6 +74,7 @@
 
 
 def package(path):
+    """Returns the package of a source: packages/NAME, or the top folder."""
     parts = path.split("/")
     return "/".join(parts[:2]) if parts[0] == "packages" else parts[0]
 
--- a/scripts/same_objects.py
+++ b/scripts/same_objects.py
@@ -179,6 +179,7 @@
 
 
 def read_pairs(path):
+    """Reads a file of lines OLD, TAB, NEW; None is an empty file."""
     pairs = {}
     if path:
         with open(path) as file:
@@ -195,6 +196,7 @@
 
 
 def new_source(source, renames, packages):
+    """Returns the new path of a source, by the renamed files, folders and packages."""
     if source in renames:
         return renames[source]
     for old, new in renames.items():
@@ -259,6 +261,7 @@
 
 
 def kind_of(section):
+    """Returns the name of a section without the function or variable that -ffunction-sections appends."""
     match = KINDS.match(section.name)
     return match[1] if match else section.name
 
--- a/scripts/sweep.py
+++ b/scripts/sweep.py
@@ -18,8 +18,7 @@
 HERE = os.path.dirname(os.path.abspath(__file__))
 TOOL = os.path.join(HERE, "..", "build", "spancart-sweep")
 
-
-SITE = ["plain"]
+SITE = ["plain"]  # the chosen site, set by main()
 
 
 def run_seed(seed, mix, skip=(), verbose=False):
