--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -338,7 +338,7 @@
     Guard("spoilt-founds-not", "a process with a damaged disk does not found a cluster", "packages/replication/src/recover.c",
           "        replication->settings.founding_mode = FOUNDING_NEVER;", "        (void)replication;",
           "all_spoilt", "test", "disk_state", "all_spoilt"),
-    Guard("committed-stays", "committed entries are not dropped, whoever asks for it", "packages/replication/src/install_snapshot.c",
+    Guard("committed-stays", "committed entries are not dropped, whichever process asks for it", "packages/replication/src/install_snapshot.c",
           "    if (last_index < replication->commit_index && replication->settings.disks_durable)\n        return history_conflict_refuse(replication, last_index + 1);\n", "",
           "committed_stays", "test", "disk_state", "committed_stays"),
     Guard("old-list", "a voter does not vote by a list of voters that is older than a committed one", "packages/replication/src/voter_list.c",
--- a/scripts/readable.py
+++ b/scripts/readable.py
@@ -37,7 +37,7 @@
              "look", "fill", "refill", "news", "tell", "told", "gate", "face", "door", "edge", "feed", "core", "kept",
              "keeper", "kin", "ledger", "book", "push", "line", "aim", "worth", "stray", "alone", "hand", "crew",
              "ground", "dice", "draft", "trouble", "tongue", "courier", "ring", "never", "box", "stay", "mend", "room")
-# A word that also has an ordinary sense counts only in its private sense, which is told by a pattern that the whole
+# A word that also has an ordinary sense counts only in its private sense, recognized by a pattern that the whole
 # identifier matches ...
 ONLY_AS = {
     "kept": r"Kept.*|KEPT.*|kept_.*",  # a reservation or an item of a repair buffer; the kept part of an array is ordinary
