--- a/scripts/same_identifiers.py
+++ b/scripts/same_identifiers.py
@@ -135,8 +135,8 @@
         return None
 
     def reused_names(self):
-        """Returns the names that one identifier gave up and another one took, as in a swap: this can't be distinguished from a
-        rename."""
+        """Returns the names that one identifier gave up and another one took, as in a swap: this can't be distinguished
+        from a rename."""
         return [f"{kind} {was} -> {now}, which was another one's name" for kind, names in self.new_of.items()
                 for was, now in sorted(names.items()) if now in names]
 
