--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -9,9 +9,10 @@
 /* --- heartbeats and leases -------------------------------------------------------------------
  * After a leader's death, recovery takes LOCK_GRANT_MS, one election, one view change and AGENT_LEASE_MS; the sum is
  * below 12 s (docs/ha.md). */
-#define HEARTBEAT_MS 500    /* Interval between an agent's heartbeats; six fit in its lease, so five may be lost */
-#define AGENT_LEASE_MS 3000 /* An agent's lease; a lost worker's lease expires after this: "a few seconds at most" */
-#define LOCK_GRANT_MS 1500  /* Longest time for which a voter grants the leader's lease */
+#define HEARTBEAT_MS 500 /* Interval between an agent's heartbeats; six fit in its lease, so five may be lost */
+/* An agent's lease; a lost worker's lease expires after this: "a few seconds at most" */
+#define AGENT_LEASE_MS 3000
+#define LOCK_GRANT_MS 1500 /* Longest time for which a voter grants the leader's lease */
 /* Shortest time for which a voter grants the leader's lease; extended by observed delays and pauses */
 #define LOCK_GRANT_MIN_MS 700
 /* Part of the longest grant that the leader relies on: its clock may be 2% slow, a voter's 2% fast */
@@ -22,50 +23,57 @@
 /* Wait of a controller after its first lost election, doubled after each further one up to ELECTION_BACKOFF_MAX_MS */
 #define ELECTION_BACKOFF_MIN_MS 60
 #define ELECTION_LOST_LOG_MS 5000 /* Minimum interval between log lines about lost elections */
-#define ELECTION_BACKOFF_MAX_MS \
-    500 /* Longest wait after a lost election; a random part of up to the same length is added */
-#define ELECTION_STAGGER_MS 120 /* Delay between one voter's candidacy and the next voter's; more than a round trip */
-#define SUCCESSOR_WAIT_MS 600   /* Time that the other voters leave to the successor that the last leader named */
-#define ORDER_LIFETIME_MS 2000  /* Lifetime of an order: an agent refuses an older one */
+/* Longest wait after a lost election; a random part of up to the same length is added */
+#define ELECTION_BACKOFF_MAX_MS 500
+/* Delay between one voter's candidacy and the next voter's; more than a round trip */
+#define ELECTION_STAGGER_MS 120
+/* Time that the other voters leave to the successor that the last leader named */
+#define SUCCESSOR_WAIT_MS 600
+#define ORDER_LIFETIME_MS 2000 /* Lifetime of an order: an agent refuses an older one */
 /* Age at which an order has expired by any clock, even one that is 2% slow */
 #define ORDER_EXPIRED_MS (ORDER_LIFETIME_MS + ORDER_LIFETIME_MS / 50 + LEASE_SLACK_MS)
 /* A worker gets no new work when its agent's heartbeat is overdue for longer than usual and for at least this long.
  * A lost datagram or one turn of a busy process takes less. */
 #define HEARTBEAT_OVERDUE_MIN_MS 150
-#define OVERDUE_WORKERS_DIVISOR \
-    2 /* If more than 1 in this many workers is overdue at once, it is the leader that paused */
+/* If more than 1 in this many workers is overdue at once, it is the leader that paused */
+#define OVERDUE_WORKERS_DIVISOR 2
 /* A worker whose report is overdue for longer than usual and for at least this long is silent. Busy workers were
  * seen to take 300 ms now and then. */
 #define REPORT_OVERDUE_MIN_MS 400
 #define WORKER_POLL_WAIT_MS 400 /* Longest time for which an agent holds its worker's poll open */
 /* Time for which a heartbeat is held open for orders; with the round trip, one per HEARTBEAT_MS */
 #define HEARTBEAT_WAIT_MS 450
-#define HEARTBEATS_IN_FLIGHT_MAX 4 /* An agent's heartbeats in flight: one waits for orders, the others carry updates \
-                                    */
+/* An agent's heartbeats in flight: one waits for orders, the others carry updates */
+#define HEARTBEATS_IN_FLIGHT_MAX 4
 /* A worker that has not polled for this long, in addition to the length of a poll, gets no new work */
 #define WORKER_SILENT_MS 1200
 /* Time for which a poll that reports ended attempts is held: the worker's next report waits for its answer */
 #define WORKER_ENDS_POLL_WAIT_MS 50
 /* Delay of a worker's next poll, for which an order may wait; a poll costs about as much time */
 #define WORKER_NEXT_POLL_MS 50
-#define WORKER_LOST_MS 3000     /* A silent worker's attempts are lost after this, once its lease has expired */
-#define REPORT_UPDATES_MAX 500  /* Updates in one report of an agent: a worker's longest list of ended attempts */
+#define WORKER_LOST_MS 3000 /* A silent worker's attempts are lost after this, once its lease has expired */
+/* Updates in one report of an agent: a worker's longest list of ended attempts */
+#define REPORT_UPDATES_MAX 500
 #define CHANGE_UPDATES_MAX 1000 /* Updates on attempts in one change */
-#define RUNNING_UPDATE_DELAY_MS \
-    200 /* The update that an attempt runs waits this long to be committed together with others */
-#define ENDED_ATTEMPTS_KEPT_MAX 4096 /* Ended attempts that an agent keeps for repair: two minutes at 34 a second */
-#define WORKER_STARTS_MAX 16         /* Earlier starts of its worker that an agent recognises */
-#define COPY_SILENT_MS 1500  /* Work whose owner allows copies restarts after this long a silence of its worker */
-#define CLOCK_SLOW_PERCENT 2 /* A worker's steady clock may be this slow, so leases that are passed on are shorter */
-#define LEASE_SLACK_MS 50    /* Added by the leader when it measures a lease, for the granularity of timers */
+/* The update that an attempt runs waits this long to be committed together with others */
+#define RUNNING_UPDATE_DELAY_MS 200
+/* Ended attempts that an agent keeps for repair: two minutes at 34 a second */
+#define ENDED_ATTEMPTS_KEPT_MAX 4096
+#define WORKER_STARTS_MAX 16 /* Earlier starts of its worker that an agent recognises */
+/* Work whose owner allows copies restarts after this long a silence of its worker */
+#define COPY_SILENT_MS 1500
+/* A worker's steady clock may be this slow, so leases that are passed on are shorter */
+#define CLOCK_SLOW_PERCENT 2
+#define LEASE_SLACK_MS 50 /* Added by the leader when it measures a lease, for the granularity of timers */
 
 /* --- requests between processes -------------------------------------------------------------- */
 #define REQUEST_TIMEOUT_MS 800 /* Deadline of an ordinary request; shorter than the leader's lease */
 #define APPEND_TIMEOUT_MS 1500 /* A voter that does not sync an append within this leaves the view */
-#define LEADER_CHECK_MS 100 /* Interval at which the leader checks its voters, and a voter whether there is a leader \
-                             */
-#define VOTER_SYNC_LATE_MS 400 /* A voter that has not synced within this leaves the view if the others suffice */
-#define DISK_RETRY_MS 300      /* First interval between attempts to write to a disk that refused a write */
+/* Interval at which the leader checks its voters, and a voter whether there is a leader */
+#define LEADER_CHECK_MS 100
+/* A voter that has not synced within this leaves the view if the others suffice */
+#define VOTER_SYNC_LATE_MS 400
+#define DISK_RETRY_MS 300 /* First interval between attempts to write to a disk that refused a write */
 /* Longest interval between such attempts; doubled after each failure, as a loss may be over within 4 s */
 #define DISK_RETRY_MAX_MS 2500
 #define DISK_HEALTHY_MS 10000 /* A disk that has taken writes for this long is healthy again */
@@ -74,8 +82,8 @@
 /* Time for the other voters to answer once a majority has; those that answer later join afterwards */
 #define POLL_GRACE_MS 60
 #define ELECTION_STEP_TIMEOUT_MS 1200 /* Deadline of one step of an election */
-#define ORDERS_FETCH_WAIT_MS \
-    900 /* Time for which a request for orders alone is held open; below ORDER_LIFETIME_MS / 2 */
+/* Time for which a request for orders alone is held open; below ORDER_LIFETIME_MS / 2 */
+#define ORDERS_FETCH_WAIT_MS 900
 #define CONFIG_WATCH_WAIT_MS 2000 /* Time for which an entry point's request for a new configuration is held open */
 /* After the loss of the leader, a request that nobody took waits this long for another route */
 #define LEADER_WAIT_MS 150
@@ -94,7 +102,8 @@
 #define CONNECTION_KEEPALIVE_IDLE_S 3
 #define CONNECTION_KEEPALIVE_INTERVAL_S 1 /* Interval between probes */
 #define CONNECTION_KEEPALIVE_PROBES 3     /* Unanswered probes after which the connection ends */
-#define CONNECTION_TIMEOUTS_MAX 2         /* Unanswered requests in a row after which a new connection is opened */
+/* Unanswered requests in a row after which a new connection is opened */
+#define CONNECTION_TIMEOUTS_MAX 2
 /* A request that a just restarted peer has not answered for this long went to its last incarnation */
 #define CONNECTION_STALE_MS 200
 
@@ -102,42 +111,47 @@
 #define HELLO_MS 500 /* Interval between hellos of a process that looks for the others */
 /* Interval between hellos of a process that a controller contacts anyway; half of MEMBER_SILENT_MS */
 #define HELLO_SETTLED_MS 2000
-#define HELLO_SEED_MS 10000   /* Interval between hellos to each seed, in case the controllers were replaced unnoticed \
-                               */
+/* Interval between hellos to each seed, in case the controllers were replaced unnoticed */
+#define HELLO_SEED_MS 10000
 #define MEMBER_SILENT_MS 4000 /* A member not heard from for this long counts as silent */
-#define MEMBER_FORGET_MS 600000  /* A silent member is dropped from the table after this: ten minutes of absence */
-#define CONTACT_INTERVAL_MS 2000 /* Interval at which a controller asks every member; those that answer it can reach \
-                                  */
+/* A silent member is dropped from the table after this: ten minutes of absence */
+#define MEMBER_FORGET_MS 600000
+/* Interval at which a controller asks every member; those that answer it can reach */
+#define CONTACT_INTERVAL_MS 2000
 #define HELLO_ATTEMPTS 3 /* Attempts to ask a member; the third is answered before the member counts as silent */
-#define REACH_MARGIN 3   /* A voter that reaches over this many members more than the leader is the better leader */
+/* A voter that reaches over this many members more than the leader is the better leader */
+#define REACH_MARGIN 3
 #define REACH_HANDOVER_MS 2000 /* Time for which another voter must be the better leader before it takes over */
 /* A silent member is contacted as often as the others for this long, since partitions heal */
 #define SILENT_CONTACT_MS 60000
-#define SILENT_CONTACT_DIVISOR 8 /* After SILENT_CONTACT_MS a silent member is contacted once in this many intervals \
-                                  */
-#define MEMBERS_MAX 512          /* Bound on the rows of a member table */
-#define CONTROLLERS_MAX 64       /* Controllers that have rows in a full member table, besides MEMBERS_MAX */
-#define PARTIAL_VIEW_MAX 16      /* Members in a partial view, besides the controllers */
-#define PARTIAL_VIEW_FORGET_MS 60000 /* A member that has been silent for longer than this leaves the partial view */
+/* After SILENT_CONTACT_MS a silent member is contacted once in this many intervals */
+#define SILENT_CONTACT_DIVISOR 8
+#define MEMBERS_MAX 512     /* Bound on the rows of a member table */
+#define CONTROLLERS_MAX 64  /* Controllers that have rows in a full member table, besides MEMBERS_MAX */
+#define PARTIAL_VIEW_MAX 16 /* Members in a partial view, besides the controllers */
+/* A member that has been silent for longer than this leaves the partial view */
+#define PARTIAL_VIEW_FORGET_MS 60000
 #define PARTIAL_VIEW_SAMPLE 3 /* Members of its partial view that a controller names in each request to a member */
-#define SEED_REQUESTER_KEEP_MS \
-    10000                     /* A seed keeps a process that asked it for this long: controllers hear of it meanwhile */
+/* A seed keeps a process that asked it for this long: controllers hear of it meanwhile */
+#define SEED_REQUESTER_KEEP_MS 10000
 #define FOUNDING_WAIT_MS 1500 /* Three empty disks must see each other for this long before they found a cluster */
-#define FOUNDER_CANDIDACY_DELAY_MS \
-    600                         /* Delay from a founder's start to its candidacy: the others have started by then */
+/* Delay from a founder's start to its candidacy: the others have started by then */
+#define FOUNDER_CANDIDACY_DELAY_MS 600
 #define MEMBERSHIP_CHECK_MS 200 /* Interval at which the leader checks whether the list of voters must change */
 /* Interval of that check while a learner is not ready yet, or when one change follows another */
 #define MEMBERSHIP_CHECK_SHORT_MS 30
 #define LEARNERS_MAX 4 /* Learners that follow the log at a time: each costs a copy of the log */
-#define LEARNER_APPEND_INTERVAL_MS \
-    100                      /* A learner gets what has come within this in one append, since nobody waits for it */
+/* A learner gets what has come within this in one append, since nobody waits for it */
+#define LEARNER_APPEND_INTERVAL_MS 100
 #define VOTE_HANDOVER_MS 700 /* Two renewals: within this a learner that leaves hears that it was given the vote */
-#define VOTE_LEAVE_DIVISOR 2 /* A leaving voter waits 1 in this many of its grace period for its vote to pass on */
+/* A leaving voter waits 1 in this many of its grace period for its vote to pass on */
+#define VOTE_LEAVE_DIVISOR 2
 /* A learner that is not ready within this makes way for another: megabytes take a second */
 #define LEARNER_READY_TIMEOUT_MS 2500
 #define VOTER_OUT_OF_VIEW_MS 1000 /* Minimum time out of the view for a voter that left it for being late */
-#define EX_VOTER_REST_MS 5000     /* A controller that is no longer a voter does not propose itself for this long */
-#define VOTER_REPLACE_MS 15000    /* Default of the setting: a lost voter is replaced within this */
+/* A controller that is no longer a voter does not propose itself for this long */
+#define EX_VOTER_REST_MS 5000
+#define VOTER_REPLACE_MS 15000 /* Default of the setting: a lost voter is replaced within this */
 /* A silent voter is replaced after 1 in this many of VOTER_REPLACE_MS: the replacement takes the rest */
 #define VOTER_SILENT_DIVISOR 2
 
@@ -149,20 +163,21 @@
 #define SNAPSHOT_MAX_BYTES (48 * 1024 * 1024)
 /* Size of the state from which no job is taken: the rest is for what the accepted ones add */
 #define STATE_FULL_BYTES (40 * 1024 * 1024)
-#define STATE_MEASURE_INTERVAL_MS \
-    10000 /* Minimum interval between measurements of a full state, each of which serializes it */
+/* Minimum interval between measurements of a full state, each of which serializes it */
+#define STATE_MEASURE_INTERVAL_MS 10000
 #define SNAPSHOT_SINGLE_BYTES (2 * 1024 * 1024) /* A snapshot of up to this size is sent in one message */
 #define SNAPSHOT_PIECE_BYTES (1024 * 1024)      /* Size of the pieces of a larger snapshot: 40 ms each at 200 Mbit/s */
 #define LOG_BATCH_BYTES (512 * 1024)            /* Maximum size of one append */
 #define LOG_BATCH_ENTRIES 256                   /* Maximum number of entries in one append */
 #define JOURNAL_WRITE_BYTES (16 * 1024 * 1024)  /* Maximum size of one write of the leader to its own journal */
-#define LOG_BACK_STEP 64 /* Entries by which the leader goes back when it asks a voter whose log differs again */
+/* Entries by which the leader goes back when it asks a voter whose log differs again */
+#define LOG_BACK_STEP 64
 #define RECORD_MAX_BYTES (64 * 1024 * 1024) /* A journal record larger than this is corruption */
 /* Delay after a sync until its position is written to the hint: one more write per second */
 #define JOURNAL_HINT_MS 1000
 #define JOURNAL_OPEN_RETRY_MS 3000 /* Time for which a disk that refuses writes at the start is tried again */
-#define JOURNAL_DAMAGED_KEEP_BYTES \
-    (16 * 1024 * 1024)               /* A damaged journal smaller than this is kept beside the new one */
+/* A damaged journal smaller than this is kept beside the new one */
+#define JOURNAL_DAMAGED_KEEP_BYTES (16 * 1024 * 1024)
 #define HISTORY_LOG_INTERVAL_MS 1000 /* Minimum interval between log lines about orders to drop committed entries */
 /* Time for which restarted voters wait for others: every step together must end within 12 s */
 #define RESTARTED_VOTERS_WAIT_MS 3000
@@ -171,8 +186,8 @@
  * previous incarnation may be silent. */
 #define REPAIR_START_DELAY_MS (CONNECTION_TIMEOUTS_MAX * REQUEST_TIMEOUT_MS + 2 * HELLO_MS)
 #define REPAIR_COPIES 2 /* Entry points, in different zones, that keep a change for repair */
-#define REPAIR_COPY_TIMEOUT_MS \
-    100 /* Deadline for an entry point to keep a change for repair, for which a caller waits */
+/* Deadline for an entry point to keep a change for repair, for which a caller waits */
+#define REPAIR_COPY_TIMEOUT_MS 100
 /* Size of one node's repair buffer: some 5,000 jobs; bounded, because memory costs money */
 #define REPAIR_BUFFER_BYTES_MAX (4 * 1024 * 1024)
 #define REPAIR_KEEP_MS 120000 /* Time for which entry points and agents keep acknowledged changes for repair */
@@ -181,9 +196,10 @@
 
 /* --- jobs ------------------------------------------------------------------------------------ */
 #define JOB_KEEP_MS 3600000 /* An ended job is kept for an hour: an id sent again within it still counts once */
-#define JOBS_FORGET_INTERVAL_MS 1000 /* Minimum interval between removals of ended jobs, since each costs a change */
-#define JOB_TASKS_MAX 10000          /* Tasks in one job */
-#define JOB_STEPS_MAX 64             /* Steps in one job: a bit for each fits in 64 */
+/* Minimum interval between removals of ended jobs, since each costs a change */
+#define JOBS_FORGET_INTERVAL_MS 1000
+#define JOB_TASKS_MAX 10000                               /* Tasks in one job */
+#define JOB_STEPS_MAX 64                                  /* Steps in one job: a bit for each fits in 64 */
 #define JOB_SPAN_MAX_MS (INT64_C(366) * 24 * 3600 * 1000) /* A year; longer spans in a job are mistakes */
 #define JOB_BODY_MAX (256 * 1024)                         /* One job's JSON, in bytes */
 /* One configuration, in bytes: some 5,000 queues, 0.15 s of a controller to check */
@@ -198,35 +214,39 @@
 #define CONFIG_BYTES_MAX (1024 * 1024 * 1024) /* Limits in bytes; larger ones are mistakes */
 /* Latency target as a multiple of the longest chain of work; larger ones are mistakes */
 #define CONFIG_STRETCH_MAX 1000
-#define CONFIG_HISTORY_VERSIONS \
-    200 /* Configuration versions that can be read back, as far as CONFIG_HISTORY_BYTES allow */
-#define CONFIG_VERSIONS_KNOWN \
-    1000                       /* Versions whose calls are recognised when they are repeated: ten a second for 100 s */
-#define CONFIG_HISTORY_STEP 50 /* Configuration versions that are dropped at a time */
+/* Configuration versions that can be read back, as far as CONFIG_HISTORY_BYTES allow */
+#define CONFIG_HISTORY_VERSIONS 200
+/* Versions whose calls are recognised when they are repeated: ten a second for 100 s */
+#define CONFIG_VERSIONS_KNOWN 1000
+#define CONFIG_HISTORY_STEP 50             /* Configuration versions that are dropped at a time */
 #define CONFIG_HISTORY_BYTES (1024 * 1024) /* Size of the texts and patches kept beside one whole text */
 #define ID_MAX 96                          /* Name of a job, tenant or worker, in bytes */
-#define ATTEMPTS_DEFAULT 3        /* Failed attempts after which a task fails, unless its owner sets another number */
-#define ATTEMPTS_MAX 100          /* Largest number of attempts that an owner may set */
-#define QUEUE_LIMIT_DEFAULT 20000 /* Waiting tasks in one cell's queues beyond which jobs are rejected with 503 */
-#define PROTECTED_START_WAIT_MS \
-    2000 /* A protected start that breaks the plan waits for this long, then runs unassured */
-#define PLANNER_PASS_INTERVAL_MS 250 /* Interval at which the planner makes a pass even when nothing has changed */
+/* Failed attempts after which a task fails, unless its owner sets another number */
+#define ATTEMPTS_DEFAULT 3
+#define ATTEMPTS_MAX 100 /* Largest number of attempts that an owner may set */
+/* Waiting tasks in one cell's queues beyond which jobs are rejected with 503 */
+#define QUEUE_LIMIT_DEFAULT 20000
+/* A protected start that breaks the plan waits for this long, then runs unassured */
+#define PROTECTED_START_WAIT_MS 2000
+/* Interval at which the planner makes a pass even when nothing has changed */
+#define PLANNER_PASS_INTERVAL_MS 250
 #define GANG_REPAIR_INTERVAL_MS 1000 /* Interval between searches for gangs that a loss of disks has split */
 #define STARTS_PER_CHANGE_MAX 128    /* Starts decided in one change */
 #define ATTEMPTS_LOST_MAX 10000      /* Attempts that disks may have lost; a larger number is a mistake */
 /* Rest of a failed task, doubled with each failure; short, as targets are 1 or 2 s and it restarts elsewhere */
 #define RETRY_BACKOFF_MIN_MS 50
 #define RETRY_BACKOFF_MAX_MS 8000 /* Longest rest of a failed task */
-#define REFUSED_BACKOFF_MS 200    /* Rest of a refused task: by then a heartbeat or a start shows more of its worker */
-#define LASTING_STABLE_MS 5000    /* A lasting task that ran for this long has not failed at once */
+/* Rest of a refused task: by then a heartbeat or a start shows more of its worker */
+#define REFUSED_BACKOFF_MS 200
+#define LASTING_STABLE_MS 5000      /* A lasting task that ran for this long has not failed at once */
 #define LASTING_BACKOFF_MAX_MS 2000 /* Longest rest of a lasting task that repeatedly fails at once */
 #define LIST_PAGE_DEFAULT 100       /* Jobs on one page of a list, by default */
 #define LIST_PAGE_MAX 1000          /* Jobs on one page of a list, at most */
 #define RESOURCES_MAX 100000000ULL  /* Milli-CPU, MB or count; larger numbers are mistakes */
 
 /* --- latency targets and estimates ----------------------------------------------------------- */
-#define PROGRESS_FIRST_MS 700 /* Run time after which an attempt's progress is first reported; a short task's is not \
-                               */
+/* Run time after which an attempt's progress is first reported; a short task's is not */
+#define PROGRESS_FIRST_MS 700
 /* Newest ratios of actual to estimated time that a median is taken of: older ones say little */
 #define ESTIMATE_RATIOS 32
 #define ESTIMATE_ENDS_MIN 5 /* Ended attempts before a step's estimate is corrected */
@@ -244,11 +264,13 @@
 #define STALLED_PERCENT 15 /* An attempt without progress while this share of its work was due is stalled */
 /* Minimum time without progress of a stalled attempt: resuming from saved progress begins with a pause */
 #define STALLED_MIN_MS 1000
-#define PROGRESS_REPORTS_MIN 16   /* Progress reports before their absence counts, since some workers send none */
-#define SLOW_ATTEMPT_CHECK_MS 200 /* Interval between searches for attempts that are better restarted elsewhere */
-#define SLOW_RESTART_GAIN 2.5 /* Factor by which a restart elsewhere must be faster for an attempt to be restarted */
-#define SLOW_RESTART_COST_MS \
-    1000 /* Minimum time saved by such a restart, which costs a stop, a start and discarded work */
+#define PROGRESS_REPORTS_MIN 16 /* Progress reports before their absence counts, since some workers send none */
+/* Interval between searches for attempts that are better restarted elsewhere */
+#define SLOW_ATTEMPT_CHECK_MS 200
+/* Factor by which a restart elsewhere must be faster for an attempt to be restarted */
+#define SLOW_RESTART_GAIN 2.5
+/* Minimum time saved by such a restart, which costs a stop, a start and discarded work */
+#define SLOW_RESTART_COST_MS 1000
 /* A leaving worker's attempts are stopped this long before it leaves, so that progress is saved */
 #define LEAVE_STOP_MARGIN_MS 1500
 #define LEAVE_START_TIMEOUT_MS 300 /* An order that a leaving worker has not started within this is withdrawn */
@@ -258,40 +280,45 @@
 #define TARGET_LATE_TIMES 3        /* Up to this many times its latency target a job still has some value */
 /* Percent of the remaining work; a target missed by less may still be met: estimates are rough */
 #define TARGET_TOLERANCE_PERCENT 25
-#define TARGET_HORIZON_MS 2000   /* A target this much farther off weighs 2.7 times less: about one task's time */
+/* A target this much farther off weighs 2.7 times less: about one task's time */
+#define TARGET_HORIZON_MS 2000
 #define TARGET_PRIORITY_RANK 1.4 /* Rank per step of a queue's priority; one step weighs 4 times more */
-#define TARGET_BEGUN_RANK 1.0    /* Rank of a nearly done job above one not begun, as capacity is well spent on it */
-#define TARGET_LATE_RANK (-1.5)  /* Rank of a job that is late: a fifth of the value */
+/* Rank of a nearly done job above one not begun, as capacity is well spent on it */
+#define TARGET_BEGUN_RANK 1.0
+#define TARGET_LATE_RANK (-1.5)         /* Rank of a job that is late: a fifth of the value */
 #define TARGET_WORTHLESS_RANK (-1000.0) /* Rank of a job without any value left: it goes last */
-#define TARGET_RANK_BANDS \
-    4.0 /* Bands per unit of rank; ranks within one band count as equal, so that tenants take turns */
+/* Bands per unit of rank; ranks within one band count as equal, so that tenants take turns */
+#define TARGET_RANK_BANDS 4.0
 #define TARGET_WAVE_DIVISOR 4 /* A step wider than 1 in this many of the fleet's capacity runs in waves */
 
 /* --- scores of workers that claim to be healthy ---------------------------------------------- */
 #define FAILURE_WEIGHT_PERCENT 25 /* Percent; weight of the newest attempt in a worker's failure rate */
-#define FAILURE_EJECTION_PERCENT \
-    60 /* Percent; above this failure rate, and after FAILURE_JOBS, a worker gets no work for a while */
+/* Percent; above this failure rate, and after FAILURE_JOBS, a worker gets no work for a while */
+#define FAILURE_EJECTION_PERCENT 60
 /* Different jobs in a row that failed on the worker, since one bad job does not make a bad worker */
 #define FAILURE_JOBS 3
-#define EJECTION_MIN_MS 10000     /* First rest of a worker, doubled with each further one */
-#define EJECTION_MAX_MS 300000    /* Longest rest of a worker */
-#define SCORE_HALF_LIFE_MS 10000  /* Half-life of a rate without new attempts, so that every worker is tried again */
+#define EJECTION_MIN_MS 10000  /* First rest of a worker, doubled with each further one */
+#define EJECTION_MAX_MS 300000 /* Longest rest of a worker */
+/* Half-life of a rate without new attempts, so that every worker is tried again */
+#define SCORE_HALF_LIFE_MS 10000
 #define EJECTED_WORKERS_DIVISOR 4 /* At most 1 in this many of the fleet's workers rests at once */
 
-#define SLOW_WEIGHT_PERCENT \
-    50                     /* Percent; weight of a slow attempt; concurrent attempts are one sign, so signs are few */
-#define SLOW_SIGNS 2       /* Slow attempts of different jobs before a worker counts as slow */
-#define SLOW_TIMES 3       /* An attempt that takes this many times its step's median is slow */
-#define SLOW_MEDIAN_MIN 4  /* Other attempts of the step that a median needs */
-#define SLOW_MEDIAN_MAX 64 /* Other attempts that are examined for a median: a step may have thousands */
+/* Percent; weight of a slow attempt; concurrent attempts are one sign, so signs are few */
+#define SLOW_WEIGHT_PERCENT 50
+#define SLOW_SIGNS 2           /* Slow attempts of different jobs before a worker counts as slow */
+#define SLOW_TIMES 3           /* An attempt that takes this many times its step's median is slow */
+#define SLOW_MEDIAN_MIN 4      /* Other attempts of the step that a median needs */
+#define SLOW_MEDIAN_MAX 64     /* Other attempts that are examined for a median: a step may have thousands */
 #define SLOW_MEDIAN_MIN_MS 200 /* A median below this is not used: the round trip takes as long */
 
 /* --- planner --------------------------------------------------------------------------------- */
-#define PLAN_EXHAUSTIVE_MAX 400 /* Loss sequences that are walked one by one; with more, the cheap bound is used */
-#define PLAN_LOSSES_MAX 4       /* Worker losses that a plan may be asked to survive */
-#define PLAN_CHECK_MS 1000 /* Interval at which the plan is computed for display where it need not survive any loss */
-#define CHOICE_SLOWDOWN_WEIGHT \
-    2                       /* A worker that takes longer must have this many times the difference more capacity free */
+/* Loss sequences that are walked one by one; with more, the cheap bound is used */
+#define PLAN_EXHAUSTIVE_MAX 400
+#define PLAN_LOSSES_MAX 4 /* Worker losses that a plan may be asked to survive */
+/* Interval at which the plan is computed for display where it need not survive any loss */
+#define PLAN_CHECK_MS 1000
+/* A worker that takes longer must have this many times the difference more capacity free */
+#define CHOICE_SLOWDOWN_WEIGHT 2
 #define CHOICE_GPU_COST 500 /* Thousandths of a worker; cost of a worker's GPU to work that needs none */
 /* Thousandths of a worker: gain of placing a step's tasks together. It is more than a worker's whole capacity, and
  * less than the penalty of a worker that is slow or fails its work. */
@@ -300,11 +327,11 @@
 #define LOCALITY_WAIT_MS 1500
 
 /* --- capacity reserved for large work -------------------------------------------------------- */
-#define CAPACITY_RESERVE_SLACK_MS \
-    3000                           /* Work that must be running within this has capacity reserved as it becomes free */
-#define CAPACITY_RESERVE_DIVISOR 3 /* At most 1 in this many parts of the fleet's capacity is reserved for such work \
-                                    */
-#define RESERVATION_WAIT_MS 10000  /* Work that fits a whole worker but no gap for this long has a worker reserved */
+/* Work that must be running within this has capacity reserved as it becomes free */
+#define CAPACITY_RESERVE_SLACK_MS 3000
+/* At most 1 in this many parts of the fleet's capacity is reserved for such work */
+#define CAPACITY_RESERVE_DIVISOR 3
+#define RESERVATION_WAIT_MS 10000 /* Work that fits a whole worker but no gap for this long has a worker reserved */
 /* Minimum wait for a reservation of work with a latency target, which otherwise waits an eighth of its span */
 #define RESERVATION_WAIT_MIN_MS 300
 #define RESERVATION_WORKERS_DIVISOR 4 /* At most 1 in this many of the fleet's workers is reserved at once */
@@ -319,30 +346,34 @@
 #define STOP_DURATION_MS 300
 #define REMAINING_TIME_MIN_MS 50 /* Minimum of the expected time to the end of a running attempt */
 #define PREEMPT_DURATION_MS 600  /* Time from a preemption until the capacity is used: a stop and a start */
-#define PREEMPT_SLACK_MS 900     /* Work that must be running within this may preempt: preemption takes most of it */
-#define PREEMPT_COST_FACTOR 2    /* A preemption throws away at most this many times the work that it makes room for */
-#define PREEMPT_VICTIMS_MAX 4    /* Attempts preempted for one task */
-#define PREEMPT_CHECK_MS 100     /* Interval between searches for attempts to preempt */
-#define PREEMPT_TASKS_MAX 32     /* Running tasks considered for one task that needs capacity */
+/* Work that must be running within this may preempt: preemption takes most of it */
+#define PREEMPT_SLACK_MS 900
+/* A preemption throws away at most this many times the work that it makes room for */
+#define PREEMPT_COST_FACTOR 2
+#define PREEMPT_VICTIMS_MAX 4 /* Attempts preempted for one task */
+#define PREEMPT_CHECK_MS 100  /* Interval between searches for attempts to preempt */
+#define PREEMPT_TASKS_MAX 32  /* Running tasks considered for one task that needs capacity */
 
 /* --- process --------------------------------------------------------------------------------- */
-#define TASK_STACK_BYTES (192 * 1024)      /* Stack of a coroutine: JSON and printf fit, also under ASan */
-#define TASK_STACKS_IDLE_MAX 24            /* Stacks of ended coroutines kept for reuse; a burst allocates its own */
-#define FRAME_MAX_BYTES (32 * 1024 * 1024) /* Largest message: a whole snapshot (SNAPSHOT_SINGLE_BYTES) fits */
+#define TASK_STACK_BYTES (192 * 1024) /* Stack of a coroutine: JSON and printf fit, also under ASan */
+/* Stacks of ended coroutines kept for reuse; a burst allocates its own */
+#define TASK_STACKS_IDLE_MAX 24
+#define FRAME_MAX_BYTES (32 * 1024 * 1024)     /* Largest message: a whole snapshot (SNAPSHOT_SINGLE_BYTES) fits */
 #define CHANNEL_QUEUE_BYTES (96 * 1024 * 1024) /* Unsent bytes beyond which the connection ends */
 #define CHANNEL_BUFFER_KEEP_BYTES (32 * 1024)  /* A buffer that grew beyond this for one frame is freed */
 #define CHANNEL_QUEUE_FRAMES 4096              /* Unread frames beyond which the connection ends */
 #define HTTP_BODY_MAX (2 * 1024 * 1024)        /* Body of a request, in bytes: a configuration fits (CONFIG_BODY_MAX) */
 #define HTTP_HEAD_MAX (32 * 1024) /* Head of a request with its path, in bytes: far more than any caller sends */
-#define HTTP_HEAD_TIMEOUT_MS \
-    5000 /* A head must be complete this long after it has begun: callers are in the same network */
+/* A head must be complete this long after it has begun: callers are in the same network */
+#define HTTP_HEAD_TIMEOUT_MS 5000
 #define HTTP_IDLE_TIMEOUT_MS 60000 /* A caller's connection without a request is closed after this */
 #define HTTP_CONNECTIONS_MAX 3000  /* Connections of callers to one process at a time */
-#define HTTP_TASKS_MAX 2048        /* Requests in flight in one process; callers of further ones are told to retry */
-#define TRACE_EVENTS 2048          /* Steps of changes that a node keeps: minutes at today's loads */
-#define RECORDER_LINES 256         /* Lines in the flight recorder */
-#define RECORDER_LINE_BYTES 200    /* Size of a line of the flight recorder; a longer one is truncated */
-#define RECORDER_NOTES_BURST 20    /* Notes written in one burst, so that a change of leader is logged whole */
+/* Requests in flight in one process; callers of further ones are told to retry */
+#define HTTP_TASKS_MAX 2048
+#define TRACE_EVENTS 2048       /* Steps of changes that a node keeps: minutes at today's loads */
+#define RECORDER_LINES 256      /* Lines in the flight recorder */
+#define RECORDER_LINE_BYTES 200 /* Size of a line of the flight recorder; a longer one is truncated */
+#define RECORDER_NOTES_BURST 20 /* Notes written in one burst, so that a change of leader is logged whole */
 /* After a burst, one note is written per interval, since a line costs processor time */
 #define RECORDER_NOTE_INTERVAL_MS 500
 /* Sent with a 503: another entry point, or the same one a moment later, will serve the request */
