--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -2,7 +2,7 @@
 #define SIM_TEST_ASKER_H
 
 /* A test client that sends requests through an RPC endpoint, and the frames of its requests as they appear on the wire.
- * Included by one test program each. */
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/packages/sim/test/member_fixture.h
+++ b/packages/sim/test/member_fixture.h
@@ -30,6 +30,7 @@
     Members *members; /* null until the process has started for the first time */
 } MemberNode;
 
+/* The fleet, in a simulated world of its own. */
 typedef struct MemberFleet {
     SimWorld *world;
     int size;
