--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -1,8 +1,7 @@
 #ifndef SIM_TEST_ASKER_H
 #define SIM_TEST_ASKER_H
 
-/* A test client that sends requests through an RPC endpoint, and the frames of its requests as they appear on the wire.
- */
+/* A test client that sends requests through an RPC endpoint, and the frames of its requests as encoded on the wire. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
