--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -14,7 +14,7 @@
 /* A machine of the product, as its settings file describes it. */
 typedef struct CodecNode {
     const char *name, *zone, *ip;
-    bool side;        /* an agent, beside a worker; otherwise an entry point or controller */
+    bool side;            /* an agent, beside a worker; otherwise an entry point or controller */
     bool disk;            /* a controller */
     bool founds;          /* the first start of the deployment: the node may found the cluster */
     const char *seeds[3]; /* IP addresses */
