--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -69,8 +69,8 @@
 } WorkerModelStart;
 
 /* The answer to a report. seen: ends up to this number are acknowledged; fence: answers with a lower fence than an
- * earlier one are ignored; lease_ms: duration of the lease; again_ms: time until the next report is due. Negative
- * lease_ms or again_ms: not given. */
+ * earlier one are ignored; lease_ms: duration of the lease; next_heartbeat_ms: time until the next report is due.
+ * Negative lease_ms or next_heartbeat_ms: not given. */
 typedef struct WorkerModelAnswer {
     WorkerModelStart *starts;
     size_t start_count;
@@ -162,7 +162,7 @@
     DEFECT_COUNT
 } DocumentDefect;
 
-/* An encoded request of the operator; head_name null: no extra header. */
+/* An encoded request of the operator; header_name null: no extra header. */
 typedef struct CodecRequest {
     const char *path, *header_name, *header_value;
     Bytes body;
--- a/packages/sim/test/test_client.h
+++ b/packages/sim/test/test_client.h
@@ -1,8 +1,7 @@
 #ifndef SIM_TEST_TEST_CLIENT_H
 #define SIM_TEST_TEST_CLIENT_H
 
-/* A test client that sends requests through an RPC endpoint, and the frames of its requests as they appear on the wire.
- * Included by one test program each. */
+/* A test client that sends requests through an RPC endpoint, and the frames of its requests as encoded on the wire. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
