--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -1,19 +1,19 @@
 #ifndef LOCK_LOCK_H
 #define LOCK_LOCK_H
 
-/* The leader's lock: the master lock of the paper (XenServer HA design). In the paper it is on a shared disk; here it
- * is a lease granted by a majority of the voters. This package contains only the arithmetic, without messages or disk
- * access: what a voter has promised and granted, and how long the holder (the leader) may rely on it. Used by
- * packages/replication; no function here blocks or allocates.
+/* The leader's lock: the master lock of XenServer's HA design. There it is on a shared disk; here it is a lease granted
+ * by a majority of the voters. This package contains only the arithmetic, without messages or disk access: what a voter
+ * has promised and granted, and how long the holder (the leader) may rely on it. Used by packages/replication; no
+ * function here suspends the coroutine or allocates.
  *
- * Why there is at most one holder (the paper's safety rule 1):
+ * Why there is at most one holder (safety rule 1 of XenServer's HA design):
  * - The holder counts its lease from when it SENT the request, the voter from when it ANSWERED, which is later. The
  *   holder also relies on less than a voter grants (LOCK_LEASE_MS of LOCK_GRANT_MS, and the same fraction of a shorter
  *   grant), so that clocks may run CLOCK_SLOW_PERCENT slow or fast. Clocks of two processes are never compared.
  * - The holder requests a duration for each grant. A voter grants no less, and never shortens a grant.
  * - A voter promises no term to another node before the lease that it granted has expired.
  * - Each holder needs a majority of the voters, and two majorities share a voter. This also holds while voters are
- * added or removed one at a time: majorities of two lists that differ in one voter share a voter.
+ *   added or removed one at a time: majorities of two lists that differ in one voter share a voter.
  *
  * A holder is identified by the id of its disk, a term by its number (base/term.h). All times are ms on the process's
  * own steady clock. */
@@ -24,7 +24,7 @@
 
 #include "base/status.h"
 
-#define VOTERS_MAX 9     /* maximum number of voters: four disks may be lost at once */
+#define VOTERS_MAX 9     /* maximum number of voters: four disks may be lost at the same time */
 #define VOTERS_INITIAL 3 /* number of voters with which one disk may be lost */
 
 /* The number of voters that is a majority (a quorum) of so many voters. */
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -169,8 +169,8 @@
     assert_int_equal(lock_may_promise(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_OK);
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_RESTARTED);
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS + LOCK_GRANT_MS), STATUS_OK);
-    lock_release(&voter, TERM, HOLDER,
-                 NOW_MS); /* the last holder releases the lease that the voter may have forgotten */
+    /* the last holder releases the lease that the voter may have forgotten */
+    lock_release(&voter, TERM, HOLDER, NOW_MS);
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_OK);
 }
 
