--- a/packages/heartbeat/include/heartbeat/lease.h
+++ b/packages/heartbeat/include/heartbeat/lease.h
@@ -1,15 +1,16 @@
 #ifndef HEARTBEAT_LEASE_H
 #define HEARTBEAT_LEASE_H
 
-/* A worker's lease, which replaces the paper's watchdog: the agent's worker may run work only while the lease is valid.
- * The leader grants the lease to the agent, and the agent delegates a part of it to its worker. At each of the two
- * steps the grantee counts from when it SENT its heartbeat, and the grantor from when it ANSWERED and with an allowance
- * for a clock that is CLOCK_SLOW_PERCENT slow. The worker's lease therefore ends before the agent's, and the agent's
- * before the leader considers it expired: work is restarted elsewhere only when it runs nowhere (the paper's safety
- * rule 2).
+/* A worker's lease, which replaces the watchdog of XenServer's HA design: the agent's worker may run work only while
+ * the lease is valid. The leader grants the lease to the agent, and the agent delegates a part of it to its worker. At
+ * each of the two steps the grantee counts from when it SENT its heartbeat, and the grantor from when it ANSWERED and
+ * with an allowance for a clock that is CLOCK_SLOW_PERCENT slow. The worker's lease therefore ends before the agent's,
+ * and the agent's before the leader considers it expired: work is restarted elsewhere only when it runs nowhere (safety
+ * rule 2 of XenServer's HA design).
  *
- * Used by the agent (its own lease, and the part for the worker) and by the leader (its claim). Times are ms on the
- * process's own steady clock; no function here blocks or allocates. */
+ * Used by the agent (its own lease, and the part for the worker) and by the leader (how long it must assume that a
+ * lease is valid). Times are ms on the process's own steady clock; no function here suspends the coroutine or
+ * allocates. */
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -34,7 +35,7 @@
  * grantee's clock may be slow and its timers are coarse (LEASE_SLACK_MS). Always more than lease_ms. */
 int64_t lease_claim_ms(int64_t lease_ms);
 /* How much, in ms, of a lease that is valid for another lease_ms may be delegated, so that the delegated part ends on a
- * slow clock before the whole lease ends on this process's clock. */
+ * slow clock before the entire lease ends on this process's clock. */
 int64_t lease_delegated_ms(int64_t lease_ms);
 
 #endif
--- a/packages/heartbeat/include/heartbeat/liveset.h
+++ b/packages/heartbeat/include/heartbeat/liveset.h
@@ -1,12 +1,12 @@
 #ifndef HEARTBEAT_LIVESET_H
 #define HEARTBEAT_LIVESET_H
 
-/* The live set (the paper's liveset): the workers whose lease is valid, as known to the leader. It exists only in the
- * leader's memory; a new leader rebuilds it from heartbeats, and declares no worker lost before every lease granted by
- * an earlier leader has expired. A worker that is no longer live has stopped its work by itself, so it is safe to
- * restart that work elsewhere.
+/* The live set (the liveset of XenServer's HA design): the workers whose lease is valid, as known to the leader. It
+ * exists only in the leader's memory; a new leader rebuilds it from heartbeats, and declares no worker lost before
+ * every lease granted by an earlier leader has expired. A worker that is no longer live has stopped its work by itself,
+ * so it is safe to restart that work elsewhere.
  *
- * Used by the controller while it leads. Times are ms on its steady clock; no function here blocks. */
+ * Used by the controller while it leads. Times are ms on its steady clock; no function here suspends the coroutine. */
 
 #include "base/arrivals.h"
 #include "heartbeat/messages.h"
@@ -54,8 +54,9 @@
 void liveset_set_loss_pending(Liveset *liveset, const char *worker, bool losing);
 /* The worker's row, valid until liveset_reset; NULL: the worker is unknown. */
 const LiveRow *liveset_find(const Liveset *liveset, const char *name);
-/* Whether the worker may be given work now: it is live, it sent a heartbeat within the last three intervals, and it is
- * neither leaving nor being declared lost. */
+/* Whether the worker may be given work now: its lease is valid, it is live, its agent sent a heartbeat within the last
+ * three intervals and has a complete list of running attempts, and the worker is neither leaving nor being declared
+ * lost. */
 bool live_row_ready(const LiveRow *row, int64_t now_ms);
 /* Whether the next heartbeat is overdue, judged by the usual time between heartbeats. The worker is then probably
  * disconnected, frozen or dead, long before its lease expires. This is only a hint for new decisions and may be wrong;
--- a/packages/heartbeat/include/heartbeat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -67,8 +67,8 @@
     X(LST, wanted, AttemptId)
 SHAPE(HeartbeatAnswer, HEARTBEAT_ANSWER_FIELDS)
 
-/* The question of survival rule 2 (the paper's "all have lost the statefile"): whether the recipient knows a holder of
- * the lock. */
+/* The question of survival rule 2 (XenServer's HA design: "all have lost the statefile"): whether the recipient knows a
+ * holder of the lock. */
 #define KNOW_ASK_FIELDS(X) X(U64, nothing, 0)
 SHAPE(KnowAsk, KNOW_ASK_FIELDS)
 
--- a/packages/heartbeat/include/heartbeat/orphans.h
+++ b/packages/heartbeat/include/heartbeat/orphans.h
@@ -6,7 +6,7 @@
  * not free until the worker's agent has reported their end. The list exists only in the leader's memory; a new leader
  * learns of them from the first heartbeats, before which it places nothing.
  *
- * Used by the controller while it leads. Times are ms on its steady clock; no function here blocks. */
+ * Used by the controller while it leads. Times are ms on its steady clock; no function here suspends the coroutine. */
 
 #include "heartbeat/messages.h"
 #include "state/table.h"
@@ -23,8 +23,8 @@
 void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t attempt,
                  int64_t until_ms);
 /* Processes a heartbeat, which lists all attempts that may run on the worker. A listed attempt that the table has
- * elsewhere or not at all becomes orphaned. An orphaned attempt that is not listed, and whose order cannot arrive any
- * more, has ended and is removed. */
+ * elsewhere or not at all becomes orphaned. An orphaned attempt that is not listed, and whose order can no longer
+ * arrive, has ended and is removed. */
 void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms);
 /* Processes an agent's report that an attempt has ended: it and older attempts of the task are removed on that worker.
  */
--- a/packages/heartbeat/src/lease.c
+++ b/packages/heartbeat/src/lease.c
@@ -5,9 +5,8 @@
 #include "base/invariant.h"
 
 #define WHOLE_PERCENT 100
-#define SLOW_CLOCK_PERCENT                                                                    \
-    (WHOLE_PERCENT - CLOCK_SLOW_PERCENT) /* the part of a duration that a slow clock measures \
-                                          */
+/* The part of a duration that a slow clock measures, in percent. */
+#define SLOW_CLOCK_PERCENT (WHOLE_PERCENT - CLOCK_SLOW_PERCENT)
 
 bool lease_renewed(Lease *lease, uint64_t term, int64_t sent_ms, int64_t lease_ms)
 {
--- a/packages/heartbeat/test/orphans.c
+++ b/packages/heartbeat/test/orphans.c
@@ -68,7 +68,7 @@
     assert_int_equal(cpu_on(fixture, "w2"), 3000);
     AttemptId listed = {"j", 0, 2};
     heartbeat(fixture, "w2", &listed, 1, UNTIL_MS + 1);
-    assert_int_equal(cpu_on(fixture, "w2"), 3000); /* still listed, although no order is in transit any more */
+    assert_int_equal(cpu_on(fixture, "w2"), 3000); /* still listed, although its order is no longer in transit */
     const AttemptUpdate older = {.job = "j", .task = 0, .attempt = 1, .worker = "w2", .word = ATTEMPT_STOPPED};
     orphans_end(fixture->orphans, &older);
     assert_int_equal(cpu_on(fixture, "w2"), 3000);
