--- a/packages/journal/include/journal/journal.h
+++ b/packages/journal/include/journal/journal.h
@@ -14,16 +14,16 @@
  * journal was synced. It is written JOURNAL_HINT_MS after a sync and never synced itself; what it covers cannot be a
  * torn tail.
  *
- * "Blocks" means that the calling task is suspended; all other functions return immediately.
+ * A function whose comment does not state that it suspends the coroutine returns immediately.
  *
  * Invariants: acknowledged writes survive a loss of power if the disk keeps what it syncs; a rewrite leaves either the
  * old file or the new one, complete; after a failed write nothing is written except by a rewrite. */
 typedef struct Journal Journal;
 
-/* Receives each record that was read, in order; the record is valid during the call only. Must not block. */
+/* Receives each record that was read, in order; the record is valid during the call only. Must not suspend the
+ * coroutine. */
 typedef void (*JournalFn)(void *arg, const Record *record);
 
-/* Statistics of a journal, counted since it was opened unless stated otherwise. */
 /* Statistics of a journal, counted since it was opened unless stated otherwise. */
 typedef struct JournalCounts {
     uint64_t syncs;        /* number of appends that were synced, or failed to */
@@ -48,22 +48,23 @@
  * position. */
 Status journal_read(Bytes content, JournalFn on_record, void *arg, size_t *valid_bytes, Failure *failure);
 
-/* Blocks. Opens the file, or creates it with a new disk id, and passes its records to on_record. The journal is
- * allocated on mem. JOURNAL_CORRUPT: the file is corrupt or, if the disk keeps what it syncs, less of it is valid than
- * was synced JOURNAL_HINT_MS before the last process ended; JOURNAL_FOREIGN: it was created for a node of another name;
- * JOURNAL_FORMAT: it was written by a later release; DISK_FAILED: the disk refused access for JOURNAL_OPEN_RETRY_MS. */
+/* Suspends the coroutine. Opens the file, or creates it with a new disk id, and passes its records to on_record. The
+ * journal is allocated on mem. JOURNAL_CORRUPT: the file is corrupt or, if the disk keeps what it syncs, less of it is
+ * valid than was synced JOURNAL_HINT_MS before the last process ended; JOURNAL_FOREIGN: it was created for a node of
+ * another name; JOURNAL_FORMAT: it was written by a later release; DISK_FAILED: the disk refused access for
+ * JOURNAL_OPEN_RETRY_MS. */
 Status journal_open(Loop *loop, void *mem, const JournalSettings *settings, JournalFn on_record, void *arg,
                     Journal **journal, Failure *failure);
-/* Blocks. Atomically replaces a corrupt journal by an empty one with a new disk id. The old file, if it has at most
- * JOURNAL_DAMAGED_KEEP_BYTES, is kept beside it as PATH.bad for an investigation of the fault. */
+/* Suspends the coroutine. Atomically replaces a corrupt journal by an empty one with a new disk id. The old file, if it
+ * has at most JOURNAL_DAMAGED_KEEP_BYTES, is kept beside it as PATH.bad for an investigation of the fault. */
 Status journal_recreate(Loop *loop, void *mem, const JournalSettings *settings, Journal **journal, Failure *failure);
 /* The id of this disk: a random number that was drawn when the file was created. */
 uint64_t journal_disk(const Journal *journal);
-/* Writes the records. Blocks until they, and all records queued earlier, are synced; with no records, until the earlier
- * ones are. TOO_LARGE: they do not fit into a block, and nothing is written; DISK_FAILED. */
+/* Writes the records. Suspends the coroutine until they, and all records queued earlier, are synced; with no records,
+ * until the earlier ones are. TOO_LARGE: they do not fit into a block, and nothing is written; DISK_FAILED. */
 Status journal_write(Journal *journal, const Record *records, size_t count);
-/* Replaces the content of the whole file by the identity and these records, which must include everything that was
- * queued earlier. Blocks until that is synced. Allowed after a failure too. DISK_FAILED. */
+/* Replaces the entire content of the file by the identity and these records, which must include everything that was
+ * queued earlier. Suspends the coroutine until that is synced. Allowed after a failure too. DISK_FAILED. */
 Status journal_rewrite(Journal *journal, const Record *records, size_t count);
 /* Whether a write has failed: until a rewrite succeeds, all other writes fail immediately. */
 bool journal_failed(const Journal *journal);
--- a/packages/journal/src/block.h
+++ b/packages/journal/src/block.h
@@ -3,7 +3,7 @@
 
 #include "journal/record.h"
 
-/* Construction of the blocks of a journal; journal_read parses them. No function here blocks. */
+/* Construction of the blocks of a journal; journal_read parses them. No function here suspends the coroutine. */
 
 /* Appends a complete block with this body to *to, which grows on mem. */
 void block_add(void *mem, Bytes *to, Bytes body);
--- a/packages/journal/src/inside.h
+++ b/packages/journal/src/inside.h
@@ -8,7 +8,7 @@
 /* A queued write; owned by the task that awaits its sync. */
 typedef struct QueuedWrite {
     struct QueuedWrite *next;
-    bool rewrite;       /* body is the whole file, in blocks; otherwise it is records to be put into a block */
+    bool rewrite;       /* body is the complete file, in blocks; otherwise it is records to be put into a block */
     int64_t generation; /* of the file that a rewrite creates */
     Bytes body;
     size_t records; /* number of records in body */
@@ -39,10 +39,10 @@
 
 /* Returns the identity, the first record of a file of that generation. */
 Record journal_identity(const Journal *journal, int64_t generation);
-/* Blocks. Writes the hint: how much of the file was synced. */
+/* Suspends the coroutine. Writes the hint: how much of the file was synced. */
 void hint_write(Journal *journal);
-/* Blocks. Returns how many bytes of the open file were synced according to the hint; 0: there is no hint, or it is for
- * another file. */
+/* Suspends the coroutine. Returns how many bytes of the open file were synced according to the hint; 0: there is no
+ * hint, or it is for another file. */
 size_t hint_read(const Journal *journal);
 /* Spawns the writing task of an open journal. */
 void journal_run(Journal *journal);
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -23,7 +23,7 @@
 }
 
 /* Removes the writes that share the next sync from the queue: as many as fit into a block, or one rewrite of any size.
- * The first one is always taken: omitting a rewrite would leave an empty file. */
+ * The first one is always included: omitting a rewrite would leave an empty file. */
 static Batch batch_dequeue(Journal *journal, void *mem)
 {
     Batch batch = {.first = journal->first, .rewrite = journal->first->rewrite};
@@ -40,7 +40,7 @@
     return batch;
 }
 
-/* Blocks. Replaces the file, or appends a block to it, and syncs it. */
+/* Suspends the coroutine. Replaces the file, or appends a block to it, and syncs it. */
 static Status batch_sync(Journal *journal, void *mem, const Batch *batch)
 {
     if (batch->rewrite) {
@@ -63,7 +63,7 @@
     return status;
 }
 
-/* Blocks. Writes the batch, and records the duration. */
+/* Suspends the coroutine. Writes the batch, and records the duration. */
 static Status batch_write(Journal *journal, void *mem, const Batch *batch)
 {
     if (journal->failed && !batch->rewrite) /* the content of the old file is unknown: a rewrite is needed */
@@ -96,7 +96,7 @@
     }
 }
 
-/* Blocks until a write is queued. Writes the hint when it is due. */
+/* Suspends the coroutine until a write is queued. Writes the hint when it is due. */
 static void queue_await(Journal *journal)
 {
     for (;;) {
@@ -132,7 +132,7 @@
 
 /* --- the queue --------------------------------------------------------------------------- */
 
-/* Queues the write. Blocks until it is synced, and frees it. */
+/* Queues the write. Suspends the coroutine until it is synced, and frees it. */
 static Status write_enqueue(Journal *journal, QueuedWrite *write)
 {
     if (journal->failed && !write->rewrite) {
--- a/packages/journal/src/open.c
+++ b/packages/journal/src/open.c
@@ -39,7 +39,7 @@
         opening->on_record(opening->arg, record);
 }
 
-/* Blocks. Allocates a journal on mem and opens its file. */
+/* Suspends the coroutine. Allocates a journal on mem and opens its file. */
 static Status journal_allocate(Loop *loop, void *mem, const JournalSettings *settings, Journal **out, Failure *failure)
 {
     Journal *journal = talloc_zero(mem, Journal);
@@ -51,7 +51,7 @@
     return file_open(loop, journal, settings->path, &journal->file, failure);
 }
 
-/* Blocks. Replaces the file; if the disk refuses that, retries for JOURNAL_OPEN_RETRY_MS. */
+/* Suspends the coroutine. Replaces the file; if the disk refuses that, retries for JOURNAL_OPEN_RETRY_MS. */
 static Status replace_with_retry(Journal *journal, Bytes content)
 {
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_RETRY_MS;
@@ -61,7 +61,7 @@
     return status;
 }
 
-/* Blocks. Reads the file; if the disk refuses that, retries for JOURNAL_OPEN_RETRY_MS. */
+/* Suspends the coroutine. Reads the file; if the disk refuses that, retries for JOURNAL_OPEN_RETRY_MS. */
 static Status read_with_retry(Journal *journal, void *mem, Bytes *content)
 {
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_RETRY_MS;
@@ -71,7 +71,7 @@
     return status;
 }
 
-/* Blocks. Reads the file, passes its records to the reader, and truncates a torn tail. */
+/* Suspends the coroutine. Reads the file, passes its records to the reader, and truncates a torn tail. */
 static Status content_read(Journal *journal, const char *path, Opening *opening, Failure *failure)
 {
     void *mem = talloc_new(journal);
@@ -84,8 +84,8 @@
         status = journal_read(content, open_record, opening, &valid_bytes, failure);
     if (status == STATUS_OK && opening->failure.status != STATUS_OK)
         status = failure_set(failure, opening->failure.status, "%s", opening->failure.text);
-    if (status == STATUS_OK && valid_bytes == 0 &&
-        content.count > 0) /* the first block is written atomically, so it cannot be torn */
+    /* the first block is written atomically, so it cannot be torn */
+    if (status == STATUS_OK && valid_bytes == 0 && content.count > 0)
         status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s is not a journal", path);
     const size_t synced = status == STATUS_OK && journal->disk_durable ? hint_read(journal) : 0;
     if (status == STATUS_OK && valid_bytes < synced)
@@ -103,7 +103,7 @@
     return status;
 }
 
-/* Blocks. Draws a new disk id, and replaces the file by one that contains the identity only. */
+/* Suspends the coroutine. Draws a new disk id, and replaces the file by one that contains the identity only. */
 static Status identity_write(Journal *journal, const char *path, Failure *failure)
 {
     void *mem = talloc_new(journal);
@@ -137,8 +137,8 @@
     return STATUS_OK;
 }
 
-/* Blocks. Saves a copy of the corrupt file beside it for an investigation of the fault. A failure has no consequences.
- */
+/* Suspends the coroutine. Saves a copy of the corrupt file beside it for an investigation of the fault. A failure has
+ * no consequences. */
 static void corrupt_copy_save(Journal *journal, const char *path)
 {
     void *mem = talloc_new(journal);
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -123,7 +123,7 @@
     loop_spawn(loop, "begin", begin_main, arg);
 }
 
-/* A file that is not a journal, and a journal that lost its beginning, are refused and never taken for an empty disk.
+/* A file that is not a journal, and a journal that lost its beginning, are refused and never treated as an empty disk.
  * The replacement has another disk id, records permanently that it is one, and keeps a copy of the corrupt file. */
 static void broken_file_gives_way_to_new_disk(void **state)
 {
--- a/packages/journal/test/journal_large.c
+++ b/packages/journal/test/journal_large.c
@@ -21,7 +21,7 @@
 /* One run of a process that opens the journal and may rewrite it. */
 typedef struct ProcessRun {
     Loop *loop;
-    bool rewrite; /* the whole file is rewritten to all records */
+    bool rewrite; /* the entire file is rewritten to all records */
     Journal *journal;
     Status opened, rewritten;
     uint64_t disk;
@@ -43,7 +43,7 @@
     process->entries += is_entry(record, process->entries);
 }
 
-/* Blocks. Rewrites the journal to all records. */
+/* Suspends the coroutine. Rewrites the journal to all records. */
 static Status rewrite_all(Journal *journal, void *mem)
 {
     Record *records = talloc_zero_array(mem, Record, RECORD_COUNT);
