--- a/packages/member/include/member/record.h
+++ b/packages/member/include/member/record.h
@@ -23,18 +23,18 @@
 /* The record of a member. Only the member itself creates new versions; of two versions the one with the higher
  * (incarnation, tick) is newer. The address does not identify a member, since addresses may be reused. */
 #define MEMBER_FIELDS(X)                                                                   \
-    X(TXT, id, 0) /* Unique: the name; for a controller, the name and its disk's id */     \
+    X(TXT, id, 0) /* unique: the name; for a controller, the name and its disk's id */     \
     X(TXT, name, 0)                                                                        \
     X(U64, role, 0)                                                                        \
     X(TXT, zone, 0)                                                                        \
-    X(TXT, address, 0)     /* Address for other members */                                 \
-    X(TXT, http, 0)        /* Address for callers */                                       \
-    X(U64, incarnation, 0) /* Increases with each start of the process */                  \
-    X(U64, tick, 0)        /* Increases with each hello */                                 \
+    X(TXT, address, 0)     /* address for other members */                                 \
+    X(TXT, http, 0)        /* address for callers */                                       \
+    X(U64, incarnation, 0) /* increases with each start of the process */                  \
+    X(U64, tick, 0)        /* increases with each hello */                                 \
     X(U64, cluster, 0)     /* 0: none is known */                                          \
-    X(U64, disk, 0)        /* Controllers: the id of the disk, which identifies a voter */ \
-    X(FLAG, empty, 0)      /* Controllers: the disk has never been part of a cluster */    \
-    X(FLAG, leaving, 0)    /* Graceful shutdown (the paper's "excluded") */
+    X(U64, disk, 0)        /* controllers: the id of the disk, which identifies a voter */ \
+    X(FLAG, empty, 0)      /* controllers: the disk has never been part of a cluster */    \
+    X(FLAG, leaving, 0)    /* graceful shutdown ("excluded" in XenServer's HA design) */
 SHAPE(MemberRecord, MEMBER_FIELDS)
 
 /* A hello, used both as request and as answer: the sender's record, records of other members, and the cluster and the
@@ -46,13 +46,13 @@
     X(U64, cluster, 0)                                                                                               \
     X(U64, leader_term, 0)                                                                                           \
     X(TXT, leader_id, 0)                                                                                             \
-    X(U64, digest, 0)           /* Digest of the known controllers that are not quiet; 0: from an earlier release */ \
-    X(U64, sequence, 0)         /* Sequence number of the newest change of the sender's table */                     \
-    X(U64, have, 0)             /* Request of a controller: watermark up to which it has the receiver's changes */   \
-    X(U64, have_id, 0)          /* Process that the watermark refers to (PeerIdentity) */                            \
-    X(U64, have_incarnation, 0) /* Incarnation of that process */                                                    \
-    X(FLAG, whole, 0)           /* Request: the answer must contain the receiver's whole table */                    \
-    X(FLAG, seeks, 0)           /* No controller of its cluster contacts the sender: they must learn of it */
+    X(U64, digest, 0)           /* digest of the known controllers that are not quiet; 0: from an earlier release */ \
+    X(U64, sequence, 0)         /* sequence number of the newest change of the sender's table */                     \
+    X(U64, have, 0)             /* request of a controller: watermark up to which it has the receiver's changes */   \
+    X(U64, have_id, 0)          /* process that the watermark refers to (PeerIdentity) */                            \
+    X(U64, have_incarnation, 0) /* incarnation of that process */                                                    \
+    X(FLAG, whole, 0)           /* request: the answer must contain the receiver's complete table */                 \
+    X(FLAG, seeks, 0)           /* no controller of its cluster contacts the sender: they must learn of it */
 SHAPE(Hello, HELLO_FIELDS)
 
 /* Request by which a controller with an empty disk asks a seed for its vote to found the cluster, or (back) gives the
--- a/packages/member/src/difference.c
+++ b/packages/member/src/difference.c
@@ -16,10 +16,10 @@
 
 /* Which records an answer contains. */
 typedef enum AnswerKind {
-    ANSWER_WHOLE,       /* All records, including those of quiet members */
-    ANSWER_ALIVE,       /* All records of members that are not quiet */
-    ANSWER_CONTROLLERS, /* Records of controllers */
-    ANSWER_NONE         /* Only what changed after the requester's watermark */
+    ANSWER_WHOLE,       /* all records, including those of quiet members */
+    ANSWER_ALIVE,       /* all records of members that are not quiet */
+    ANSWER_CONTROLLERS, /* records of controllers */
+    ANSWER_NONE         /* only what changed after the requester's watermark */
 } AnswerKind;
 
 static bool is_controller(const MemberRecord *record)
@@ -33,7 +33,7 @@
     for (size_t i = 0; i < members->table->count; i++) {
         const Member *row = &members->table->rows[i];
         if (is_controller(&row->record) && !member_quiet(row, loop_now_ms(members->loop)))
-            digest += row->hash; /* A sum does not depend on the order */
+            digest += row->hash; /* a sum does not depend on the order */
     }
     return digest != 0 ? digest : 1;
 }
@@ -45,7 +45,7 @@
 
 /* --- requests -------------------------------------------------------------------- */
 
-/* True if a controller may name the member to the receiver. Entry points need other entry points, to which they hand
+/* Whether a controller may name the member to the receiver. Entry points need other entry points, to which they hand
  * over their repair buffers. */
 static bool may_sample(const Members *members, const Member *row, const MemberRecord *receiver)
 {
@@ -85,7 +85,7 @@
 {
     if (ask->whole)
         return ANSWER_WHOLE;
-    if (ask->digest == 0) /* From an earlier release */
+    if (ask->digest == 0) /* from an earlier release */
         return ANSWER_ALIVE;
     const bool both_controllers = is_controller(&ask->self) && members->self.role == ROLE_CONTROLLER;
     return both_controllers || ask->digest != difference_digest(members) ? ANSWER_CONTROLLERS : ANSWER_NONE;
@@ -102,7 +102,7 @@
     return same_process && ask->have <= members->sequence ? ask->have : 0;
 }
 
-/* True if the record is of a process that the requester has replaced: the requester has to choose a higher
+/* Whether the record is of a process that the requester has replaced: the requester has to choose a higher
  * incarnation. */
 static bool conflicts_with_requester(const MemberRecord *record, const MemberRecord *requester)
 {
--- a/packages/member/src/gossip.c
+++ b/packages/member/src/gossip.c
@@ -1,7 +1,7 @@
 /* Decides when hellos are sent, and to whom. A controller sends one to each seed every HELLO_MS and to every member
  * within CONTACT_INTERVAL_MS, so that it knows which members it reaches. Any other process finds the controllers
- * through the seeds and the members that it knows, so that all processes find each other even if none of the seeds runs
- * any more; once a controller contacts it, it sends fewer hellos. */
+ * through the seeds and the members that it knows, so that all processes find each other even if no seed is
+ * running any longer; once a controller contacts it, it sends fewer hellos. */
 #include "gossip.h"
 
 #include <string.h>
@@ -13,19 +13,19 @@
 #include "loop/loop.h"
 #include "table.h"
 
-/* Time in ms without a leader after which the seeds are asked too: most elections take less time. */
+/* Time without a leader after which the seeds are asked too, in ms: most elections take less time. */
 #define SEEK_SEEDS_MS 1000
 /* Number of controllers that an entry point contacts at a time: the loss of one is tolerated. */
 #define ENTRY_CONTACTS 3
-/* Interval in ms at which a controller checks which members to contact. */
+/* Interval at which a controller checks which members to contact, in ms. */
 #define CONTACT_CHECK_MS (CONTACT_INTERVAL_MS / 20)
-/* Time in ms before the end of CONTACT_INTERVAL_MS at which a member is contacted: two rounds of attempts are made
+/* Time before the end of CONTACT_INTERVAL_MS at which a member is contacted, in ms: two rounds of attempts are made
  * before it counts as quiet. */
 #define CONTACT_EARLY_MS (CONTACT_INTERVAL_MS / 4)
 
 typedef struct SeedTask {
     Members *members;
-    size_t at; /* Index of the seed */
+    size_t at; /* index of the seed */
 } SeedTask;
 
 void members_seek_leader(Members *members)
@@ -41,7 +41,7 @@
     members->seek_since_ms = INT64_MAX;
 }
 
-/* True if no leader has answered for at least for_ms. */
+/* Whether no leader has answered for at least for_ms. */
 static bool leader_missing(const Members *members, int64_t for_ms)
 {
     return members->seek_since_ms != INT64_MAX && loop_now_ms(members->loop) - members->seek_since_ms >= for_ms;
@@ -59,7 +59,7 @@
     return interval_ms * 3 / 4 + (int64_t)(loop_random(members->loop) % (uint64_t)(interval_ms / 2));
 }
 
-/* True if a seed is this process or repeats an earlier seed: with fewer than three seeds, some are given twice. */
+/* Whether a seed is this process or repeats an earlier seed: with fewer than three seeds, some are given twice. */
 static bool seed_repeated(const Members *members, size_t at)
 {
     const char *address = members->seeds[at];
@@ -103,8 +103,9 @@
     }
 }
 
-/* The time after now_ms at which the member is contacted next. Quiet members are contacted too, so that they are found
- * again when a network partition heals. */
+/* The time after now_ms at which the member is contacted next. Members that have been silent for more than
+ * SILENT_CONTACT_MS are contacted less often, but still contacted, so that they are found again when a network
+ * partition heals. */
 static int64_t contact_due_ms(const Member *row, int64_t now_ms)
 {
     const bool gone = now_ms - row->newest_record_ms > SILENT_CONTACT_MS;
@@ -126,14 +127,14 @@
             if (member_quiet(row, now_ms))
                 hello_spawn(members, row->record.address);
             else
-                /* A lost message must not make the member look quiet. */
+                /* a lost message must not make the member look quiet */
                 hello_spawn_repeated(members, row->record.address);
         }
         loop_sleep(members->loop, CONTACT_CHECK_MS);
     }
 }
 
-/* A random known member; null if only this process is known. */
+/* A random known member; NULL if only this process is known. */
 static const Member *random_member(Members *members, bool controllers)
 {
     const Member *chosen = NULL;
@@ -152,7 +153,7 @@
     const Member *row = random_member(members, controllers);
     if (row == NULL)
         return;
-    void *mem = talloc_new(members); /* The row may be removed during the wait for the answer */
+    void *mem = talloc_new(members); /* the row may be removed during the wait for the answer */
     hello_exchange(members, talloc_strdup(mem, row->record.address));
     talloc_free(mem);
 }
--- a/packages/member/src/gossip.h
+++ b/packages/member/src/gossip.h
@@ -4,7 +4,7 @@
 
 #include "member/members.h"
 
-/* True if a controller of the cluster contacts this process, which then need not look for one. */
+/* Whether a controller of the cluster contacts this process, which then need not look for one. */
 bool gossip_contacted(const Members *members);
 /* Spawns the tasks that send hellos until the loop stops. */
 void gossip_start(Members *members);
--- a/packages/member/src/hello.c
+++ b/packages/member/src/hello.c
@@ -18,7 +18,7 @@
 /* The side of an exchange that a hello comes from. */
 typedef enum HelloSide { HELLO_REQUEST, HELLO_ANSWER } HelloSide;
 
-/* True if the hello is from another cluster than this process's. A process that knows no cluster belongs to any. */
+/* Whether the hello is from another cluster than this process's. A process that knows no cluster belongs to any. */
 static bool other_cluster(const Members *members, const Hello *hello)
 {
     const uint64_t own = rpc_cluster(members->rpc);
@@ -43,7 +43,7 @@
 typedef struct HelloTask {
     Members *members;
     char address[ADDRESS_MAX];
-    int64_t wait_ms; /* Delay before the first attempt */
+    int64_t wait_ms; /* delay before the first attempt */
     int attempts;
 } HelloTask;
 
@@ -77,8 +77,8 @@
     hello_task_spawn(members, address)->attempts = HELLO_ATTEMPTS;
 }
 
-/* Contacts a newly known controller: at once from a controller, since a voter may be waiting for it; within HELLO_MS
- * from other processes, so that hundreds that start together do not all contact it at the same moment. */
+/* Contacts a newly known controller: immediately if this process is a controller, since a voter may be waiting for it;
+ * within HELLO_MS if it is not, so that hundreds that start together do not all contact it at the same moment. */
 static void new_controller_contact(Members *members, const char *address)
 {
     HelloTask *hello = hello_task_spawn(members, address);
@@ -112,11 +112,11 @@
         return;
     if (rpc_cluster(members->rpc) == 0 && hello->cluster != 0)
         cluster_join(members, hello->cluster);
-    for (size_t i = 0; i < hello->members_count; i++) /* The bounds of the table apply to each record */
+    for (size_t i = 0; i < hello->members_count; i++) /* the bounds of the table apply to each record */
         relayed_record_merge(members, &hello->members[i]);
     const bool added = table_merge(members, &hello->self, side == HELLO_ANSWER ? RECORD_ANSWERED : RECORD_ASKED_US);
     if (side == HELLO_REQUEST && (hello->seeks || hello->digest == 0) && members->self.role != ROLE_CONTROLLER)
-        table_mark_changed(members, hello->self.id); /* This process may be a seed of the sender */
+        table_mark_changed(members, hello->self.id); /* this process may be a seed of the sender */
     if (hello->self.role == ROLE_CONTROLLER && hello->cluster != 0)
         members->controller_heard_ms = loop_now_ms(members->loop);
     if (side == HELLO_ANSWER)
@@ -172,7 +172,7 @@
     }
 }
 
-/* --- the whole table -------------------------------------------------------------- */
+/* --- the complete table ----------------------------------------------------------- */
 
 /* Collects the addresses of the controllers that are not quiet, on mem. */
 static size_t controller_addresses(const Members *members, void *mem, const char ***addresses)
--- a/packages/member/src/leader.c
+++ b/packages/member/src/leader.c
@@ -21,7 +21,7 @@
     members->leader_term = term;
     talloc_free(members->leader_id);
     members->leader_id = talloc_strdup(members, id);
-    if (strcmp(id, members->self.id) != 0) /* This process has logged its own election already */
+    if (strcmp(id, members->self.id) != 0) /* this process has logged its own election already */
         log_event(members->recorder, LOG_TERM_CHANGED, loop_now_ms(members->loop),
                   &(LogFields){.term = term_counter(term), .peer = leader_name(members)});
     signal_raise(members->loop, &members->leader_changed);
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -37,7 +37,7 @@
 
 void members_set_seeds(Members *members, const char *const seeds[SEEDS])
 {
-    for (int i = 0; i < SEEDS; i++) /* The old text is not freed: a request in progress may still use it */
+    for (int i = 0; i < SEEDS; i++) /* the old text is not freed: a request in progress may still use it */
         if (strcmp(members->seeds[i], seeds[i]) != 0)
             members->seeds[i] = talloc_strdup(members, seeds[i]);
 }
--- a/packages/member/src/reach.c
+++ b/packages/member/src/reach.c
@@ -1,5 +1,5 @@
-/* Which members are quiet, and how many this process reaches. That number determines the quorum partition (the paper's
- * best partition): a leader that reaches far fewer members than another voter hands the lock over
+/* Which members are quiet, and how many this process reaches. That number determines the quorum partition (the best
+ * partition of XenServer's HA design): a leader that reaches far fewer members than another voter hands the lock over
  * (packages/replication). */
 #include "base/constants.h"
 #include "state.h"
--- a/packages/member/src/table.c
+++ b/packages/member/src/table.c
@@ -14,7 +14,7 @@
 
 #define FNV_BASIS 14695981039346656037u
 #define FNV_PRIME 1099511628211u
-#define ROWS_FIRST 16 /* Number of rows allocated at first; doubled when they are used up */
+#define ROWS_FIRST 16 /* number of rows allocated at first; doubled when they are used up */
 
 static bool is_newer(const MemberRecord *a, const MemberRecord *b)
 {
@@ -83,7 +83,7 @@
 static void row_write(Members *members, Member *row, const MemberRecord *record)
 {
     const uint64_t hash = record_hash(record);
-    if (row->mem != NULL && hash == row->hash) { /* The case of most hellos: nothing is copied */
+    if (row->mem != NULL && hash == row->hash) { /* the case of most hellos: nothing is copied */
         row->record.tick = record->tick;
         return;
     }
@@ -145,7 +145,7 @@
 
 /* --- merging --------------------------------------------------------------------- */
 
-/* True if the record is of this process, or of an earlier controller with its name. */
+/* Whether the record is of this process, or of an earlier controller with its name. */
 static bool claims_self(const Members *members, const MemberRecord *record)
 {
     const MemberRecord *self = &members->self;
@@ -183,7 +183,7 @@
     if (!is_newer(record, &row->record))
         return;
     const int64_t now_ms = loop_now_ms(members->loop);
-    if (member_quiet(row, now_ms)) /* Answers have omitted it meanwhile */
+    if (member_quiet(row, now_ms)) /* answers have omitted it meanwhile */
         row_mark_changed(members, row);
     row->newest_record_ms = now_ms;
     if (record->incarnation > row->record.incarnation)
@@ -211,8 +211,8 @@
     return count;
 }
 
-/* True if the partial view accepts one more relayed member. If the view is full, the longest silent member is removed
- * for it, provided that it is quiet. */
+/* Whether the partial view accepts one more relayed member. If the view is full, the member that has been silent
+ * longest is removed for it, provided that it is quiet. */
 static bool partial_view_admits(Members *members)
 {
     size_t oldest = 0;
@@ -224,7 +224,7 @@
     return true;
 }
 
-/* True if a new row may be added for the record. */
+/* Whether a new row may be added for the record. */
 static bool table_admits(Members *members, const MemberRecord *record, RecordSource source)
 {
     const bool controller = record->role == ROLE_CONTROLLER;
@@ -236,7 +236,7 @@
            partial_view_admits(members);
 }
 
-/* True if the row must be removed: nothing was heard of the member for MEMBER_FORGET_MS or, in the partial view, for
+/* Whether the row must be removed: nothing was heard of the member for MEMBER_FORGET_MS or, in the partial view, for
  * PARTIAL_VIEW_FORGET_MS; or the partial view has more than PARTIAL_VIEW_MAX members and this one has not been in
  * direct contact for SEED_REQUESTER_KEEP_MS. view: number of members in the partial view. */
 static bool row_expired(const Members *members, const Member *row, size_t view)
@@ -263,7 +263,7 @@
     if (!found && record->role == ROLE_CONTROLLER) {
         if (!namesake_replace(members, record))
             return false;
-        at = row_index(members, record->id, &found); /* A row before it may have been removed */
+        at = row_index(members, record->id, &found); /* a row before it may have been removed */
     }
     const bool add = !found;
     if (add) {
--- a/packages/member/src/table.h
+++ b/packages/member/src/table.h
@@ -6,9 +6,9 @@
 
 /* How a record was received. */
 typedef enum RecordSource {
-    RECORD_RELAYED,  /* Passed on by another process */
-    RECORD_ASKED_US, /* Sent by its own process, with a request to this process */
-    RECORD_ANSWERED  /* Sent by its own process, in answer to a request of this process: both directions work */
+    RECORD_RELAYED,  /* passed on by another process */
+    RECORD_ASKED_US, /* sent by its own process, with a request to this process */
+    RECORD_ANSWERED  /* sent by its own process, in answer to a request of this process: both directions work */
 } RecordSource;
 
 /* Creates the table with the row of this process. */
@@ -24,9 +24,9 @@
 void table_mark_changed(Members *members, const char *id);
 /* The writable row at the index. */
 Member *table_row(Members *members, size_t at);
-/* The row of the process that was last heard from at the address; null if there is none. */
+/* The row of the process that was last heard from at the address; NULL if there is none. */
 Member *table_find_address(Members *members, const char *address);
-/* True if the record is that of this process. */
+/* Whether the record is that of this process. */
 bool table_is_self(const Members *members, const MemberRecord *record);
 
 #endif
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -33,7 +33,7 @@
     return lowest;
 }
 
-/* The founder gives the vote back; its proposals up to this one are not granted any more. */
+/* The founder gives the vote back; its proposals up to this one are no longer granted. */
 static void vote_return(Vote *vote, const VoteAsk *ask)
 {
     if (vote->disk == ask->disk && vote->ballot <= ask->ballot)
@@ -76,7 +76,7 @@
 
 /* --- a founder: asking the seeds -------------------------------------------------- */
 
-/* One proposal to all seeds. Reference counted: freed by the last of its users, which are the proposing task and one
+/* One proposal to all seeds. Reference-counted: freed by the last of its users, which are the proposing task and one
  * task for each seed. */
 typedef struct VoteProposal {
     Members *members;
@@ -114,7 +114,7 @@
     talloc_free(request);
 }
 
-/* True if the seed at i has no address, or that of an earlier one. */
+/* Whether the seed at i has no address, or that of an earlier one. */
 static bool seed_skipped(const Members *members, int i)
 {
     bool skipped = members->seeds[i] == NULL;
