--- a/packages/replication/include/replication/inspection.h
+++ b/packages/replication/include/replication/inspection.h
@@ -5,7 +5,7 @@
 #include "replication/replication.h"
 
 /* Read access to the internal state of one node's replicated log, for checkers of safety properties (packages/explore).
- * For tests only: the product does not use it. No function here blocks. */
+ * For tests only: the product does not use it. No function here suspends the coroutine. */
 
 /* Capacity of the arrays of voters below. */
 #define REPLICATION_VOTERS_MAX VOTERS_MAX
@@ -20,7 +20,7 @@
     uint64_t list_index;                     /* of the entry with the list of voters; 0: the founding list */
     uint64_t voters[REPLICATION_VOTERS_MAX]; /* disks */
     size_t voter_count;
-    const Log *log; /* owned by the Replication; valid until the next blocking call */
+    const Log *log; /* owned by the Replication; valid until the next call that suspends the coroutine */
 } ReplicationInspection;
 
 /* Sets *window to the present state. */
--- a/packages/replication/include/replication/log.h
+++ b/packages/replication/include/replication/log.h
@@ -4,7 +4,7 @@
 #include "journal/record.h"
 
 /* The in-memory log: a snapshot and the entries after it. Used by the voters and learners of the replicated log, and
- * read by the checkers of its safety properties (inspection.h). No function here blocks.
+ * read by the checkers of its safety properties (inspection.h). No function here suspends the coroutine.
  * Invariants: entries[i] has index base_index + 1 + i; terms never decrease along the log. */
 typedef struct Log {
     Record snapshot;                /* its index is base_index; kind 0: there is no snapshot */
--- a/packages/replication/include/replication/membership.h
+++ b/packages/replication/include/replication/membership.h
@@ -7,7 +7,7 @@
 #include "lock/lock.h"
 
 /* The choice of the next change of the list of voters: a pure function of what the leader knows. Used by the leader
- * (reconfigure.c) and by the status page. No function here blocks or allocates.
+ * (reconfigure.c) and by the status page. No function here suspends the coroutine or allocates.
  *
  * Each change adds or removes one voter, so that any majority of one list shares a voter with any majority of the next
  * (Raft: single-server membership changes). The next change is chosen only after the previous one is committed.
--- a/packages/replication/include/replication/messages.h
+++ b/packages/replication/include/replication/messages.h
@@ -26,10 +26,10 @@
     X(TXT, address, 0)
 SHAPE(VoterController, VOTER_CONTROLLER_FIELDS)
 
-/* The list of voters by place (Raft: the cluster configuration): the payload of a REPLICATION_CHANGE_VOTERS entry, and
- * of the journal record of the cluster's founding. Unrelated to the operators' configuration (config/config.h).
- * Invariants: disk 0 marks a vacant place; of two consecutive lists in the log, one has at most one voter more than the
- * other and otherwise the same voters. */
+/* The list of voters by position (Raft: the cluster configuration): the payload of a REPLICATION_CHANGE_VOTERS entry,
+ * and of the journal record of the cluster's founding. Unrelated to the operators' configuration (config/config.h).
+ * Invariants: disk 0 marks a vacant position; of two consecutive lists in the log, one has at most one voter more than
+ * the other and otherwise the same voters. */
 #define VOTER_LIST_FIELDS(X) \
     X(LST, voters, DiskId)   \
     X(LST, controllers, VoterController)
@@ -78,14 +78,14 @@
 
 /* MESSAGE_RENEW: the leader renews its lease and sends the commit index, the log's clock and its member id.
  * MESSAGE_RELEASE: the leader releases its lease. */
-#define RENEW_ASK_FIELDS(X)                                                                                \
-    X(U64, term, 0)                                                                                        \
-    X(U64, holder, 0)                                                                                      \
-    X(U64, commit_index, 0)                                                                                \
-    X(I64, clock_ms, 0)                                                                                    \
-    X(TXT, holder_id, 0)                                                                                   \
-    X(U64, to, 0)                                                                                          \
-    X(U64, next, 0)     /* in MESSAGE_RELEASE: the voter that shall stand for election at once; 0: none */ \
+#define RENEW_ASK_FIELDS(X)                                                                                    \
+    X(U64, term, 0)                                                                                            \
+    X(U64, holder, 0)                                                                                          \
+    X(U64, commit_index, 0)                                                                                    \
+    X(I64, clock_ms, 0)                                                                                        \
+    X(TXT, holder_id, 0)                                                                                       \
+    X(U64, to, 0)                                                                                              \
+    X(U64, next, 0)     /* in MESSAGE_RELEASE: the voter that shall stand for election immediately; 0: none */ \
     X(I64, grant_ms, 0) /* requested duration of the grant, in ms; 0: LOCK_GRANT_MS */
 SHAPE(RenewAsk, RENEW_ASK_FIELDS)
 
@@ -102,11 +102,11 @@
     X(I64, grant_ms, 0) /* as in MESSAGE_RENEW */
 SHAPE(AppendAsk, APPEND_ASK_FIELDS)
 
-/* MESSAGE_INSTALL_SNAPSHOT (Raft: InstallSnapshot). total 0: snapshot carries the whole payload. Otherwise its payload
- * is the piece that begins at byte from, of total bytes whose CRC is checksum.
- * A voter whose log already has everything that the snapshot covers keeps its log, which may be longer. over: appends
- * have found the voter's log to diverge from the leader's; entries covered by the voter's own snapshot then count as
- * present only if that snapshot is of the same term or a later one. */
+/* MESSAGE_INSTALL_SNAPSHOT (Raft: InstallSnapshot). total 0: snapshot carries the complete payload. Otherwise its
+ * payload is the piece that begins at byte from, of total bytes whose CRC is checksum. A voter whose log already has
+ * everything that the snapshot covers keeps its log, which may be longer. over: appends have found the voter's log to
+ * diverge from the leader's; entries covered by the voter's own snapshot then count as present only if that snapshot is
+ * of the same term or a later one. */
 #define INSTALL_SNAPSHOT_ASK_FIELDS(X) \
     X(U64, term, 0)                    \
     X(U64, holder, 0)                  \
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -11,7 +11,8 @@
  *
  * Each controller node (packages/controller) has one; learners follow the log without a vote. As in Raft, entries are
  * numbered by (term, index) and committed in order, and each term has one leader, which appends them. Unlike in Raft:
- *  - a leader has a lease (the paper's lock, see lock/lock.h) and acts only while the lease is valid;
+ *  - a leader has a lease (the master lock of XenServer's HA design, see lock/lock.h) and acts only while the lease is
+ *    valid;
  *  - a change is committed once every voter in the *view* has synced it. The view is at least a majority of the voters,
  *    like the in-sync replicas of primary-backup replication. The leader removes a voter that does not sync in time
  *    from the view; that voter keeps its vote and rejoins the view later;
@@ -23,7 +24,7 @@
  * Terminology: "holder" is the leader, as the holder of the lease; "restarted" describes a node that has restarted and
  * has been in no view since; a voter is identified by the id of its disk, so an array of "voters" holds disk ids. The
  * status page calls a term "epoch" and the voters "seats". Times are ms of the loop's clock unless stated otherwise.
- * "Blocks" means that the calling task is suspended; all other functions return immediately. */
+ * A function whose comment does not state that it suspends the coroutine returns immediately. */
 typedef struct Replication Replication;
 
 /* Numbers of the changes that the replicated log appends itself; those of the embedder (the controller) begin at
@@ -40,13 +41,13 @@
     uint64_t index;  /* log index of the change; set by the replicated log */
 } ChangeResult;
 
-/* The state machine to which changes are delivered, owned by the embedder. None of the functions may block. deliver
- * must depend on the change and the state only, so that all nodes reach the same state. */
+/* The state machine to which changes are delivered, owned by the embedder. None of the functions may suspend the
+ * coroutine. deliver must depend on the change and the state only, so that all nodes reach the same state. */
 typedef struct ReplicationState {
     void *arg;
     /* Applies the next committed change, which is owned by the log. */
     void (*deliver)(void *arg, const Record *change, ChangeResult *result);
-    /* Returns the whole state, packed and allocated on mem. */
+    /* Returns the complete state, packed and allocated on mem. */
     Bytes (*save)(void *arg, void *mem);
     /* Replaces the present state by a saved one; empty bytes stand for the initial state. */
     Status (*load)(void *arg, Bytes saved);
@@ -57,8 +58,9 @@
 typedef enum ReplicationPhase { REPLICATION_FOLLOWING, REPLICATION_ELECTING, REPLICATION_LEADING } ReplicationPhase;
 
 /* Called when the first entry of a term that this node leads is committed, before its phase becomes LEADING. Must not
- * block. new_holder: its lease was not carried over from an earlier term. repair: the view contains restarted voters
- * whose disks may have lost synced data, so committed changes may have been lost and have to be sent again. */
+ * suspend the coroutine. new_holder: its lease was not carried over from an earlier term. repair: the view contains
+ * restarted voters whose disks may have lost synced data, so committed changes may have been lost and have to be sent
+ * again. */
 typedef void (*ReplicationOpened)(void *arg, uint64_t term, bool new_holder, bool repair);
 
 /* Whether and how this process may found a cluster. */
@@ -77,7 +79,7 @@
     ReplicationState state;
     ReplicationOpened term_opened; /* may be NULL */
     void *term_opened_arg;
-    int losses; /* number of disks that may be lost at once; 2 * losses + 1 voters are wanted; 0: 1 */
+    int losses; /* number of disks that may be lost at the same time; 2 * losses + 1 voters are wanted; 0: 1 */
     FoundingMode founding_mode;
     bool longest_grant;           /* always request the longest grant of the lock, not one adapted to measured delays */
     bool disks_durable;           /* synced data survives a loss of power */
@@ -89,26 +91,27 @@
 
 /* Creates the replicated log of a node, allocated on mem, with a copy of the settings and without a disk yet. */
 Replication *replication_new(void *mem, const ReplicationSettings *settings);
-/* Blocks. Opens or creates the journal at the path and reads it; afterwards replication_disk is known. A corrupt
- * journal is replaced by a new, empty one. JOURNAL_FOREIGN: the journal belongs to another node; JOURNAL_FORMAT: it was
- * written by a later release; DISK_FAILED. failure (out): the reason as text. */
+/* Suspends the coroutine. Opens or creates the journal at the path and reads it; afterwards replication_disk is known.
+ * A corrupt journal is replaced by a new, empty one. JOURNAL_FOREIGN: the journal belongs to another node;
+ * JOURNAL_FORMAT: it was written by a later release; DISK_FAILED. failure (out): the reason as text. */
 Status replication_open_disk(Replication *replication, const char *path, const char *node_name, Failure *failure);
 /* Starts answering requests as a voter or learner, and standing for election. */
 void replication_start(Replication *replication, Members *members);
 
 /* --- changes ----------------------------------------------------------------------- */
 
-/* Submits a change. Blocks until it is delivered on this node. OK: *result is set. NOT_LEADER, BUSY: the change was not
- * appended. OUTCOME_UNKNOWN: it may still be delivered. */
+/* Submits a change. Suspends the coroutine until it is delivered on this node. OK: *result is set. NOT_LEADER, BUSY:
+ * the change was not appended. OUTCOME_UNKNOWN: it may still be delivered. */
 Status replication_submit(Replication *replication, uint64_t change, Bytes payload, ChangeResult *result);
 /* Submits a change without awaiting its delivery. The change is delivered in log order, unless this node loses the
- * leadership. Blocks only while this leader opens another term. NOT_LEADER, BUSY: the change was not appended. */
+ * leadership. Suspends the coroutine only while this leader opens another term. NOT_LEADER, BUSY: the change was not
+ * appended. */
 Status replication_submit_async(Replication *replication, uint64_t change, Bytes payload);
-/* Blocks until all entries appended so far are delivered on this node (a barrier). NOT_LEADER: they were not delivered
- * in time, or the leadership was lost. */
+/* Suspends the coroutine until all entries appended so far are delivered on this node (a barrier). NOT_LEADER: they
+ * were not delivered in time, or the leadership was lost. */
 Status replication_barrier(Replication *replication);
-/* Blocks. Records that the changes that may have been lost have been sent again (see ReplicationOpened). Returns the
- * statuses of replication_submit. */
+/* Suspends the coroutine. Records that the changes that may have been lost have been sent again (see
+ * ReplicationOpened). Returns the statuses of replication_submit. */
 Status replication_mark_repaired(Replication *replication);
 
 /* --- leadership --------------------------------------------------------------------- */
@@ -118,11 +121,12 @@
 /* Whether this node's lease is valid, also while it opens another term: workers' leases may then be renewed, but
  * nothing may be decided. */
 bool replication_lease_valid(const Replication *replication);
-/* Whether this node knows a leader, or may have known one before a restart (the paper's survival rule 2). */
+/* Whether this node knows a leader, or may have known one before a restart (survival rule 2 of XenServer's HA
+ * design). */
 bool replication_knows_leader(const Replication *replication);
-/* Blocks, until until_ms at the latest. OK: a majority of the voters has granted the lease to this node in answer to
- * requests that were sent after the call, so no other node led at the time of the call, however wrong the clocks are
- * (Raft: ReadIndex). NOT_LEADER: another node may lead; EXPIRED: too few answers in time. */
+/* Suspends the coroutine, until until_ms at the latest. OK: a majority of the voters has granted the lease to this node
+ * in answer to requests that were sent after the call, so no other node led at the time of the call, however wrong the
+ * clocks are (Raft: ReadIndex). NOT_LEADER: another node may lead; EXPIRED: too few answers in time. */
 Status replication_confirm_leader(Replication *replication, int64_t until_ms);
 /* The term that this node leads or led last; 0: none. */
 uint64_t replication_led_term(const Replication *replication);
@@ -130,9 +134,9 @@
 int64_t replication_lease_won_ms(const Replication *replication);
 /* Gives up the leadership, if this node has it. The node does not stand for election for rest_ms (0: no pause). */
 void replication_step_down(Replication *replication, int64_t rest_ms);
-/* Graceful shutdown, to be called after members_set_leaving. Blocks, until until_ms at the latest. A leader first waits
- * until a learner has been added as a voter and then gives up the leadership; the next leader removes this voter. If
- * there is no learner, this node remains a voter and logs that. */
+/* Graceful shutdown, to be called after members_set_leaving. Suspends the coroutine, until until_ms at the latest. A
+ * leader first waits until a learner has been added as a voter and then gives up the leadership; the next leader
+ * removes this voter. If there is no learner, this node remains a voter and logs that. */
 void replication_leave(Replication *replication, int64_t until_ms);
 
 /* --- clocks ------------------------------------------------------------------------- */
@@ -149,10 +153,10 @@
 uint64_t replication_cluster(const Replication *replication); /* the id of that cluster; 0: none */
 bool replication_is_voter(const Replication *replication); /* whether this node is a voter according to its own log */
 uint64_t replication_disk(const Replication *replication); /* the id of this node's disk */
-/* Writes the disks of the voters in the order of their places (state.h). Returns their number. */
+/* Writes the disks of the voters in the order of their positions (state.h). Returns their number. */
 size_t replication_voters(const Replication *replication, uint64_t voters[VOTERS_MAX]);
-/* Blocks on disk I/O. Makes this disk part of a cluster that is being founded. FOREIGN_CLUSTER: the disk belongs to
- * another cluster. */
+/* Suspends the coroutine for disk I/O. Makes this disk part of a cluster that is being founded. FOREIGN_CLUSTER: the
+ * disk belongs to another cluster. */
 Status replication_found(Replication *replication, uint64_t cluster, const VoterList *voters);
 /* Spawns the task that founds a cluster as the settings specify; none if this node may not found one. */
 void replication_found_start(Replication *replication);
--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -98,8 +98,8 @@
     return status;
 }
 
-/* Blocks on disk I/O. Writes these records and the entries that have not been passed to the journal yet. If there is
- * nothing to write, it still blocks until all earlier writes are synced. */
+/* Suspends the coroutine for disk I/O. Writes these records and the entries that have not been passed to the journal
+ * yet. If there is nothing to write, it still suspends the coroutine until all earlier writes are synced. */
 static Status entries_write(Replication *replication, const Record *first, size_t count)
 {
     void *mem = talloc_new(replication);
--- a/packages/replication/src/commit.h
+++ b/packages/replication/src/commit.h
@@ -3,7 +3,7 @@
 
 #include "replication/replication.h"
 
-/* The commit index, and delivery to the state machine. No function here blocks. */
+/* The commit index, and delivery to the state machine. No function here suspends the coroutine. */
 
 /* At the leader: advances the commit index to what every voter in the view and a majority of all voters have synced. An
  * entry of an earlier term is committed only together with the first entry of this term (Raft, figure 8). */
--- a/packages/replication/src/contact.h
+++ b/packages/replication/src/contact.h
@@ -11,10 +11,10 @@
 void contact_answered(Replication *replication, int slot, uint64_t contact);
 /* Whether the peer at the slot has not answered the newest round that it must answer. */
 bool contact_pending(const Replication *replication, int slot);
-/* Starts a new round. Blocks, for at most most_ms, until all voters and learners that are considered alive have
- * answered it. Returns its number. */
+/* Starts a new round. Suspends the coroutine, for at most most_ms, until all voters and learners that are considered
+ * alive have answered it. Returns its number. */
 uint64_t contact_members(Replication *replication, int64_t most_ms);
-/* Blocks for rest_ms, or until a round is requested that the peer at the slot has not answered. */
+/* Suspends the coroutine for rest_ms, or until a round is requested that the peer at the slot has not answered. */
 void contact_wait(Replication *replication, int slot, int64_t rest_ms);
 
 #endif
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -1,4 +1,4 @@
-/* Rewrites of the whole journal at run time: after a snapshot was made, and after a disk failure. */
+/* Rewrites of the entire journal at run time: after a snapshot was made, and after a disk failure. */
 #include <talloc.h>
 
 #include "disk.h"
@@ -24,8 +24,8 @@
     return records;
 }
 
-/* Blocks on disk I/O. Rewrites the whole journal with all entries, including those that had not been passed to it
- * before. These count as queued from now on, so that a later drop of them is written too. */
+/* Suspends the coroutine for disk I/O. Rewrites the entire journal with all entries, including those that had not been
+ * passed to it before. These count as queued from now on, so that a later drop of them is written too. */
 static Status journal_rewrite_all(Replication *replication)
 {
     void *mem = talloc_new(replication);
@@ -58,8 +58,8 @@
     log_event(replication->settings.recorder, LOG_DISK_FAILED, loop_now_ms(replication->loop), &(LogFields){0});
 }
 
-/* Blocks on disk I/O. One attempt to rewrite the whole journal after a failed write. Until an attempt succeeds, this
- * node accepts nothing, so that memory and disk cannot diverge. */
+/* Suspends the coroutine for disk I/O. One attempt to rewrite the entire journal after a failed write. Until an attempt
+ * succeeds, this node accepts nothing, so that memory and disk cannot diverge. */
 static void disk_recover(Replication *replication)
 {
     disk_failed_log(replication);
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -72,7 +72,7 @@
 typedef struct Prevote {
     size_t count;    /* number of voters that answered */
     size_t unleased; /* those of them that have granted no valid lease to another node */
-    bool removed;    /* this node is not a voter any more */
+    bool removed;    /* this node is no longer a voter */
     bool ahead;      /* another node has been promised a higher term and granted a lease */
 } Prevote;
 
--- a/packages/replication/src/founding.c
+++ b/packages/replication/src/founding.c
@@ -40,7 +40,7 @@
     return status;
 }
 
-/* Blocks on disk I/O. Founds or joins the cluster that has these voters. */
+/* Suspends the coroutine for disk I/O. Founds or joins the cluster that has these voters. */
 static Status found_with_disks(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
 {
     void *mem = talloc_new(replication);
@@ -139,7 +139,7 @@
     return status;
 }
 
-/* Blocks. Offers the cluster to the other two controllers. */
+/* Suspends the coroutine. Offers the cluster to the other two controllers. */
 static void cluster_offer(Replication *replication, const uint64_t disks[VOTERS_INITIAL], uint64_t cluster)
 {
     for (int i = 0; i < VOTERS_INITIAL; i++) {
--- a/packages/replication/src/install_snapshot.c
+++ b/packages/replication/src/install_snapshot.c
@@ -1,5 +1,5 @@
-/* Installs a snapshot at a voter or learner (Raft: InstallSnapshot at a follower), whole or in pieces, replacing its
- * log. */
+/* Installs a snapshot at a voter or learner (Raft: InstallSnapshot at a follower), in one message or in pieces,
+ * replacing its log. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -93,8 +93,8 @@
         const Status written = journal_write(replication->journal, &promise, count);
         return written == STATUS_OK ? status : written;
     }
-    IncomingSnapshot *incoming_snapshot =
-        replication->incoming_snapshot; /* another one may begin to arrive during the disk write */
+    /* another one may begin to arrive during the disk write */
+    IncomingSnapshot *incoming_snapshot = replication->incoming_snapshot;
     replication->incoming_snapshot = NULL;
     status = log_replace_all(replication, &whole, NULL, 0);
     talloc_free(incoming_snapshot);
@@ -109,7 +109,7 @@
            log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term;
 }
 
-/* Replaces the whole log in memory. The snapshot must already have been loaded into the state machine. */
+/* Replaces the entire log in memory. The snapshot must already have been loaded into the state machine. */
 static void log_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count)
 {
     Log *log = replication->log;
--- a/packages/replication/src/learners.h
+++ b/packages/replication/src/learners.h
@@ -4,7 +4,7 @@
 #include "replication/replication.h"
 
 /* Learners: controllers without a vote that follow the log continuously, so that one of them can be made a voter by one
- * committed change, without a transfer of state. No function here blocks. */
+ * committed change, without a transfer of state. No function here suspends the coroutine. */
 
 /* Assigns free slots to controllers without a vote, and frees the slots of those that may no longer follow. The leader
  * must call this periodically. */
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -87,7 +87,7 @@
     contact_answered(replication, slot, contact);
 }
 
-/* Blocks. Requests an answer only (MESSAGE_PROPOSE with term 0). Returns whether the peer answered. */
+/* Suspends the coroutine. Requests an answer only (MESSAGE_PROPOSE with term 0). Returns whether the peer answered. */
 static bool peer_probe(Replication *replication, const PeerTask *task, const char *address)
 {
     void *mem = talloc_new(replication);
@@ -103,7 +103,7 @@
     return reached;
 }
 
-/* Blocks. Sends one renewal; the grant counts from when the request was sent. */
+/* Suspends the coroutine. Sends one renewal; the grant counts from when the request was sent. */
 static Status renewal_send(Replication *replication, const PeerTask *task, const char *address, int64_t sent_ms)
 {
     void *mem = talloc_new(replication);
--- a/packages/replication/src/lease.h
+++ b/packages/replication/src/lease.h
@@ -3,7 +3,7 @@
 
 #include "replication/replication.h"
 
-/* The leader's lease (the paper's lock). lock/lock.h explains why at most one node has it. */
+/* The leader's lease (the master lock of XenServer's HA design). lock/lock.h explains why at most one node has it. */
 
 /* Whether this node leads, by its own clock, and may append entries. Unlike replication_leading, this does not require
  * view_wide_enough. */
@@ -21,7 +21,7 @@
 void lease_pause_record(Replication *replication, int64_t pause_ms);
 /* Decays the recorded pause; to be called every LEADER_CHECK_MS. */
 void lease_pause_decay(Replication *replication);
-/* Spawns the task that renews the lease at the peer at the slot; needed for this node's own place too. */
+/* Spawns the task that renews the lease at the peer at the slot; needed for this node's own position too. */
 void renewal_start(Replication *replication, int slot);
 
 #endif
--- a/packages/replication/src/leave.c
+++ b/packages/replication/src/leave.c
@@ -16,7 +16,8 @@
     return runs;
 }
 
-/* Blocks until a committed list has one voter more than wanted, which is the successor of this leader. */
+/* Suspends the coroutine until a committed list has one voter more than wanted, which is the successor of this
+ * leader. */
 static void successor_wait(Replication *replication, int64_t until_ms)
 {
     while (replication_may_append(replication) && replication_is_voter(replication) &&
@@ -28,9 +29,9 @@
     }
 }
 
-/* Blocks, for VOTE_HANDOVER_MS at most, until a vote that may just have been given to this learner is known here. The
- * entry that makes it a voter may still be in transit; once the leader knows that the learner is leaving, it gives it
- * no vote, so the learner receives such an entry within a few renewals of the lease. */
+/* Suspends the coroutine, for VOTE_HANDOVER_MS at most, until a vote that may just have been given to this learner is
+ * known here. The entry that makes it a voter may still be in transit; once the leader knows that the learner is
+ * leaving, the leader gives it no vote, so the learner receives such an entry within a few renewals of the lease. */
 static void pending_vote_await(const Replication *replication, int64_t until_ms)
 {
     const int64_t settled_ms = loop_now_ms(replication->loop) + VOTE_HANDOVER_MS;
--- a/packages/replication/src/new_term.c
+++ b/packages/replication/src/new_term.c
@@ -17,7 +17,7 @@
 
 #define CATCH_UP_CHECK_MS 100 /* interval at which a new leader checks its voters' progress, in ms */
 
-/* Blocks. Makes this node's log equal to that of the voter at the place, on disk too. */
+/* Suspends the coroutine. Makes this node's log equal to that of the voter at the position, on disk too. */
 static Status log_copy_from(Replication *replication, int voter)
 {
     char address[ADDRESS_MAX];
@@ -66,7 +66,7 @@
             renewal_start(replication, i);
 }
 
-/* Blocks. Copies the best log if another voter has it. Any status but OK: the leadership is over. */
+/* Suspends the coroutine. Copies the best log if another voter has it. Any status but OK: the leadership is over. */
 static Status best_log_copy(Election *election)
 {
     Replication *replication = election->replication;
@@ -117,7 +117,8 @@
     return sum;
 }
 
-/* Blocks until the first entry is committed. The time limit is extended as long as a lagging voter makes progress. */
+/* Suspends the coroutine until the first entry is committed. The time limit is extended as long as a lagging voter
+ * makes progress. */
 static Status first_entry_await(const Election *election)
 {
     Replication *replication = election->replication;
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -11,7 +11,7 @@
 /* The argument of the task for one voter. */
 typedef struct PollTask {
     Poll *poll;
-    int voter; /* its place */
+    int voter; /* its position */
 } PollTask;
 
 void poll_unref(Poll *poll)
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -13,7 +13,7 @@
 #include "voter_list.h"
 #include "voters.h"
 
-/* Returns the packed list with the disk set at the place (0: the place vacated), allocated on mem. */
+/* Returns the packed list with the disk set at the position (0: the position vacated), allocated on mem. */
 static Bytes list_pack(const Replication *replication, void *mem, int place, uint64_t disk)
 {
     Bytes payload = {0};
@@ -21,7 +21,7 @@
     return payload;
 }
 
-/* Removes the voter at the place. Blocks until the new list is committed. */
+/* Removes the voter at the position. Suspends the coroutine until the new list is committed. */
 static void voter_remove(Replication *replication, int place)
 {
     void *mem = talloc_new(replication);
@@ -33,7 +33,7 @@
     talloc_free(mem);
 }
 
-/* Returns a vacant place; -1: none. */
+/* Returns a vacant position; -1: none. */
 static int place_free(const Replication *replication)
 {
     for (int i = 0; i < VOTERS_MAX; i++)
@@ -42,8 +42,8 @@
     return -1;
 }
 
-/* Makes the learner a voter. Blocks until the new list is committed. Replication and the lease continue with what the
- * leader already knows about the learner. */
+/* Makes the learner a voter. Suspends the coroutine until the new list is committed. Replication and the lease continue
+ * with what the leader already knows about the learner. */
 static void voter_add(Replication *replication, size_t learner)
 {
     const int place = place_free(replication);
@@ -68,9 +68,10 @@
     (void)replication_barrier(replication); /* after a failure, the next check waits for the commit */
 }
 
-/* Blocks. Gathers the input of a change after another contact round. The leader's knowledge may be as old as a renewal
- * of the lease, and a change that depends on a member that was just lost might never be committed. A contact round is
- * short, so that its answers are recent; it is longer only if too few peers answered the previous one. */
+/* Suspends the coroutine. Gathers the input of a change after another contact round. The leader's knowledge may be as
+ * old as a renewal of the lease, and a change that depends on a member that was just lost might never be committed. A
+ * contact round is short, so that its answers are recent; it is longer only if too few peers answered the previous
+ * one. */
 static void membership_gather_fresh(Replication *replication, MembershipInput *input)
 {
     const int64_t most_ms = replication->contact_timeout_ms > 0 ? replication->contact_timeout_ms : POLL_GRACE_MS;
@@ -82,8 +83,8 @@
         replication->contact_timeout_ms = 2 * most_ms < 2 * LOCK_RENEW_MS ? 2 * most_ms : 2 * LOCK_RENEW_MS;
 }
 
-/* Blocks. Chooses the next change and makes it; a list must be committed before the next change is chosen. Returns
- * whether a change was attempted. */
+/* Suspends the coroutine. Chooses the next change and makes it; a list must be committed before the next change is
+ * chosen. Returns whether a change was attempted. */
 static bool membership_update(Replication *replication)
 {
     if (!replication_may_append(replication)) {
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -76,7 +76,7 @@
         .path = path, .node_name = replication->node_name, .disk_durable = replication->settings.disks_durable};
 }
 
-/* Blocks. Opens the journal and restores the state from its records. */
+/* Suspends the coroutine. Opens the journal and restores the state from its records. */
 static Status disk_read(Replication *replication, const char *path, Failure *failure)
 {
     Reading reading = {.replication = replication};
@@ -117,7 +117,8 @@
     replication->settings.state.load(replication->settings.state.arg, (Bytes){0});
 }
 
-/* Blocks. Replaces a corrupt journal by a new, empty one: what was promised and acknowledged with it is unknown. */
+/* Suspends the coroutine. Replaces a corrupt journal by a new, empty one: what was promised and acknowledged with it is
+ * unknown. */
 static Status disk_replace(Replication *replication, const char *path, Failure *failure)
 {
     log_event(replication->settings.recorder, LOG_JOURNAL_DAMAGED, loop_now_ms(replication->loop),
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -16,8 +16,8 @@
 
 /* --- the local journal ---------------------------------------------------------------- */
 
-/* Blocks on disk I/O. Writes the next entries that are not synced yet, about JOURNAL_WRITE_BYTES at most. up_to (out):
- * the index of the last one. */
+/* Suspends the coroutine for disk I/O. Writes the next entries that are not synced yet, about JOURNAL_WRITE_BYTES at
+ * most. up_to (out): the index of the last one. */
 static Status local_write(Replication *replication, uint64_t *up_to)
 {
     void *mem = talloc_new(replication);
@@ -117,7 +117,7 @@
     peer->slow_count = took_ms > VOTER_SLOW_MS ? peer->slow_count + 1 : 0;
 }
 
-/* Blocks. Sends one append, which may be empty, and processes the answer. */
+/* Suspends the coroutine. Sends one append, which may be empty, and processes the answer. */
 static void append_send(Replication *replication, const PeerTask *task, const char *address)
 {
     Peer *peer = &replication->peers[task->slot];
@@ -142,8 +142,8 @@
         if (status == STATUS_OK) {
             peer->match_index = match;
             peer->next_index = match + 1;
-            lease_granted(replication, task->slot, sent_ms, ask.grant_ms,
-                          contact); /* a peer that accepts an append also grants the lease */
+            /* a peer that accepts an append also grants the lease */
+            lease_granted(replication, task->slot, sent_ms, ask.grant_ms, contact);
             leader_commit_advance(replication);
         } else if (status == STATUS_LOG_GAP) {
             next_index_lower(replication, peer, answer.log_index);
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -64,8 +64,8 @@
 {
     replication->settings.members = members;
     voter_handlers_register(replication);
-    /* a leader that has restarted does not lead any more: it releases its lease, so that the others need not wait until
-     * it expires. If its promise is certainly the newest one, it names itself as the successor. */
+    /* a leader that has restarted no longer leads: it releases its lease, so that the others need not wait until it
+     * expires. If its promise is certainly the newest one, it names itself as the successor. */
     if (replication->lock.promised != 0 && replication->lock.holder == replication->disk &&
         replication_is_voter(replication)) {
         replication->term = replication->lock.promised;
--- a/packages/replication/src/send_snapshot.c
+++ b/packages/replication/src/send_snapshot.c
@@ -1,6 +1,6 @@
 /* Sends a snapshot (Raft: InstallSnapshot at the leader) to a peer whose log cannot be made to match by appends. A
- * small snapshot is sent whole, a larger one in pieces, each with a deadline of its own, so that a large state can pass
- * through a slow link and renewals of the lease are sent between the pieces. */
+ * small snapshot is sent in one message, a larger one in pieces, each with a deadline of its own, so that a large state
+ * can pass through a slow link and renewals of the lease are sent between the pieces. */
 #include <talloc.h>
 
 #include "leadership.h"
@@ -11,7 +11,7 @@
 
 #define INSTALL_SNAPSHOT_TIMEOUT_MS (4 * ELECTION_STEP_TIMEOUT_MS) /* time limit of one piece on a slow link, in ms */
 
-/* Blocks. Sends one piece of the snapshot, or the whole snapshot. */
+/* Suspends the coroutine. Sends one piece of the snapshot, or the complete snapshot. */
 static Status piece_send(Replication *replication, const PeerTask *task, const char *address, InstallSnapshotAsk *ask,
                          Bytes whole, VoterAnswer *answer)
 {
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -31,8 +31,8 @@
                replication->last_view.members_count * sizeof(DiskId));
 }
 
-/* Sets *answer to the log after an index, for a new leader; to the whole log if that index is unknown here or the entry
- * at it differs. */
+/* Sets *answer to the log after an index, for a new leader; to the complete log if that index is unknown here or the
+ * entry at it differs. */
 static void log_answer_set(Replication *replication, void *mem, const LogAsk *ask, LogAnswer *answer)
 {
     const Log *log = replication->log;
--- a/packages/replication/src/snapshot.h
+++ b/packages/replication/src/snapshot.h
@@ -18,8 +18,8 @@
 /* Replaces the delivered entries by a snapshot of the state, in memory only: the journal has to be rewritten
  * afterwards. Returns false if there are no such entries or no snapshot can be made now. */
 bool log_compact(Replication *replication);
-/* Replaces the delivered entries by a snapshot of the state if the log is long enough or force is set. Does not block:
- * another task rewrites the journal. */
+/* Replaces the delivered entries by a snapshot of the state if the log is long enough or force is set. Does not suspend
+ * the coroutine: another task rewrites the journal. */
 void replication_compact_if_due(Replication *replication, bool force);
 
 #endif
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -8,10 +8,11 @@
 /* The state of one node's replicated log: struct Replication and its parts, grouped by concern. This header holds data
  * only; the functions of each protocol step are declared in a header of their own.
  *
- * A place is an index into the list of voters. A slot is an index into peers: slots 0 to VOTERS_MAX - 1 are the places,
- * the slots of the learners follow. The view is the set of voters that each commit waits for (view_change.h). */
+ * A position is an index into the list of voters (variables call it place). A slot is an index into peers: slots 0 to
+ * VOTERS_MAX - 1 are the positions, the slots of the learners follow. The view is the set of voters that each commit
+ * waits for (view_change.h). */
 
-/* Number of peer slots: one for each place of a voter, then one for each learner. */
+/* Number of peer slots: one for each position of a voter, then one for each learner. */
 #define SLOTS_MAX (VOTERS_MAX + LEARNERS_MAX)
 
 /* What the leader knows about one voter or learner in its term. Times are ms of this process's loop.
@@ -41,7 +42,7 @@
 } Peer;
 
 /* The slot of a learner: a controller node without a vote that follows the log, so that it can be made a voter
- * immediately. Invariant: generation increases each time the slot is taken or freed; tasks of an earlier generation
+ * immediately. Invariant: generation increases each time the slot is assigned or freed; tasks of an earlier generation
  * end. */
 typedef struct Learner {
     uint64_t disk; /* 0: the slot is free */
@@ -76,7 +77,7 @@
 
     /* --- the disk ---
      * Invariants: entries up to queued_index have been passed to the journal, in order; while compacting or recovering
-     * is set, the whole journal is being rewritten. */
+     * is set, the entire journal is being rewritten. */
     Journal *journal;
     const char *node_name;
     uint64_t disk;            /* the id of this node's disk, which identifies it as a voter */
@@ -101,7 +102,7 @@
     /* --- the list of voters ---
      * Invariants: list is from the newest VOTERS entry in the log (REPLICATION_CHANGE_VOTERS), committed or not,
      * otherwise from the snapshot, otherwise the founding list; last_view is from the newest TERM entry, likewise; all
-     * VOTERS entries in the log except the newest are committed. At a vacant place voters is 0, in_view is false and
+     * VOTERS entries in the log except the newest are committed. At a vacant position voters is 0, in_view is false and
      * lease.until_ms is INT64_MIN. */
     uint64_t cluster;              /* id of the cluster that the disk belongs to; 0: none */
     VoterList *founded;            /* the founding list; never NULL */
@@ -109,8 +110,8 @@
     uint64_t list_index;           /* of the entry of list; 0: list is the founding list */
     uint64_t list_committed_index; /* the highest index of a list that is known to be committed */
     bool list_reverted;            /* the log has lost that list: this node no longer votes */
-    uint64_t voters[VOTERS_MAX];   /* the disks in list, by place */
-    size_t places, voter_count;    /* length of list; number of places that are not vacant */
+    uint64_t voters[VOTERS_MAX];   /* the disks in list, by position */
+    size_t places, voter_count;    /* length of list; number of positions that are not vacant */
     TermRecord last_view;          /* the newest view in the log */
     void *last_view_mem;           /* owns the data that last_view points to */
 
@@ -151,13 +152,13 @@
     int64_t no_election_until_ms;    /* earliest time at which this node stands for election again */
     int64_t last_view_wait_since_ms; /* since when elections have waited for members of the last view; 0: they do not
                                         wait */
-    int64_t
-        better_connected_since_ms; /* since when a voter has reached many more members than this leader; 0: none has */
+    /* since when a voter has reached many more members than this leader; 0: none has */
+    int64_t better_connected_since_ms;
 
     /* --- the leader: replication ---
      * Invariant: synced_index <= queued_index while this node leads. */
     uint64_t term_entry_index; /* of the newest TERM entry that this leader appended */
-    bool in_view[VOTERS_MAX];  /* by place: the voters that each commit waits for */
+    bool in_view[VOTERS_MAX];  /* by position: the voters that each commit waits for */
     int64_t view_changed_ms;   /* when the view last changed */
     uint64_t view_changes;     /* number of view changes since the start of the process; for status */
     Peer peers[SLOTS_MAX];     /* by slot */
--- a/packages/replication/src/step_down.c
+++ b/packages/replication/src/step_down.c
@@ -70,7 +70,7 @@
     replication->leadership_generation++;
     if (replication->phase != REPLICATION_FOLLOWING || replication->has_lease) {
         if (replication->has_lease) {
-            /* nothing is decided under this lease any more, so the voters may grant another */
+            /* nothing is decided under this lease from now on, so the voters may grant another */
             lock_release(&replication->lock, replication->term, replication->disk, now_ms);
             leader_release_lease(replication, successor_choose(replication, SUCCESSOR_ANY));
             log_event(replication->settings.recorder, LOG_LEADER_STEPPED_DOWN, now_ms,
--- a/packages/replication/src/submit.c
+++ b/packages/replication/src/submit.c
@@ -6,8 +6,8 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* Checks that this node may append a change. Blocks during a reelection of this leader. The log's own changes do not
- * require view_wide_enough, since they are what widens the view. */
+/* Checks that this node may append a change. Suspends the coroutine during a reelection of this leader. The log's own
+ * changes do not require view_wide_enough, since they are what widens the view. */
 static Status append_allowed(Replication *replication, uint64_t change, int64_t until_ms)
 {
     while (replication->phase == REPLICATION_ELECTING && replication->has_lease)
--- a/packages/replication/src/view_change.c
+++ b/packages/replication/src/view_change.c
@@ -42,8 +42,8 @@
     signal_raise(replication->loop, &replication->log_grew);
 }
 
-/* Returns the reason to remove the voter at the place from the view; NULL: none. spare: a majority remains without the
- * voter, so that it may also be removed merely for being slow. */
+/* Returns the reason to remove the voter at the position from the view; NULL: none. spare: a majority remains without
+ * the voter, so that it may also be removed merely for being slow. */
 static const char *leave_reason(const Replication *replication, int place, bool spare, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
@@ -65,7 +65,7 @@
     return !near && now_ms - replication->view_changed_ms > VOTER_SYNC_LATE_MS ? "far behind" : NULL;
 }
 
-/* Whether the voter at the place has nearly all of the log, answers in time, and was out of the view long enough. */
+/* Whether the voter at the position has nearly all of the log, answers in time, and was out of the view long enough. */
 static bool may_rejoin(const Replication *replication, int place, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
@@ -80,7 +80,7 @@
 
 /* The next view while it is being determined. */
 typedef struct NextView {
-    bool in_view[VOTERS_MAX]; /* by place */
+    bool in_view[VOTERS_MAX]; /* by position */
     size_t count;             /* number of voters in the view */
     bool changed;
 } NextView;
@@ -98,7 +98,7 @@
         }
 }
 
-/* Removes the voter at the place from the view if it delays the others. */
+/* Removes the voter at the position from the view if it delays the others. */
 static void view_remove_late(Replication *replication, NextView *next, int place, int64_t now_ms)
 {
     Peer *peer = &replication->peers[place];
--- a/packages/replication/src/view_change.h
+++ b/packages/replication/src/view_change.h
@@ -5,9 +5,9 @@
 
 /* The view: the voters that each commit waits for, at least a majority (like the in-sync replicas of primary-backup
  * replication). Each view is recorded by a log entry. The view differs from the list of voters (voter_list.h): a voter
- * outside the view keeps its vote. No function here blocks. */
+ * outside the view keeps its vote. No function here suspends the coroutine. */
 
-/* Appends a TERM entry that makes these voters, by place, the view. repair: as in TermRecord. */
+/* Appends a TERM entry that makes these voters, by position, the view. repair: as in TermRecord. */
 void view_entry_add(Replication *replication, const bool in_view[VOTERS_MAX], bool repair);
 /* Changes the view within the term. Entries appended earlier are committed together with the change, so every member of
  * the last recorded view has all of them. */
--- a/packages/replication/src/voter_list.c
+++ b/packages/replication/src/voter_list.c
@@ -127,7 +127,7 @@
             shape_unpack(&TermRecord_shape, entry->payload, reread->mem, &reread->last, NULL) == STATUS_OK;
 }
 
-/* Takes from the snapshot what was found in no entry. */
+/* Reads from the snapshot what was found in no entry. */
 static void voter_scan_snapshot(VoterScan *reread, const Log *log)
 {
     Snapshot snapshot;
--- a/packages/replication/src/voter_list.h
+++ b/packages/replication/src/voter_list.h
@@ -4,11 +4,11 @@
 #include "replication/replication.h"
 
 /* The list of voters (Raft: the cluster configuration). The newest list in the log is in effect as soon as it is in the
- * log, committed or not. Places and slots are explained in state.h. No function here blocks. */
+ * log, committed or not. Positions and slots are explained in state.h. No function here suspends the coroutine. */
 
-/* The place of the disk in the list; -1: it is not a voter. */
+/* The position of the disk in the list; -1: it is not a voter. */
 int replication_voter_of(const Replication *replication, uint64_t disk);
-/* The place of this node's disk; -1: it is not a voter. */
+/* The position of this node's disk; -1: it is not a voter. */
 int replication_own_voter(const Replication *replication);
 /* The number of voters that is a majority. */
 size_t replication_majority(const Replication *replication);
@@ -30,14 +30,14 @@
 void voters_reload(Replication *replication);
 /* Initialises the lists of a new Replication as empty. */
 void voter_list_init(Replication *replication);
-/* Makes a copy of the list the newest one; index: that of its entry. Resets the leader's knowledge about each place
+/* Makes a copy of the list the newest one; index: that of its entry. Resets the leader's knowledge about each position
  * that another disk gets. */
 void voter_list_set(Replication *replication, const VoterList *list, uint64_t index);
 /* Makes a copy of the list the one that the cluster was founded with. */
 void voter_list_set_initial(Replication *replication, const VoterList *list);
 /* Returns a list of these disks with the known data of their controllers, allocated on mem. */
 VoterList *voter_list_new(const Replication *replication, void *mem, const uint64_t disks[], size_t count);
-/* Returns the present list with the disk set at the place (0: the place vacated), allocated on mem. */
+/* Returns the present list with the disk set at the position (0: the position vacated), allocated on mem. */
 VoterList *voter_list_with(const Replication *replication, void *mem, int place, uint64_t disk);
 
 #endif
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -13,8 +13,8 @@
 #include "watch.h"
 
 /* Whether a voter in the view has reached many more members than this leader for REACH_HANDOVER_MS, and is therefore
- * the better leader: the paper's best partition is the largest one. A leader reaches a majority of the voters, but it
- * may be cut off from other members. */
+ * the better leader: the best partition of XenServer's HA design is the largest one. A leader reaches a majority of the
+ * voters, but it may be cut off from other members. */
 static bool better_connected_voter(Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
@@ -40,7 +40,7 @@
     if (!replication_founded(replication) || !replication_is_voter(replication) ||
         replication_disk_failed(replication) || now_ms < replication->no_election_until_ms)
         return false;
-    /* a leader whose disk is lost does not lead any more */
+    /* a leader whose disk is lost no longer leads */
     if (replication->lock.holder != replication->disk &&
         voter_disk_replaced(replication, replication->lock.holder, REPLACEMENT_SAME_ADDRESS))
         lock_release(&replication->lock, replication->lock.promised, replication->lock.holder, now_ms);
@@ -49,7 +49,7 @@
 }
 
 /* The delay before standing for election, in ms. Instead of Raft's random election timeouts, voters stand one after
- * another, beginning at the place after the last leader's, so that two do not request each other's promise. A small
+ * another, beginning at the position after the last leader's, so that two do not request each other's promise. A small
  * random part separates voters that know different lists. */
 static int64_t election_delay_ms(Replication *replication)
 {
@@ -72,7 +72,7 @@
            successor_choose(replication, SUCCESSOR_FAST_DISK) != 0;
 }
 
-/* The leader's check of its lease, its disk and its voters. Blocks if a new election is needed. */
+/* The leader's check of its lease, its disk and its voters. Suspends the coroutine if a new election is needed. */
 static void leader_check(Replication *replication, int64_t now_ms)
 {
     bool skip[VOTERS_MAX];
@@ -115,8 +115,8 @@
               &(LogFields){.term = term_counter(replication->lock.promised), .text = text});
 }
 
-/* Blocks. Stands for election if no leader is known. retry_wait_ms: the wait after the last lost election; 0: the last
- * election was won, or there was none. Returns the value for the next call. */
+/* Suspends the coroutine. Stands for election if no leader is known. retry_wait_ms: the wait after the last lost
+ * election; 0: the last election was won, or there was none. Returns the value for the next call. */
 static int64_t voter_check(Replication *replication, int64_t retry_wait_ms)
 {
     if (!may_stand(replication))
--- a/packages/replication/test/membership.c
+++ b/packages/replication/test/membership.c
@@ -12,7 +12,7 @@
 #include "replication/membership.h"
 
 #define LEARNERS 2
-#define STEPS_MAX 24 /* limit of changes in a row; more are taken for an endless sequence */
+#define STEPS_MAX 24 /* limit of changes in a row; more count as an endless sequence */
 
 static const char *const ZONES[] = {"a", "b", "c"};
 
