--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -97,7 +97,7 @@
     worker.excluded = known != NULL && known->excluded && !present;
     const bool worker_changed =
         heartbeat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
-    /* The worker has drained: it was leaving, it is gone, and the agent has no attempts left. */
+    /* The worker has drained: it leaves, its agent no longer receives messages from it, and has no attempts left. */
     const bool left = known != NULL && !known->excluded && heartbeat->leaving && !heartbeat->worker_live &&
                       heartbeat->settled && heartbeat->attempts_count == 0;
     void *mem = talloc_new(controller);
@@ -191,8 +191,8 @@
     scheduler_notify(controller->scheduler);
 }
 
-/* The state of a worker when this leader last received a heartbeat from its agent: whether its lease had lapsed and
- * whether it was leaving. */
+/* The state of a worker when this leader last received a heartbeat from its agent: whether its lease had expired
+ * and whether it was leaving. */
 typedef struct PreviousWorkerState {
     bool lapsed, leaving;
 } PreviousWorkerState;
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -93,7 +93,7 @@
         alert_raise(controller, ALERT_LOSSES_FEW, losses_text);
 }
 
-/* Raises the alerts about workers that are lost or that rest. */
+/* Raises the alerts about workers that are lost or ejected. */
 static void worker_alerts_check(Controller *controller, void *mem)
 {
     const int64_t now_ms = loop_now_ms(controller->loop);
--- a/packages/controller/src/alerts.h
+++ b/packages/controller/src/alerts.h
@@ -4,7 +4,7 @@
 
 #include "state.h"
 
-/* All alerts: X(name, word, todo). todo says what the operator should do. The meaning of a word never changes;
+/* All alerts: X(name, word, todo). todo: what the operator should do. The meaning of a word never changes;
  * docs/operating.md has the same list. */
 #define ALERT_LIST(X)                                                                                                                  \
     X(VOTER_OUT, "seat-out",                                                                                                           \
@@ -26,7 +26,7 @@
     X(REPAIRING, "repairing", "changes that the disks lost are being submitted again: wait, then check the disks")                     \
     X(ZONE_EMPTIED, "zone-emptied", "the zone is drained and gets no new work: end the drain when its work is done")
 
-/* The todo of worker-lost when the agent is alive but hears nothing from its worker. */
+/* The todo of worker-lost when the agent is alive but receives nothing from its worker. */
 #define WORKER_SILENT_TODO "its agent lives and does not hear it: look at the worker's process"
 
 typedef enum Alert {
@@ -38,7 +38,7 @@
 
 /* The name of an alert in the API and in metrics; points to static storage. */
 const char *alert_word(Alert alert);
-/* Checks the causes of all alerts: raises alerts, and ends those whose cause is gone. */
+/* Checks the causes of all alerts: raises alerts, and ends those whose cause no longer exists. */
 void alerts_check(Controller *controller);
 /* The active alerts as [{"alert", "subject", "forMs", "todo"}], oldest first; owned by the caller. */
 json_object *alerts_show(const Controller *controller);
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -1,5 +1,5 @@
-/* Commits updates of attempts in batches for many agents at once: while one batch is being committed, further updates
- * are collected for the next. An update that an attempt is running is not urgent: it waits for other updates, but no
+/* Commits updates of attempts in batches, each for many agents: while one batch is being committed, further updates are
+ * collected for the next. An update that an attempt is running is not urgent: it waits for other updates, but no
  * longer than RUNNING_UPDATE_DELAY_MS. */
 #include "attempt_updates.h"
 
--- a/packages/controller/src/attempt_updates.h
+++ b/packages/controller/src/attempt_updates.h
@@ -8,8 +8,8 @@
 
 /* Spawns the task that commits updates of attempts. */
 void attempt_updates_start(Controller *controller);
-/* Waits until the updates are committed, possibly in one batch with others. Copies the updates. Returns the status of
- * the commit. */
+/* Suspends the coroutine until the updates are committed, possibly in one batch with others. Copies the updates.
+ * Returns the status of the commit. */
 Status attempt_updates_commit(Controller *controller, const AttemptUpdate *list, size_t count);
 /* Queues an update to be committed with the next batch, after at most RUNNING_UPDATE_DELAY_MS. Copies the update. */
 void attempt_updates_commit_later(Controller *controller, const AttemptUpdate *one);
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -99,7 +99,7 @@
     controller->replication = replication_new(controller, &replication_settings);
 }
 
-/* Waits. Opens the disk, then listens on both addresses. */
+/* Suspends the coroutine. Opens the disk, then listens on both addresses. */
 static Status disk_and_addresses_open(Controller *controller, Failure *failure)
 {
     const Settings *settings = controller->settings;
--- a/packages/controller/src/job_retention.c
+++ b/packages/controller/src/job_retention.c
@@ -5,7 +5,8 @@
 
 #include "leader.h"
 
-/* Number of checks in a retention period: an ended job is kept for at most 1/60 of the period longer. */
+/* Number of checks in a retention period: an ended job is kept for at most 1/60 of the period longer, or
+ * JOBS_FORGET_INTERVAL_MS if that is more. */
 #define CHECKS_PER_RETENTION 60
 
 static void job_retention_main(void *arg)
--- a/packages/controller/src/leader.h
+++ b/packages/controller/src/leader.h
@@ -9,7 +9,8 @@
 bool controller_may_decide(Controller *controller);
 /* The time of the replicated log and the wall-clock time. */
 QueueClock controller_clock(const Controller *controller);
-/* Waits until a change is committed and delivered; see replication_submit. The packed change is allocated on mem. */
+/* Suspends the coroutine until a change is committed and delivered; see replication_submit. The packed change is
+ * allocated on mem. */
 Status controller_submit(Controller *controller, void *mem, ChangeKind kind, const Shape *shape, const void *body,
                          ChangeResult *result);
 /* The longest time in ms, by this node's clock, that a lease granted by this or an earlier leader may still be
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -1,5 +1,5 @@
 /* Reacts to events of the replicated log and the state table: a configuration of voters is opened, with leadership won
- * or kept; a change is delivered; an attempt leaves its worker. No function here waits. */
+ * or kept; a change is delivered; an attempt leaves its worker. No function here suspends the coroutine. */
 #include "log_events.h"
 
 #include <inttypes.h>
@@ -41,7 +41,8 @@
     if (repair && (new_holder || !controller->repairing)) {
         /* A repair in progress continues when the same leader opens another configuration. */
         controller->repairing = true;
-        /* By then every running attempt that the log has lost has been reported again, or its lease has expired. */
+        /* Nothing is placed until every running attempt that the log has lost has been reported again or its lease has
+         * expired. */
         scheduler_set_place_from(controller->scheduler,
                                  loop_now_ms(controller->loop) + controller_claim_ms(controller));
         repair_start(controller);
--- a/packages/controller/src/orders.h
+++ b/packages/controller/src/orders.h
@@ -6,8 +6,8 @@
 
 /* What the leader knows about its exchange with one agent. Allocated until the process ends. */
 typedef struct AgentSession {
-    /* Raised when the worker's orders change, when the leader may or may no longer give them, and when the agent sends
-     * a new request */
+    /* Raised when the worker's orders change, when this node gains or loses the right to give them, and when the agent
+     * sends a new request */
     Signal changed;
     uint64_t newest_request; /* Number of the newest request; older requests stop waiting */
     bool committing;         /* True while changes reported by a heartbeat are being committed */
@@ -19,8 +19,8 @@
 void orders_start(Controller *controller);
 /* Makes all waiting requests check again whether they can be answered. */
 void orders_recheck(Controller *controller);
-/* Waits for at most wait_ms for newer orders than the agent has. Fills them into the answer; leaves it unchanged if
- * there are none. */
+/* Suspends the coroutine, for wait_ms at most, until there are newer orders than the agent has. Fills them into the
+ * answer; leaves it unchanged if there are none. */
 void orders_answer(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms,
                    HeartbeatAnswer *out);
 
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -20,8 +20,8 @@
     return status;
 }
 
-/* Waits until there is a version newer than the requesting node's, or for CONFIG_WATCH_WAIT_MS. The first request of a
- * node is answered at once, and so is a request during which a repair begins or ends. */
+/* Suspends the coroutine until there is a version newer than the requesting node's, or for CONFIG_WATCH_WAIT_MS. The
+ * first request of a node is answered immediately, and so is a request during which a repair begins or ends. */
 static Status on_config_watch(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -1,7 +1,7 @@
 /* Repair of lost changes. When the disks do not keep what was synced, voters that restarted may have lost changes that
  * they acknowledged. The nodes that passed the results of those changes to callers have kept the changes in their
  * repair buffers for a while. The leader asks all of them and submits again what its state table lacks. Each change has
- * an identity by which duplicates are recognized. */
+ * an identity by which duplicates are recognised. */
 #include "repair.h"
 
 #include <inttypes.h>
@@ -58,7 +58,7 @@
     RepairCollection *collection = query->collection;
     Controller *controller = collection->controller;
     const RetellAsk ask = {.config_have = collection->config_have};
-    /* The process that has this address now may be another one: each item carries its own identity. */
+    /* Another process may have this address now; its answer is valid too, since each item carries its own identity. */
     RepairList answer = {0};
     const int64_t until_ms = loop_now_ms(controller->loop) + REPAIR_TIMEOUT_MS;
     Status status;
@@ -168,16 +168,16 @@
     }
 }
 
-/* Waits until the members have had time to discover this process: their connections to its last incarnation may still
- * look open. */
+/* Suspends the coroutine until the members have had time to discover this process: their connections to its last
+ * incarnation may still look open. */
 static void discovery_wait(const Controller *controller)
 {
     while (loop_now_ms(controller->loop) - controller->started_ms < REPAIR_START_DELAY_MS)
         loop_sleep(controller->loop, DISCOVERY_CHECK_MS);
 }
 
-/* Waits until each member has answered with its repair buffer, or REPAIR_TIMEOUT_MS has passed; then adds this node's
- * own. */
+/* Suspends the coroutine until each reachable member has answered with its repair buffer, or REPAIR_TIMEOUT_MS has
+ * passed; then adds this node's own. */
 static void members_query(RepairCollection *collection)
 {
     Controller *controller = collection->controller;
@@ -202,8 +202,8 @@
     collection_add(collection, &own);
 }
 
-/* Waits. Submits the items that the state lacks, in their order, and counts them in submitted. Returns false if this
- * node cannot continue the repair. */
+/* Suspends the coroutine. Submits the items that the state lacks, in their order, and counts them in submitted. Returns
+ * false if this node cannot continue the repair. */
 static bool missing_items_submit(RepairCollection *collection, uint64_t number, size_t *submitted)
 {
     Controller *controller = collection->controller;
@@ -242,8 +242,8 @@
     scheduler_notify(controller->scheduler);
 }
 
-/* Waits. Makes one attempt at a repair: asks all members and submits what is missing. Returns true once all of it is
- * committed. */
+/* Suspends the coroutine. Makes one attempt at a repair: asks all members and submits what is missing. Returns true
+ * once all of it is committed. */
 static bool repair_try(Controller *controller, uint64_t number)
 {
     discovery_wait(controller);
@@ -266,7 +266,7 @@
     return true;
 }
 
-/* Retries until the repair is committed, even if leadership is opened anew meanwhile. Ends early when this node wins
+/* Retries until the repair is committed, even if leadership is opened again meanwhile. Ends early when this node wins
  * leadership again and starts another repair. */
 static void repair_main(void *arg)
 {
--- a/packages/controller/src/state.h
+++ b/packages/controller/src/state.h
@@ -15,7 +15,7 @@
 
 #define DISK_TEXT_BYTES 20 /* Buffer size in bytes for a disk's id in hexadecimal digits */
 
-/* Counters of this node's work as leader since the process started, besides those of the scheduler and of the caller
+/* Counters of this node's work as leader since the process started, besides those of the scheduler and of the callers'
  * service: X(name). resubmitted: changes that repairs submitted again. */
 #define CONTROLLER_COUNT_LIST(X) \
     X(repairs)                   \
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -173,7 +173,7 @@
     return plan;
 }
 
-/* Counts of rejected frames: from another cluster, or not of this protocol. */
+/* Counts of refused frames: from another cluster, or not of this protocol. */
 static json_object *show_refused_frames(const Controller *controller)
 {
     const RpcCounts *counts = rpc_counts(controller->rpc);
