--- a/packages/routing/include/routing/config_watch.h
+++ b/packages/routing/include/routing/config_watch.h
@@ -9,11 +9,11 @@
 
 /* The configuration watch: the operators' configuration as known to a process without a copy of the state table. A long
  * poll of the leader reports a new version as soon as it is in force; its limits are applied to the HTTP server of this
- * process. Used by entry points, agents and controllers without a copy; the leader answers with config_watch_answer.
+ * process. Used by entry points, agents and controllers without a vote; the leader answers with config_watch_answer.
  *
  * The document itself is stored only for repair, to be sent again if the disks have lost it. Small differences are
- * fetched at once, a whole document only after a time without changes, so that a burst of changes does not fill a
- * narrow link.
+ * fetched immediately, a complete document only after a time without changes, so that a burst of changes does not
+ * fill a narrow link.
  * Invariant: no stored version is above the one known to be in force. */
 typedef struct ConfigWatch ConfigWatch;
 
--- a/packages/routing/include/routing/forward.h
+++ b/packages/routing/include/routing/forward.h
@@ -9,7 +9,7 @@
  * that do not lead.
  *
  * The forwarder itself answers 503, with Retry-After, if the request was certainly not accepted, and 504 if it may have
- * been. A request that is abandoned gets one of these at once.
+ * been. A request that is abandoned gets one of these immediately.
  *
  * An idempotent request (retry_rules.h) may be sent to the next leader after its answer was lost. If a next hop has
  * been silent for a while, the first request that waits for it checks whether it still answers. Requests wait for a
@@ -27,7 +27,7 @@
     Members *members;
     RepairBuffer *repair_buffer; /* receives the committed changes of each answer */
     Trace *trace;                /* null: no tracing */
-    /* For controllers: tells whether this process leads, and serves requests while it does. Null in other roles. */
+    /* For controllers: whether this process leads, and how it serves requests while it does. Null in other roles. */
     LeaderRouteLeads leads;
     ForwardServe serve;
     void *arg; /* passed to leads and serve */
--- a/packages/routing/include/routing/messages.h
+++ b/packages/routing/include/routing/messages.h
@@ -62,10 +62,10 @@
 #define CONFIG_WATCH_ASK_FIELDS(X)                                                                                  \
     X(U64, have, 0)                                                                                                 \
     X(U64, text_have, 0)                                                                                            \
-    X(FLAG, wants, 0) /* request the document whatever its size; else small changes only */                         \
-    X(FLAG, brief, 0) /* the answer is to use sets, not text; earlier releases send false */                        \
-    X(FLAG, first, 0) /* the first request to this leader: answered at once, to report whether the leader serves */ \
-    X(U64, piece_most, 0) /* largest piece, in bytes; a larger document is sent in pieces; 0: sent whole */         \
+    X(FLAG, wants, 0)     /* request the document whatever its size; else small changes only */                     \
+    X(FLAG, brief, 0)     /* the answer is to use sets, not text; earlier releases send false */                    \
+    X(FLAG, first, 0)     /* the first request to this leader: answered immediately, to report whether it serves */ \
+    X(U64, piece_most, 0) /* largest piece, in bytes; a larger document is sent in pieces; 0: not in pieces */      \
     X(U64, piece_of, 0)   /* version whose document is being fetched; 0: none */                                    \
     X(U64, piece_from, 0) /* number of bytes of it already fetched */
 SHAPE(ConfigWatchAsk, CONFIG_WATCH_ASK_FIELDS)
@@ -76,12 +76,12 @@
     X(U64, version, 0)                                                                                             \
     X(TXT, text, 0)                                                                                                \
     X(ONE, limits, ConfigLimits)                                                                                   \
-    X(LST, sets, ConfigSet)      /* the changes since text_have, or one whole document */                          \
+    X(LST, sets, ConfigSet)      /* the changes since text_have, or one complete document */                       \
     X(FLAG, waits, 0)            /* this leader does not serve callers yet */                                      \
     X(U64, size, 0)              /* upper bound on the size of the document, in bytes */                           \
     X(ONE, piece_set, ConfigSet) /* the change that the piece belongs to, without its text; version 0: no piece */ \
     X(U64, piece_from, 0)        /* offset of the piece in the text, in bytes */                                   \
-    X(U64, piece_length, 0)      /* length of the whole text, in bytes */                                          \
+    X(U64, piece_length, 0)      /* length of the entire text, in bytes */                                         \
     X(BIN, piece, 0)
 SHAPE(ConfigWatchAnswer, CONFIG_WATCH_ANSWER_FIELDS)
 
--- a/packages/routing/include/routing/pieces.h
+++ b/packages/routing/include/routing/pieces.h
@@ -22,8 +22,8 @@
 } PieceSource;
 
 /* Adds the requested piece to the answer if it belongs to the version that is being sent, else the first piece of that
- * version. Producing a text takes a parse of the whole document, so all requesters get the present text for as long as
- * pieces of it are requested. The piece points into source->text. now_ms: by the loop's clock. */
+ * version. Producing a text requires a parse of the entire document, so all requesters get the present text for as long
+ * as pieces of it are requested. The piece points into source->text. now_ms: by the loop's clock. */
 void piece_source_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                          ConfigWatchAnswer *answer);
 /* Frees the text if no piece of it has been requested for PIECE_TEXT_LIFETIME_MS. now_ms: by the loop's clock. */
@@ -36,7 +36,7 @@
 typedef struct Pieces {
     void *mem;
     uint64_t version;
-    size_t length; /* of the whole document, in bytes */
+    size_t length; /* of the entire document, in bytes */
     Bytes text;
 } Pieces;
 
--- a/packages/routing/include/routing/repair_transfer.h
+++ b/packages/routing/include/routing/repair_transfer.h
@@ -4,7 +4,8 @@
 #include "member/members.h"
 #include "routing/repair_buffer.h"
 
-/* Transfer of the repair buffer of a process that leaves: besides the disks it may be the only holder of a change. */
+/* Transfer of the repair buffer of a process that leaves: besides the disks, that process may be the only holder of a
+ * change. */
 
 /* An entry point that can hold changes for repair. */
 typedef struct RepairTarget {
--- a/packages/routing/include/routing/retry_rules.h
+++ b/packages/routing/include/routing/retry_rules.h
@@ -9,7 +9,7 @@
 
 /* Whether, and on what ground, a request may be sent again. */
 typedef enum RetryPolicy {
-    RETRY_NEVER,         /* not idempotent: if the answer is lost, the caller gets 504 at once */
+    RETRY_NEVER,         /* not idempotent: if the answer is lost, the caller gets 504 immediately */
     RETRY_READ_ONLY,     /* the request changes nothing */
     RETRY_BY_REQUEST_ID, /* the request identifies what it changes: the leader recognises a copy */
     RETRY_BY_STAMP       /* the entry point adds a request id and a base stamp: the leader recognises a copy or a stale
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -61,7 +61,7 @@
                        attempt->deadline_ms - start_ms, &attempt->answer);
 }
 
-/* Records an answer. Its committed changes are stored for repair even if no caller waits for it any more: this process
+/* Records an answer. Its committed changes are stored for repair even if a caller no longer waits for it: this process
  * may be the only one that has received them. */
 static void attempt_record_answer(Attempt *attempt, int64_t took_ms)
 {
--- a/packages/routing/src/attempt.h
+++ b/packages/routing/src/attempt.h
@@ -6,7 +6,7 @@
 /* One attempt to have a forwarded request answered along one route. Retries are decided in forwarding.c; nothing is
  * sent twice here.
  *
- * An attempt runs in its own coroutine, because its answer is needed even when no caller waits for it any more: the
+ * An attempt runs in its own coroutine, because its answer is needed even when a caller no longer waits for it: the
  * committed changes go into the repair buffer. */
 
 /* The context of all attempts of a process; the objects pointed to must outlive them. */
--- a/packages/routing/src/config_set.h
+++ b/packages/routing/src/config_set.h
@@ -7,7 +7,7 @@
 /* The form in which a configuration version is sent outside the replicated log: the change that set it, marked as
  * restored. Used in answers to a configuration watch, in the transfer of a large document, and in a repair. */
 
-/* Largest part of a document that is sent at once, in bytes: it takes 65 ms on a 2 Mbit/s link */
+/* Largest part of a document that is sent in one answer, in bytes: it takes 65 ms on a 2 Mbit/s link */
 #define CONFIG_WATCH_EAGER_BYTES 16384
 
 /* Returns the change that set the version; its texts are borrowed from the row. */
--- a/packages/routing/src/config_watch.c
+++ b/packages/routing/src/config_watch.c
@@ -11,7 +11,7 @@
 #include "state/deliver_config.h"
 
 #define CONFIG_WATCH_VERSIONS_MAX 8 /* number of versions stored for repair: a later one contains all earlier ones */
-#define CONFIG_WATCH_STABLE_MS 5000 /* time without a change after which the whole document is requested, in ms */
+#define CONFIG_WATCH_STABLE_MS 5000 /* time without a change after which the complete document is requested, in ms */
 /* The pause after each piece, in multiples of its transfer time: a transfer takes at most a quarter of the link */
 #define CONFIG_WATCH_PIECE_PAUSE_FACTOR 3
 #define CONFIG_WATCH_PIECE_PAUSE_MAX_MS 1000 /* upper bound on that pause, in ms */
@@ -110,8 +110,8 @@
                             .piece_most = CONFIG_WATCH_EAGER_BYTES};
 }
 
-/* Suspends the coroutine. Sends one request to the next hop and applies the answer. Until the first
- * answer on this route any received pieces are discarded, since they are from an earlier leader. */
+/* Suspends the coroutine. Sends one request to the next hop and applies the answer. Until the first answer on
+ * this route any received pieces are discarded, since they are from an earlier leader. */
 static Status poll_once(ConfigWatchPoll *poll)
 {
     ConfigWatch *config_watch = poll->config_watch;
@@ -186,7 +186,7 @@
 }
 
 /* Index of the first row to send to a leader that has version have: the row after that version or, if that row is a
- * patch with another base, the oldest whole document. */
+ * patch with another base, the oldest complete document. */
 static size_t repair_first_row(const Versions *versions, uint64_t have)
 {
     size_t from = versions->first_text;
--- a/packages/routing/src/config_watch_answer.c
+++ b/packages/routing/src/config_watch_answer.c
@@ -1,5 +1,5 @@
-/* The leader's answers to configuration watches: small differences at once, a whole document only on request, a large
- * one in pieces. */
+/* The leader's answers to configuration watches: small differences immediately, a complete document only on
+ * request, a large one in pieces. */
 #include <string.h>
 #include <talloc.h>
 
--- a/packages/routing/src/forwarding.c
+++ b/packages/routing/src/forwarding.c
@@ -43,9 +43,9 @@
            loop_now_ms(forwarding->forwarder->settings.loop) < forwarding->until_ms;
 }
 
-/* Handles an answer from a leader in repair: it cannot tell yet whether an earlier leader accepted the request, because
- * the changes that the disks lost are still being sent to it. Suspends the coroutine for REPAIR_BACKOFF_MS and returns
- * true if the request is then to be sent to it again; returns false at once otherwise. */
+/* Handles an answer from a leader in repair: it does not know yet whether an earlier leader accepted the request,
+ * because the changes that the disks lost are still being sent to it. Suspends the coroutine for REPAIR_BACKOFF_MS and
+ * returns true if the request is then to be sent to it again; returns false immediately otherwise. */
 static bool repair_wait(const Forwarding *forwarding, const ForwardAnswer *answer)
 {
     Loop *loop = forwarding->forwarder->settings.loop;
--- a/packages/routing/src/forwarding.h
+++ b/packages/routing/src/forwarding.h
@@ -17,8 +17,8 @@
     Pause pause;
 };
 
-/* The state of one request. Invariant: maybe_accepted says that an attempt which may have changed something ended
- * without a definite answer; it is never cleared. */
+/* The state of one request. Invariant: maybe_accepted is true once an attempt which may have changed something
+ * has ended without a definite answer; it is never cleared. */
 typedef struct Forwarding {
     Forwarder *forwarder;
     HttpExchange *task;
--- a/packages/routing/src/leader_route.c
+++ b/packages/routing/src/leader_route.c
@@ -32,7 +32,7 @@
 static void follow_leader(LeaderRoute *leader_route)
 {
     if (members_leader_term(leader_route->members) == leader_route->term)
-        return; /* no new term; also while none is known: the first member that is reached tells which process leads */
+        return; /* no new term; also while none is known: the first member that is reached names the leader */
     leader_route->term = members_leader_term(leader_route->members);
     if (members_leader_address(leader_route->members) != NULL) {
         leader_route_enter_hop(leader_route, 0);
--- a/packages/routing/src/leader_route_state.h
+++ b/packages/routing/src/leader_route_state.h
@@ -30,8 +30,8 @@
  *  - generation increases whenever the next hop or the leader changes;
  *  - hop_index is the next hop in use: 0 is the leader itself, N the Nth other controller; it has no meaning while
  *    lost_since_ms is not INT64_MAX;
- *  - searching says that the search coroutine runs, which it does in LEADER_ROUTE_LOST, once a leader has been known,
- *    and in LEADER_ROUTE_RELAYED. */
+ *  - searching is true while the search coroutine runs, which it does in LEADER_ROUTE_LOST, once a leader has
+ *    been known, and in LEADER_ROUTE_RELAYED. */
 struct LeaderRoute {
     Loop *loop;
     Rpc *rpc;
@@ -72,7 +72,7 @@
  * False: there is no such hop, or it is this process. */
 bool leader_route_hop(const LeaderRoute *leader_route, size_t nth, LeaderHop *hop);
 /* Suspends the coroutine, for wait_ms at most. Sends the hop a read that needs no commit. If it returns STATUS_OK,
- * *serves says whether the leader serves. A leader that a refusal names is recorded. */
+ * *serves is set to whether the leader serves. A leader that a refusal names is recorded. */
 Status leader_route_ping(LeaderRoute *leader_route, const LeaderHop *hop, int64_t wait_ms, bool *serves);
 
 #endif
