--- a/packages/adapter/include/adapter/adapter.h
+++ b/packages/adapter/include/adapter/adapter.h
@@ -34,8 +34,8 @@
     const char *name;
     /* Returns the path of the settings file that the platform names; null, with failure set, if it names none. */
     const char *(*path)(Failure *failure);
-    /* Reads the settings file; everything in place is allocated on mem. Returns BAD_SETTINGS with the field's name in
-     * failure if a setting is invalid. */
+    /* Reads the settings file into *place, with everything allocated on mem. Returns STATUS_BAD_SETTINGS with the
+     * field's name in failure if a setting is invalid. */
     Status (*read)(void *mem, const char *path, AdapterSettings *place, Failure *failure);
     /* Starts to serve the platform's addresses; allocates what it needs on mem. */
     Status (*start)(void *mem, const AdapterNode *node, Failure *failure);
@@ -46,10 +46,11 @@
 
 /* Returns the adapter of a name; null if there is none. */
 const Adapter *adapter_find(const char *name);
-/* Waits. Passes a request to the process's controller or entry point, which fills in the result. Must not be called for
- * agents. */
+/* Suspends the coroutine. Passes a request to the process's controller or entry point, which fills in the result. Must
+ * not be called for agents. */
 void adapter_handle_request(const AdapterNode *node, HttpExchange *task);
-/* Waits. Like entry_point_redirect; always false for a controller, which handles every configuration itself. */
+/* Suspends the coroutine. Like entry_point_redirect; always false for a controller, which handles every configuration
+ * itself. */
 bool adapter_redirect(const AdapterNode *node, HttpExchange *task, EntryPointConfig carried, const char **leader);
 
 #endif
--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -113,8 +113,8 @@
     return digest;
 }
 
-/* Returns the whole document that results from a patch; null, with a fault, if the patch is not an object. The text to
- * be committed is the patch, unless there is no version yet. */
+/* Returns the complete document that results from a patch; null, with a fault, if the patch is not an object. The text
+ * to be committed is the patch, unless there is no version yet. */
 static json_object *patch_apply(CallerRequest *request, const Config *in_force, json_object *patch, ConfigSet *set)
 {
     if (!json_object_is_type(patch, json_type_object)) {
@@ -230,8 +230,9 @@
     checked_config_add(service->in_force, &checked);
     ChangeResult result;
     const Status status = request_submit(request, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result);
+    /* in_force_config takes over the checked configuration before another change is delivered */
     if (status == STATUS_OK && result.status == STATUS_OK)
-        in_force_config(service->in_force); /* takes over checked before another change is delivered */
+        in_force_config(service->in_force);
     checked_config_remove(service->in_force, &checked);
     if (!request_delivered(request, status))
         return;
--- a/packages/callers/src/queue_entry.c
+++ b/packages/callers/src/queue_entry.c
@@ -55,7 +55,7 @@
 
 /* Whether the request may read, cancel or resubmit the job. Callers with the key of the job's tenant may. If the tenant
  * has no keys, or the queue is public, every caller of the queue may. If the tenant has been removed, nobody may,
- * unless the cell is gone too or uses no keys. */
+ * unless the cell has been removed too or uses no keys. */
 static bool job_visible(const CallerRequest *request, const Job *job)
 {
     const ConfigCell *cell = config_cell(in_force_config(request->service->in_force), job->spec.cell);
--- a/packages/callers/src/repair_copy.c
+++ b/packages/callers/src/repair_copy.c
@@ -1,7 +1,7 @@
 /* Copies of committed changes for repair. A committed change is stored on the disks, and in the process that forwarded
- * the request. All disks at once may lose what they acknowledged. Therefore entry points in two zones hold the change
- * before the request is answered: the one that forwarded the request and another, or two others if a controller did,
- * because a controller loses its memory together with the disks. */
+ * the request. All disks may at the same time lose what they acknowledged. Therefore entry points in two zones hold the
+ * change before the request is answered: the one that forwarded the request and another, or two others if a controller
+ * did, because a controller loses its memory together with the disks. */
 #include "repair_copy.h"
 
 #include <string.h>
--- a/packages/callers/src/routes.c
+++ b/packages/callers/src/routes.c
@@ -13,8 +13,10 @@
 
 /* The proof, required before an answer is sent, that the answer is not outdated. */
 typedef enum Proof {
-    PROOF_LEASE,   /* this node holds the lease by its own clock: a majority has renewed it */
-    PROOF_CONTACT, /* a majority has renewed the lease in reply to requests sent since, so clocks do not matter */
+    PROOF_LEASE, /* this node holds the lease by its own clock: a majority has renewed it */
+    /* a majority has renewed the lease in reply to requests that were sent after the answer was produced, so clocks do
+     * not matter */
+    PROOF_CONTACT,
 } Proof;
 
 /* --- guards: checks that a request passes, in order ------------------------------------------ */
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -41,7 +41,7 @@
     json_object_object_add(body, "moves",
                            json_object_new_boolean(table_zone_is_moving(request->service->table, request->name)));
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
-    /* whether protected work could still be restarted if this zone were empty */
+    /* whether protected work could still be restarted after a loss if this zone were empty */
     const PlanInput input = planner_input(request->service->scheduler, request->mem);
     for (size_t i = 0; i < input.worker_count; i++)
         if (strcmp(input.workers[i].zone, request->name) == 0)
--- a/packages/entry_point/include/entry_point/entry_point.h
+++ b/packages/entry_point/include/entry_point/entry_point.h
@@ -31,8 +31,9 @@
 /* Whether callers should send requests to this process: a leader serves, and this process is not leaving. The
  * counterpart of controller_ready. */
 bool entry_point_ready(const EntryPoint *entry_point);
-/* Suspends the coroutine, for the settings' grace_ms at most. Graceful shutdown: the process reports not ready at once,
- * requests in progress get their result, and the repair buffer goes to other entry points if disks may lose changes. */
+/* Suspends the coroutine, for the settings' grace_ms at most. Graceful shutdown: the process reports not ready
+ * immediately, requests in progress get their result, and the repair buffer goes to other entry points if disks may
+ * lose changes. */
 void entry_point_drain(EntryPoint *entry_point);
 /* Replaces the addresses of the seeds; they are copied. */
 void entry_point_set_seeds(EntryPoint *entry_point, const char *const seeds[SEEDS]);
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -146,9 +146,9 @@
     return STATUS_OK;
 }
 
-/* MESSAGE_KNOW: an isolated agent asks whether a holder of the lock is known (the paper's survival rule 2). An entry
- * point has no part in the lock and answers no, with the newest term known here; for the agent it counts that the entry
- * point was reachable. */
+/* MESSAGE_KNOW: an isolated agent asks whether a holder of the lock is known (the second survival rule of XenServer's
+ * HA design). An entry point has no part in the lock and answers no, with the newest term known here; for the agent it
+ * counts that the entry point was reachable. */
 static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
