--- a/packages/api/include/api/job_json.h
+++ b/packages/api/include/api/job_json.h
@@ -5,7 +5,8 @@
 #include "state/table.h"
 
 /* Jobs as callers submit them: parses the JSON and checks whether a job can be admitted. Used by the leader. All
- * results are allocated on faults->mem, and each fault has the path of its field. No function here waits. */
+ * results are allocated on faults->mem, and each fault has the path of its field. No function here suspends the
+ * coroutine. */
 
 /* Parses a job that names its id, cell, tenant and queue. Returns false if faults were added. */
 bool job_read(Faults *faults, const char *text, size_t count, JobSpec *spec);
--- a/packages/api/include/api/show.h
+++ b/packages/api/include/api/show.h
@@ -7,11 +7,11 @@
 #include "queue/queue.h"
 
 /* What users read: the JSON of jobs and workers, and the results of HTTP requests. Used by everything that answers
- * requests. No function here waits. Field names and their order are part of the public API. */
+ * requests. No function here suspends the coroutine. Field names and their order are part of the public API. */
 
 /* --- JSON; each function returns a new reference that the caller owns ----------------------------- */
 
-/* A whole job with its tasks. clock and quota_left (queue/queue.h) determine what its waiting tasks wait for. */
+/* A complete job with its tasks. clock and quota_left (queue/queue.h) determine what its waiting tasks wait for. */
 json_object *show_job(const Job *job, QueueClock clock, Resources quota_left);
 /* The short form of a job that lists show. */
 json_object *show_job_short(const Job *job);
@@ -30,7 +30,7 @@
 void show_result(HttpExchange *task, int code, json_object *body);
 /* An error result. The status determines the HTTP code and, for code 503, the Retry-After header. */
 void show_refusal(HttpExchange *task, Status status, const char *text, const Faults *faults);
-/* Readiness: 200 if callers should use this process, otherwise an error that says why not. */
+/* Readiness: 200 if callers should use this process, otherwise an error that states why not. */
 void show_ready(HttpExchange *task, bool ready, bool leaving);
 /* The flight recorder of this process, as text. */
 void show_recorder(HttpExchange *task, const Recorder *recorder);
--- a/packages/api/src/job_admission.c
+++ b/packages/api/src/job_admission.c
@@ -9,7 +9,7 @@
 typedef struct StepFeasibility {
     bool able;      /* A worker is of the kind and has the labels */
     bool fits;      /* Such a worker also has the capacity */
-    uint64_t slots; /* Number of the step's tasks that all workers together could run at once */
+    uint64_t slots; /* Number of the step's tasks that all workers together could run at the same time */
 } StepFeasibility;
 
 /* The number of tasks with this need that fit into the resources. */
@@ -61,7 +61,7 @@
     }
 }
 
-/* A task, or a whole gang, must fit into its tenant's quota; a quota of 0 means none. */
+/* A task, or an entire gang, must fit into its tenant's quota; a component of 0 is unlimited. */
 static void check_quota(Faults *faults, const JobSpec *spec, const ConfigTenant *tenant)
 {
     for (size_t i = 0; i < spec->steps_count; i++) {
--- a/packages/api/src/job_json.c
+++ b/packages/api/src/job_json.c
@@ -6,7 +6,7 @@
 
 #include "base/constants.h"
 
-/* Keys that say where the job belongs; not allowed where the address says so. */
+/* Keys that state where the job belongs; not allowed if the address states it. */
 #define PLACE_KEYS "id", "cell", "tenant", "queue"
 #define BODY_KEYS                                                                                                      \
     "priority", "protection", "copies", "dueWallMs", "delayMs", "rounds", "steps", "turns", "firstWallMs", "periodMs", \
@@ -153,7 +153,7 @@
     read_steps(faults, object, payload, spec);
 }
 
-/* Parses a job. at: where the job belongs according to the address; null if the text says so. */
+/* Parses a job. at: where the job belongs according to the address; null if the text states it. */
 static bool read_job(Faults *faults, const char *text, size_t count, const JobSpec *at, JobSpec *spec)
 {
     const size_t before = faults->seen;
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -2,8 +2,8 @@
 #define CONFIG_CHECK_H
 
 /* Checked reading of external JSON: request bodies of operators, callers and workers, and the configuration. Each
- * function records faults with their paths and continues, so that a caller learns of all faults at once. No function
- * here waits. */
+ * function records faults with their paths and continues, so that a caller gets all faults in one answer. No function
+ * here suspends the coroutine. */
 
 #include <json-c/json.h>
 
@@ -12,7 +12,7 @@
 /* One error in a document. The texts are owned by the mem of the list. */
 typedef struct Fault {
     Status status;
-    const char *path; /* for example "cells.main.queues.q.attempts"; empty: the whole document */
+    const char *path; /* for example "cells.main.queues.q.attempts"; empty: the entire document */
     const char *text; /* description for people */
 } Fault;
 
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -2,8 +2,8 @@
 #define CONFIG_CONFIG_H
 
 /* The operators' configuration: cells with their tenants and queues, kinds of workers, policies and limits. (The list
- * of voters is separate, see replication/messages.h.) The leader reads each version (packages/controller), thereby
- * checks what operators send, and plans according to it. docs/api.md describes the document. No function here waits. */
+ * of voters is separate, see replication/messages.h.) The leader reads each version, which also checks what operators
+ * send, and plans according to it. docs/api.md describes the document. No function here suspends the coroutine. */
 
 #include <glib.h>
 
@@ -15,7 +15,7 @@
 typedef struct ConfigTenant {
     const char *name;
     Resources quota;       /* limit on all its tasks on workers; a component of 0 is unlimited */
-    uint64_t weight_milli; /* thousandths; weight relative to other tenants when capacity is scarce */
+    uint64_t weight_milli; /* weight relative to other tenants when capacity is scarce, in thousandths */
     bool keyed;            /* has a list of keys, possibly empty: only its own callers can see its jobs */
     size_t key_count;
     const char *note; /* operator's note; not interpreted */
@@ -27,8 +27,8 @@
     int64_t priority;
     const char *kind;          /* kind of worker that serves it; empty: any */
     uint64_t attempts;         /* number of failed attempts after which a task fails */
-    uint64_t stretch_milli;    /* thousandths; latency target = stretch x critical path + target_ms */
-    int64_t target_ms;         /* ms */
+    uint64_t stretch_milli;    /* latency target = stretch x critical path + target_ms; stretch in thousandths */
+    int64_t target_ms;         /* constant part of the latency target, in ms */
     int64_t timeout_ms;        /* deadline of a request to the queue, in ms */
     const char *host, *prefix; /* route of requests to the queue, the host in lower case; empty: none */
     const char *tenant;        /* tenant of its jobs; empty: the first one of the cell */
@@ -57,7 +57,7 @@
 /* A kind of worker to which queues refer. */
 typedef struct ConfigKind {
     const char *name;
-    bool guards; /* its workers themselves reject work that does not fit */
+    bool guards; /* its workers themselves refuse work that does not fit */
     const char *health_path;
     const char *note; /* operator's note; not interpreted */
 } ConfigKind;
@@ -77,7 +77,7 @@
     LuaPolicy *lua;
 } ConfigPolicy;
 
-/* One version of the operators' document, read and checked. Immutable: the next version replaces it as a whole and
+/* One version of the operators' document, read and checked. Immutable: the next version replaces all of it and
  * shares its unchanged parts. */
 typedef struct Config {
     uint64_t version;
--- a/packages/config/src/cells.c
+++ b/packages/config/src/cells.c
@@ -8,7 +8,7 @@
 #include "tenants.h"
 
 #define SHARE_MAX 1000            /* a larger share of a cell is considered a mistake */
-#define WAITING_LIMIT_MAX 1000000 /* number of tasks; a larger limit of waiting tasks is considered a mistake */
+#define WAITING_LIMIT_MAX 1000000 /* a larger limit of waiting tasks is considered a mistake */
 
 static void read_queues(const ConfigReader *reader, json_object *object, const char *path, ConfigCell *cell)
 {
--- a/packages/config/src/config.c
+++ b/packages/config/src/config.c
@@ -92,7 +92,7 @@
     limits->idle_ms = check_int(faults, value, "limits", "idleMs", 1, CONFIG_SPAN_MAX_MS, 0);
 }
 
-/* --- the whole document ---------------------------------------------------------------- */
+/* --- the entire document --------------------------------------------------------------- */
 
 static int config_free(Config *config)
 {
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -1,5 +1,5 @@
-/* Measures the processor time of a change of the configuration, sent as a whole document that is read again at each
- * step, and as a difference, of which only the changed parts are read.
+/* Measures the processor time of a change of the configuration, sent as a complete document that is read again at
+ * each step, and as a difference, of which only the changed parts are read.
  *
  *     spancart-config-bench [QUEUES [CHANGES]] */
 #include <stdio.h>
@@ -89,9 +89,9 @@
     costs->voter_us += now_us() - start_us;
 }
 
-/* --- whole texts only, as in earlier releases ------------------------------------------ */
+/* --- complete texts only, as in earlier releases --------------------------------------- */
 
-/* Checks, delivers and reads one change as a whole text. Returns the text after the change, owned by mem. */
+/* Checks, delivers and reads one change as a complete text. Returns the text after the change, owned by mem. */
 static const char *change_whole_text(const Bench *bench, void *mem, Versions *versions, const char *text, int change,
                                      Costs *costs)
 {
@@ -132,7 +132,7 @@
 /* How an operator sends a change. */
 typedef enum Method {
     METHOD_PATCH,
-    METHOD_PUT, /* the whole document */
+    METHOD_PUT, /* the complete document */
     METHOD_COUNT
 } Method;
 
