--- a/packages/document/include/document/document.h
+++ b/packages/document/include/document/document.h
@@ -8,7 +8,8 @@
  * imply equal content. Trees are reference-counted json-c objects: each function that returns one gives the caller a
  * reference, which json_object_put releases.
  *
- * Numbers retain the text that they were parsed from, and objects the order of their keys. No function here waits. */
+ * Numbers retain the text that they were parsed from, and objects the order of their keys. No function here
+ * suspends the coroutine. */
 
 #include <json-c/json.h>
 #include <stdbool.h>
--- a/packages/document/src/document.c
+++ b/packages/document/src/document.c
@@ -29,10 +29,10 @@
     return copy;
 }
 
-/* Returns the tree with the patch applied. owned: the set of objects created by this operation; nobody else refers to
- * them, so they are modified in place. The address of a freed object in the set may be reused by another value. If such
- * a value is reached as an object within objects, it was created by this operation too, since the objects of the first
- * tree are not freed. */
+/* Returns the tree with the patch applied. owned: the set of objects created by this operation; nothing else refers
+ * to them, so they are modified in place. The address of a freed object in the set may be reused by another value. That
+ * is harmless: an object that is reached through objects only belongs to the first tree, whose objects are not freed,
+ * or was created by this operation too. */
 static json_object *merge(json_object *tree, json_object *patch, GHashTable *owned)
 {
     if (!json_object_is_type(patch, json_type_object))
--- a/packages/document/test/document.c
+++ b/packages/document/test/document.c
@@ -175,7 +175,7 @@
     assert_true(expressed > 8000 && inexpressible > 1000);
 }
 
-/* Applying several patches at once gives the same result as applying them one by one, and does not modify the first
+/* Applying several patches together gives the same result as applying them one by one, and does not modify the first
  * tree. */
 static void many_patches_equal_one_by_one(void **state)
 {
--- a/packages/settings/include/settings/cluster_settings.h
+++ b/packages/settings/include/settings/cluster_settings.h
@@ -6,8 +6,8 @@
 
 #include "base/constants.h"
 
-/* The settings of a whole deployment: times and counts with their defaults and ranges. All processes of a cluster must
- * have the same values.
+/* The settings of an entire deployment: times and counts with their defaults and ranges. All processes of a cluster
+ * must have the same values.
  * X(field, name, default, minimum, maximum, meaning). A protocol adapter sets them by name. Units are in the names. */
 #define CLUSTER_SETTING_LIST(X)                                                                                       \
     X(lease_ms, "holdMs", AGENT_LEASE_MS, 1000, 60000,                                                                \
--- a/packages/settings/include/settings/settings.h
+++ b/packages/settings/include/settings/settings.h
@@ -7,7 +7,7 @@
 
 /* The settings of a process: its name, its addresses and the seeds, through which it discovers all other processes. The
  * daemon reads them from an ini file and flags, a protocol adapter from the platform's settings. No function here
- * waits. */
+ * suspends the coroutine. */
 typedef struct Settings {
     const char *name;
     const char *zone;
@@ -29,7 +29,7 @@
 /* Sets one key to a value, copied to mem, as flags do. Returns STATUS_BAD_SETTINGS for an unknown key or an invalid
  * value. */
 Status settings_set(void *mem, Settings *settings, const char *key, const char *value, Failure *failure);
-/* Checks the settings as a whole. On errors returns STATUS_BAD_SETTINGS with the first invalid key in failure. */
+/* Checks all settings together. On errors returns STATUS_BAD_SETTINGS with the first invalid key in failure. */
 Status settings_check(const Settings *settings, SettingsRole role, Failure *failure);
 
 #endif
--- a/packages/settings/src/cluster_settings.c
+++ b/packages/settings/src/cluster_settings.c
@@ -1,4 +1,4 @@
-/* The settings of a whole deployment, generated from CLUSTER_SETTING_LIST. */
+/* The settings of an entire deployment, generated from CLUSTER_SETTING_LIST. */
 #include "settings/cluster_settings.h"
 
 #include <string.h>
--- a/packages/settings/src/settings.c
+++ b/packages/settings/src/settings.c
@@ -1,4 +1,4 @@
-/* The settings of a process: reading an ini file, setting single keys, and checking them as a whole. */
+/* The settings of a process: reading an ini file, setting single keys, and checking them together. */
 #include "settings/settings.h"
 
 #include <glib.h>
--- a/packages/template/include/template/template.h
+++ b/packages/template/include/template/template.h
@@ -4,7 +4,7 @@
 #include "config/check.h"
 
 /* Configurations built from a template with parameters, and from overlays on a document. Used by the operators' command
- * line only: the document that is submitted is always a whole one.
+ * line only: the document that is submitted is always complete.
  *
  * A template has the form {"parameters": {NAME: {"default": VALUE} or {}}, "template": DOCUMENT}. A string "${NAME}" in
  * the document is replaced by the value of the parameter, of any type; within a longer string it is replaced by the
@@ -16,7 +16,7 @@
 /* The value of a parameter as an operator gives it. */
 typedef struct TemplateValue {
     const char *name;
-    const char *text; /* JSON; any other text is taken as a string */
+    const char *text; /* JSON; any other text stands for a string */
 } TemplateValue;
 
 /* Fills in a template. Returns the document, as a reference owned by the caller; null when there are faults, whose
--- a/packages/template/src/template.c
+++ b/packages/template/src/template.c
@@ -11,7 +11,7 @@
     json_object *values;
 } TemplateContext;
 
-/* Returns a value given on a command line: parsed if the whole text is JSON, else as a string. */
+/* Returns a value given on a command line: parsed if the entire text is JSON, else as a string. */
 static json_object *parse_value(const char *text)
 {
     struct json_tokener *tokener = json_tokener_new();
@@ -75,7 +75,7 @@
         if (!json_object_object_get_ex(context->values, name, &value))
             fault_add(context->faults, STATUS_BAD_FIELD, path, "unknown parameter %s", name);
         else if (open == text && close[1] == '\0')
-            result = json_object_get(value); /* the parameter is the whole string: use the value itself */
+            result = json_object_get(value); /* the parameter is the entire string: use the value itself */
         out = talloc_strndup_append(out, at, (size_t)(open - at));
         if (value != NULL)
             out = talloc_strdup_append(out, value_text(value));
