--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -1,6 +1,6 @@
 /* Builds the body of /v1/status for operators. Field names in it never change. Some differ from the terms in the
  * source: "seats" are the voters, "epoch" is the term, "holdLeftMs" is the time left of a lease, "room" is the worker's
- * resources. */
+ * resources, "restLeftMs" is the time left of a worker's ejection. */
 #include "status.h"
 
 #include <inttypes.h>
