--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -1,6 +1,6 @@
 /* Builds the body of /v1/status for operators. Field names in it never change. Some differ from the terms in the
  * source: "seats" are the voters, "epoch" is the term, "holdLeftMs" is the time left of a lease, "room" is the worker's
- * resources. */
+ * resources, "restLeftMs" is the time left of a worker's ejection. */
 #include "status.h"
 
 #include <inttypes.h>
@@ -173,7 +173,7 @@
     return plan;
 }
 
-/* Counts of rejected frames: from another cluster, or not of this protocol. */
+/* Counts of refused frames: from another cluster, or not of this protocol. */
 static json_object *show_refused_frames(const Controller *controller)
 {
     const RpcCounts *counts = rpc_counts(controller->rpc);
