--- a/packages/scheduler/include/scheduler/scheduler.h
+++ b/packages/scheduler/include/scheduler/scheduler.h
@@ -21,7 +21,7 @@
  * scheduler_place_from_ms. All of its own data is in memory; a new leader gathers it again. */
 typedef struct Scheduler Scheduler;
 
-/* The controller's functions that the scheduler calls. Only submit waits. All functions are set. */
+/* The controller's functions that the scheduler calls. Only submit suspends the coroutine. All functions are set. */
 typedef struct SchedulerLeader {
     void *arg; /* passed to each function */
     /* Whether this node is the leader, by its own clock. */
@@ -33,14 +33,15 @@
     int64_t (*won_ms)(void *arg);
     /* The log's time and the wall clock, in ms. */
     QueueClock (*clock)(void *arg);
-    /* The configuration in force, never null, valid until the next wait. stamp (out): differs between different
-     * configurations. */
+    /* The configuration in force, never null, valid until the coroutine is next suspended. stamp (out): differs between
+     * different configurations. */
     const Config *(*config)(void *arg, uint64_t *stamp);
     /* The policy of a cell; cell may be null. */
     QueuePolicy policy;
     /* The number of policy calls that failed. last (out): the text of the last failure, "" when there was none. */
     uint64_t (*policy_failures)(void *arg, const char **last);
-    /* Waits. Has the change committed and delivered, like replication_submit. The packed change is allocated on mem. */
+    /* Suspends the coroutine. Has the change committed and delivered, like replication_submit. The packed change is
+     * allocated on mem. */
     Status (*submit)(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result);
 } SchedulerLeader;
 
@@ -104,7 +105,7 @@
  * mem. */
 PlanInput planner_input(Scheduler *scheduler, void *mem);
 /* The ready queue as of now, in the order that these policies give; arg is passed to policy. Owned by mem; valid until
- * the next wait. */
+ * the coroutine is next suspended. */
 ReadyQueue *scheduler_ready_queue(Scheduler *scheduler, void *mem, QueuePolicy policy, void *arg);
 
 #endif
--- a/packages/scheduler/include/scheduler/worker_score.h
+++ b/packages/scheduler/include/scheduler/worker_score.h
@@ -5,9 +5,11 @@
 
 /* Outlier ejection of workers: a worker that claims to be healthy but fails or slows its attempts is given less new
  * work, then is ejected: it gets none for a period that doubles with each ejection. Only a bounded share of the fleet
- * is ejected at once. The controller records ended attempts and shows the scores; the scheduler's passes read them.
+ * is ejected at the same time. The controller records ended attempts and shows the scores; the scheduler's passes read
+ * them.
  *
- * Nothing here waits; returned pointers belong to the scheduler and are valid until the next wait. */
+ * No function here suspends the coroutine. Returned pointers belong to the scheduler and are valid until the coroutine
+ * is next suspended. */
 
 /* The rate of bad attempts of one worker, a moving average in which the newest attempt has the largest weight. */
 typedef struct Tally {
--- a/packages/scheduler/src/assurance.h
+++ b/packages/scheduler/src/assurance.h
@@ -12,7 +12,8 @@
 void pass_assured_task_add(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker);
 /* Checks whether the plan holds with all added tasks; each check counts against checks_max. */
 bool pass_survives_losses(Pass *pass);
-/* Waits. Marks running attempts as assured that the plan did not include so far and now can include. */
+/* Suspends the coroutine. Marks the running attempts as assured that the plan did not include so far and can include
+ * now. */
 void assure_running_tasks(Pass *pass);
 
 #endif
--- a/packages/scheduler/src/attempt_progress.c
+++ b/packages/scheduler/src/attempt_progress.c
@@ -9,9 +9,10 @@
 #include "scheduler/worker_score.h"
 #include "state.h"
 
-#define PROGRESS_KEY_BYTES (ID_MAX + 24) /* bytes; a task number and a job id */
-#define PROGRESS_SWEEP_MIN 256           /* count; a smaller table is not swept */
-#define PERCENT_ROUNDING 0.5 /* percent; progress is reported in whole percents, so 0 may mean up to half a percent */
+#define PROGRESS_KEY_BYTES (ID_MAX + 24) /* buffer size in bytes for a task number and a job id */
+#define PROGRESS_SWEEP_MIN 256           /* a table with fewer entries is not swept */
+/* in percent: progress is reported in whole percents, so 0 may be up to half a percent */
+#define PERCENT_ROUNDING 0.5
 
 struct ProgressTable {
     Map *attempts;                /* task (progress_key) to AttemptProgress */
@@ -125,7 +126,7 @@
     if (known_attempt && progress_credible(progress_table))
         worker_slowdown_record(scheduler, worker, report, gained_percent, span_ms);
     progress->per_ms = known_attempt && span_ms > 0 ? gained_percent / (double)span_ms : 0;
-    /* the first report to this leader does not tell how long the percent has been unchanged, unless it is 0 */
+    /* the first report to this leader does not show how long the percent has been unchanged, unless it is 0 */
     if (!known_attempt || gained_percent > 0)
         progress->unchanged_ms = known_attempt || report->percent > 0 ? report->percent_ms : 0;
     progress->percent = report->percent;
--- a/packages/scheduler/src/checkpoint.c
+++ b/packages/scheduler/src/checkpoint.c
@@ -8,8 +8,8 @@
 
 #include "state.h"
 
-#define CHECKPOINT_KEY_BYTES (ID_MAX + 24) /* bytes; a task number and a job id */
-#define CHECKPOINTS_SWEEP_MIN 256          /* count; a smaller map is not swept */
+#define CHECKPOINT_KEY_BYTES (ID_MAX + 24) /* buffer size in bytes for a task number and a job id */
+#define CHECKPOINTS_SWEEP_MIN 256          /* a map with fewer entries is not swept */
 
 /* Invariant: text is the newest checkpoint of the latest attempt that reported one. */
 typedef struct Checkpoint {
--- a/packages/scheduler/src/gang_repair.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -1,6 +1,6 @@
 /* Repairs gangs of which only some members run. Members are placed, ended and stopped together, so this has one cause
  * only: the disks lost a placement, agents have reported their attempts again, and the agent of at least one member is
- * lost. The running members are stopped, and the gang is placed again as a whole. */
+ * lost. The running members are stopped, and the entire gang is placed again. */
 #include "gang_repair.h"
 
 #include <talloc.h>
--- a/packages/scheduler/src/gang_repair.h
+++ b/packages/scheduler/src/gang_repair.h
@@ -3,8 +3,8 @@
 
 #include "state.h"
 
-/* Waits. Stops the running members of gangs that are incomplete, so that each gang starts again as a whole. The change
- * is packed on mem. */
+/* Suspends the coroutine. Stops the running members of gangs that are incomplete, so that the entire gang is placed
+ * again. The change is packed on mem. */
 void gangs_repair(Scheduler *scheduler, void *mem);
 
 #endif
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -14,7 +14,7 @@
     return loop_now_ms(scheduler->loop) > until_ms;
 }
 
-/* Whether the worker's lease has ended and its loss is not being committed yet. */
+/* Whether the worker's lease has expired and its loss is not being committed yet. */
 static bool loss_undeclared(const Scheduler *scheduler, const char *worker)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker);
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -22,8 +22,8 @@
 }
 
 /* Finds the workers' rows in the live set; null: the worker has not contacted this leader. Returns whether overdue
- * heartbeats are credible: when more than one in OVERDUE_WORKERS_DIVISOR workers is overdue at once, it is more likely
- * that this process has not read their heartbeats yet. */
+ * heartbeats are credible: when more than one in OVERDUE_WORKERS_DIVISOR workers is overdue at the same time, it is
+ * more likely that this process has not read their heartbeats yet. */
 static bool live_rows_find(const Scheduler *scheduler, const Worker *const *workers, size_t count, const LiveRow **rows)
 {
     const int64_t now_ms = loop_now_ms(scheduler->loop);
--- a/packages/scheduler/src/pass.h
+++ b/packages/scheduler/src/pass.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-#define UNMET_NEEDS_MAX 8 /* count; unmet needs that a pass remembers */
+#define UNMET_NEEDS_MAX 8 /* maximum number of unmet needs that a pass remembers */
 
 /* Where the other tasks of one step run, for the preferences in worker_choice.c. Invariant: describes one step at a
  * time, and counts the starts that this pass has decided and attempts that are being stopped. */
@@ -37,7 +37,7 @@
     QueueContext context;
     ReadyQueue *ready_queue;
     PlaceList places;
-    PlannedStart *starts; /* the starts in places, with indices */
+    PlannedStart *starts; /* the same starts as in places, by index */
     size_t place_capacity, start_count;
     StepSpread spread;
     PlanNeed unmet[UNMET_NEEDS_MAX]; /* needs that fit no worker in this pass */
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -173,8 +173,8 @@
         fits = false;
     } else if (spec->protection == PROTECTION_PROTECTED) {
         assured = plan_includes(pass, candidate, &need, where);
-        /* protected work that the plan can't include starts nevertheless after PROTECTED_START_WAIT_MS, and restarts at
-         * once */
+        /* protected work that the plan can't include starts nevertheless after PROTECTED_START_WAIT_MS, and restarts
+         * immediately */
         if (!assured && pass->plan_required)
             fits = candidate->restart || pass->clock.log_ms - candidate->since_ms >= PROTECTED_START_WAIT_MS;
     }
--- a/packages/scheduler/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -14,13 +14,14 @@
 #include "restart_elsewhere.h"
 #include "zone_move.h"
 
-#define PLAN_CHECKS_MAX 200 /* count; most checks of the r-loss plan in one pass */
-#define PLAN_CHECKS_MIN 4   /* count; checks that are always allowed in a pass */
-/* count; tasks and workers examined for plans in one pass: about 50 ms, a tenth of a heartbeat interval */
+#define PLAN_CHECKS_MAX 200 /* maximum number of checks of the r-loss plan in one pass */
+#define PLAN_CHECKS_MIN 4   /* number of checks that are always allowed in a pass */
+/* number of tasks and workers examined for plans in one pass, which takes about 50 ms, a tenth of a heartbeat
+ * interval */
 #define PLAN_WORK_MAX 4000000
-#define PASS_GAP_MS 5 /* ms; pause between two passes, so that changes that arrive together are handled by one pass */
-#define PASS_GAP_MAX_MS 40  /* ms; longest pause, for large sites and long queues, where a pass takes longer */
-#define PASS_GAP_ENTRIES 64 /* count; number of workers and queued steps that lengthens the pause by 1 ms */
+#define PASS_GAP_MS 5       /* pause between two passes, in ms, so that one pass handles changes that arrive together */
+#define PASS_GAP_MAX_MS 40  /* longest pause, in ms, for large sites and long queues, where a pass takes longer */
+#define PASS_GAP_ENTRIES 64 /* number of workers and queued steps that lengthens the pause by 1 ms */
 
 /* Checks whether the r-loss plan holds now. Where the configuration names no loss, the result is only shown in the
  * status, and an occasional check is enough. */
@@ -80,8 +81,8 @@
     return wait_ms < PASS_GAP_MAX_MS ? wait_ms : PASS_GAP_MAX_MS;
 }
 
-/* Waits. Runs one pass; returns whether there may be more to decide at once. next_ms (out): when there will be more to
- * decide without a new event, in ms of this node's steady clock. */
+/* Suspends the coroutine. Runs one pass; returns whether there may be more to decide immediately. next_ms (out): when
+ * there will be more to decide without a new event, in ms of this node's steady clock. */
 static bool pass_run(Scheduler *scheduler, int64_t *next_ms)
 {
     uint64_t changes_seen = scheduler->changes;
@@ -115,7 +116,8 @@
     return more || scheduler->changes > changes_seen;
 }
 
-/* Waits. Handles lost and silent workers, also before place_from_ms; after that time, also incomplete gangs. */
+/* Suspends the coroutine. Handles lost and silent workers, also before place_from_ms; after that time, also incomplete
+ * gangs. */
 static void workers_check(Scheduler *scheduler)
 {
     void *mem = talloc_new(scheduler);
--- a/packages/scheduler/src/preemptible_capacity.c
+++ b/packages/scheduler/src/preemptible_capacity.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define PREEMPT_REPRESENTATIVES_MAX 8 /* count; queues of a cell that have a representative */
+#define PREEMPT_REPRESENTATIVES_MAX 8 /* maximum number of queues of a cell that have a representative */
 
 size_t preemptible_cell(const Pass *pass, const JobSpec *spec)
 {
--- a/packages/scheduler/src/preemptible_capacity.h
+++ b/packages/scheduler/src/preemptible_capacity.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-#define PREEMPT_CALLS_MAX 400 /* count; calls of may_preempt in one pass, about 0.01 ms each */
+#define PREEMPT_CALLS_MAX 400 /* maximum number of calls of may_preempt in one pass, about 0.01 ms each */
 
 /* Adds the capacity that protected work may preempt, by cell, to pass->input. */
 void preemptible_add(Pass *pass);
--- a/packages/scheduler/src/preemption_target.c
+++ b/packages/scheduler/src/preemption_target.c
@@ -1,6 +1,6 @@
 /* Preemption by the built-in policy: a task of the cell's most urgent queue that would otherwise miss its latency
  * target may preempt work of less urgent queues. Little work may be lost by it: the victim makes checkpoints, or has
- * not run for long. Members of gangs are not preempted, since the whole gang would have to stop. One preemption at a
+ * not run for long. Members of gangs are not preempted, since the entire gang would have to stop. One preemption at a
  * time. */
 #include "preemption_target.h"
 
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -1,8 +1,8 @@
-/* Reservations of workers. Without them, a task (or gang) that fits a worker's whole capacity but no present gap would
- * be overtaken by small tasks for ever. After a wait (reservation_wait_ms), the workers that suit it and are expected
- * to have enough capacity soonest are reserved for it: nothing new starts there except candidates that rank above it in
- * its cell, restarts of protected work, and tasks that end before the capacity is free. One candidate of a cell has a
- * reservation at a time, and only a bounded share of the fleet is reserved.
+/* Reservations of workers. Without them, a task (or gang) that fits on an empty worker, but not into the capacity that
+ * any worker has free now, would be overtaken by small tasks for ever. After a wait (reservation_wait_ms), the workers
+ * that suit it and are expected to have enough capacity soonest are reserved for it: nothing new starts there except
+ * candidates that rank above it in its cell, restarts of protected work, and tasks that end before the capacity is
+ * free. One candidate of a cell has a reservation at a time, and only a bounded share of the fleet is reserved.
  *
  * Reservations are held in the leader's memory only; a new leader makes its own. */
 #include "reservation.h"
--- a/packages/scheduler/src/restart_elsewhere.h
+++ b/packages/scheduler/src/restart_elsewhere.h
@@ -3,8 +3,8 @@
 
 #include "pass.h"
 
-/* Waits. Every SLOW_ATTEMPT_CHECK_MS: stops attempts that should restart on other workers. True: some were stopped; the
- * pass is then invalid, since the table has changed. */
+/* Suspends the coroutine. Every SLOW_ATTEMPT_CHECK_MS: stops attempts that should restart on other workers. True: some
+ * were stopped; the pass is then invalid, since the table has changed. */
 bool restart_elsewhere(Pass *pass);
 
 #endif
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -12,7 +12,7 @@
 #include "worker_choice.h"
 #include "settings/features.h"
 
-#define STALLED_LEFT_MS 1e9 /* ms; remaining time assumed for a stalled attempt */
+#define STALLED_LEFT_MS 1e9 /* remaining time assumed for a stalled attempt, in ms */
 
 /* A running attempt, and how long it is expected to take. */
 typedef struct RunningAttempt {
@@ -71,7 +71,7 @@
     if (running->stalled) {
         running->left_ms = STALLED_LEFT_MS;
     } else if (progress->per_ms > 0) {
-        /* its speed tells how much work it has, whatever was estimated */
+        /* the speed of the attempt shows how much work it has, whatever was estimated */
         const double here_ms = 100 / progress->per_ms;
         running->whole_ms = here_ms * 1000 / (double)pass->slowdowns[worker];
         running->left_ms = (double)(100 - progress->percent) / progress->per_ms -
--- a/packages/scheduler/src/state.h
+++ b/packages/scheduler/src/state.h
@@ -41,12 +41,12 @@
 bool scheduler_leads(const Scheduler *scheduler);
 bool scheduler_decides(const Scheduler *scheduler);
 int64_t scheduler_won_ms(const Scheduler *scheduler);
-/* Waits. */
+/* Suspends the coroutine. */
 Status scheduler_submit(const Scheduler *scheduler, void *mem, ChangeKind kind, const Shape *shape, const void *body,
                         ChangeResult *result);
 const Policy *scheduler_policy(const Scheduler *scheduler, const ConfigCell *cell);
 
-/* When every lease that an earlier leader may have granted has ended, in ms of this node's steady clock. */
+/* When every lease that an earlier leader may have granted has expired, in ms of this node's steady clock. */
 int64_t scheduler_lease_end_ms(const Scheduler *scheduler);
 
 #endif
--- a/packages/scheduler/src/unconfirmed.c
+++ b/packages/scheduler/src/unconfirmed.c
@@ -34,13 +34,14 @@
 }
 
 /* Whether an attempt of the task other than the one in the table, or one that the table no longer has, may run on a
- * worker that has not contacted this leader. since_ms: log time; start of the oldest lease that may still run. */
+ * worker that has not contacted this leader. since_ms: log time; start of the oldest lease that may not have
+ * expired. */
 static bool may_be_orphaned(const Job *job, const JobTask *task, int64_t since_ms)
 {
     const StepSpec *step = &job->spec.steps[task->step];
     if (task->attempt == 0 || task->changed_ms < since_ms)
         return false;
-    /* one member's end is counted for its whole gang; an older attempt may have finished first */
+    /* one member's end is counted for its entire gang; an older attempt may have finished first */
     if (task_ended(task->phase))
         return step->gang || task->attempt > 1;
     return (job->spec.copies || step->copies) && (task->phase == TASK_WAITING || task->attempt > 1);
@@ -80,7 +81,7 @@
 }
 
 /* Adds the attempts that an earlier leader may have orphaned. This leader learns of them from the first heartbeats;
- * until all workers have reported, or the earlier leases have ended, every attempt that may be orphaned counts. */
+ * until all workers have reported, or the earlier leases have expired, every attempt that may be orphaned counts. */
 static void inherited_add(const Pass *pass, Unconfirmed *unconfirmed)
 {
     Scheduler *scheduler = pass->scheduler;
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -14,7 +14,7 @@
 
 #include "settings/features.h"
 
-#define TIME_UNIT 1000 /* thousandths; the run time on a healthy worker near the data */
+#define TIME_UNIT 1000 /* the run time on a healthy worker near the data, in thousandths */
 
 void spread_add(Pass *pass, size_t at, int by)
 {
@@ -96,7 +96,7 @@
 
 /* Whether the tasks of the job's steps are placed together, since the job is in time only when its last task is. Where
  * the configuration names losses that each start must leave a plan for, spreading is preferred: less has to be
- * restarted at once. */
+ * restarted at the same time. */
 static bool prefers_together(const Pass *pass, const Job *job)
 {
     return feature_enabled(pass->scheduler->cluster_settings, FEATURE_TOGETHER) && !pass->plan_required &&
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -1,5 +1,5 @@
 /* Outlier ejection of workers: workers that fail or slow their attempts while they claim to be healthy get fewer
- * starts, then none for a growing period; only a bounded share of the fleet is ejected at once. */
+ * starts, then none for a growing period; only a bounded share of the fleet is ejected at the same time. */
 #include "scheduler/worker_score.h"
 
 #include <inttypes.h>
@@ -10,7 +10,7 @@
 #include "state.h"
 #include "settings/features.h"
 
-#define HALVINGS_MAX 7 /* count; a rate of at most 100 percent is 0 after more halvings than this */
+#define HALVINGS_MAX 7 /* a rate of at most 100 percent is 0 after more halvings than this */
 
 const WorkerScore *score_find(const Scheduler *scheduler, const char *worker)
 {
@@ -67,7 +67,7 @@
     const size_t ejected = ejected_count(scheduler, mem);
     talloc_free(mem);
     if ((ejected + 1) * EJECTED_WORKERS_DIVISOR > fleet)
-        return; /* so many bad workers at once: the work or the whole fleet is bad, and ejection helps neither */
+        return; /* with so many bad workers, the work or the entire fleet is bad, and ejection helps neither */
     score->ejection_ms = score->ejection_ms == 0                    ? EJECTION_MIN_MS
                          : score->ejection_ms * 2 < EJECTION_MAX_MS ? score->ejection_ms * 2
                                                                     : EJECTION_MAX_MS;
--- a/packages/scheduler/src/zone_move.h
+++ b/packages/scheduler/src/zone_move.h
@@ -3,7 +3,8 @@
 
 #include "pass.h"
 
-/* Waits. Stops one task in a zone that is drained with moves. True: a task was stopped; the pass is then invalid. */
+/* Suspends the coroutine. Stops one task in a zone that is drained with moves. True: a task was stopped; the pass is
+ * then invalid. */
 bool move_one_task(Pass *pass);
 
 #endif
