--- a/packages/plan/include/plan/plan.h
+++ b/packages/plan/include/plan/plan.h
@@ -4,7 +4,7 @@
 /* Plans for the loss of workers (after plan_always_possible in XenServer's HA design): whether the protected work of
  * lost workers can always be restarted on the remaining ones. The leader's scheduler (packages/scheduler) checks this
  * before each start of a protected task, with that start in the input. Pure functions of their input; memory is freed
- * before they return. Nothing here waits. */
+ * before they return. No function here suspends the coroutine. */
 
 #include "state/job.h"
 
@@ -16,8 +16,8 @@
     size_t label_count;
 } PlanNeed;
 
-/* A worker that may be given work. The strings are borrowed. Invariant: free <= resources in every component; the
- * demand of every task on it is already subtracted from free. */
+/* A worker; one that may not be given work has no capacity. The strings are borrowed. Invariant: free <= resources in
+ * every component; the demand of every task on it is already subtracted from free. */
 typedef struct PlanWorker {
     const char *name;
     const char *zone;
@@ -25,7 +25,7 @@
     const char *kind;
     const char *const *labels;
     size_t label_count;
-    Resources resources; /* its whole capacity */
+    Resources resources; /* its total capacity */
     Resources free;
     uint64_t penalty; /* thousandths of capacity that are subtracted from its preference when a worker is chosen */
 } PlanWorker;
@@ -73,7 +73,7 @@
 /* The first loss that can't be survived. */
 typedef struct PlanBreak {
     Loss loss;
-    const char *name; /* borrowed from the input; empty: unknown, since the cheap bound said no */
+    const char *name; /* borrowed from the input; empty: unknown, since the cheap bound names no loss */
 } PlanBreak;
 
 /* Whether the worker has the required kind and labels. */
@@ -93,12 +93,12 @@
  * fits nowhere (-1); then the result is false. Uses up free and preemptible of the input. */
 bool plan_for_loss(PlanInput *input, const bool *lost, int *where);
 /* Whether every sequence of r losses leaves a plan, and the loss of any one zone or rack where the input requires that.
- * Checks all sequences one by one up to PLAN_EXHAUSTIVE_MAX of them, otherwise takes the cheap bound. broken (out, may
+ * Checks all sequences one by one up to PLAN_EXHAUSTIVE_MAX of them, otherwise uses the cheap bound. broken (out, may
  * be null): set when the result is false. */
 bool plan_always_possible(const PlanInput *input, PlanBreak *broken);
 /* Checks all sequences of r losses one by one. broken as above. */
 bool plan_exhaustive(const PlanInput *input, PlanBreak *broken);
-/* Checks a bound: may say no where a plan exists; never says yes where none does. */
+/* Checks the cheap bound for r losses: may be false where a plan exists, but is never true where none does. */
 bool plan_cheap_bound(const PlanInput *input);
 
 #endif
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -1,5 +1,5 @@
 /* Tests of the plan functions by themselves: biggest-fit-decreasing, sequences of losses, and the cheap bound against
- * the exhaustive walk. */
+ * the exhaustive check. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -135,12 +135,12 @@
     assert_true(plan_always_possible(&input, NULL)); /* 1 free and 3 preemptible hold tasks of 3 and 1 */
     tasks[1].need.resources.cpu_milli = 2;
     assert_false(plan_always_possible(&input, NULL));
-    /* the cheap bound ignores preemptible capacity: its only error is to say no where there is a plan */
+    /* the cheap bound ignores preemptible capacity: its only error is to be false where there is a plan */
     assert_false(plan_cheap_bound(&input));
 }
 
-/* In 4,000 small fleets of different workers, the cheap bound never says yes where the walk through all sequences says
- * no. Both answers must occur often. */
+/* In 4,000 small fleets of different workers, the cheap bound is never true where the check of all sequences is false.
+ * Both results must occur often. */
 static void cheap_bound_never_claims_too_much(void **state)
 {
     (void)state;
