--- a/packages/queue/include/queue/estimate.h
+++ b/packages/queue/include/queue/estimate.h
@@ -1,10 +1,10 @@
 #ifndef QUEUE_ESTIMATE_H
 #define QUEUE_ESTIMATE_H
 
-/* Estimates of run times, corrected by the run times of attempts that ended well: how far a queue's estimates are off,
+/* Estimates of run times, corrected by the run times of attempts that succeeded: how far a queue's estimates are off,
  * step by step, and how much slower than estimated each worker is (its slowdown, in thousandths: 1000 is as estimated,
- * 2000 takes twice as long). Held in the leader's memory only: a new leader starts with the submitters' estimates.
- * Nothing here waits. */
+ * 2000 takes twice as long). Held in the leader's memory only: a new leader starts with the submitters' estimates. No
+ * function here suspends the coroutine. */
 
 #include "state/table.h"
 
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -2,8 +2,8 @@
 #define QUEUE_QUEUE_H
 
 /* The queues of waiting work: why a task waits, when it is due, and what is cached between two passes of the scheduler.
- * Used by the leader's scheduler (packages/scheduler); the API shows the reasons. Nothing here waits or changes the
- * state. */
+ * Used by the leader's scheduler (packages/scheduler); the API shows the reasons. No function here suspends the
+ * coroutine or changes the state. */
 
 #include "base/map.h"
 #include "config/config.h"
@@ -15,7 +15,7 @@
     X(READY, "room")   /* it could start: only capacity is missing */ \
     X(STEPS, "steps")  /* earlier steps are not done */               \
     X(DUE, "due-time") /* its due time has not come */                \
-    X(REST, "rest")    /* it failed, and its backoff is not over */   \
+    X(REST, "rest")    /* its retry delay is not over */              \
     X(QUOTA, "quota")  /* its tenant's quota leaves too little */     \
     X(GANG, "gang")    /* other members are still being stopped */
 typedef enum WaitReason {
@@ -29,8 +29,8 @@
 
 /* The time that decisions are based on. */
 typedef struct QueueClock {
-    int64_t log_ms;  /* ms; log time */
-    int64_t wall_ms; /* ms; median of the voters' wall clocks */
+    int64_t log_ms;  /* log time */
+    int64_t wall_ms; /* median of the voters' wall clocks */
 } QueueClock;
 
 /* The part of the quota of the job's tenant that is not in use, by the tasks that the table has on workers; UINT64_MAX:
@@ -41,7 +41,7 @@
 /* Whether the due time of that occurrence of the job (0 where it is not timed) has come and the job's delay has
  * passed. */
 bool queue_due(const Job *job, uint64_t occurrence, QueueClock clock);
-/* The log time, in ms, when queue_due becomes true; for work that is due at once, the job's acceptance. */
+/* The log time, in ms, when queue_due becomes true: at the earliest, the job's acceptance plus its delay. */
 int64_t queue_due_ms(const Job *job, uint64_t occurrence, QueueClock clock);
 /* The kind of worker that the step requires: its own, otherwise its queue's; empty: any. */
 const char *queue_kind(const Job *job, uint64_t step);
--- a/packages/queue/include/queue/ready_queue.h
+++ b/packages/queue/include/queue/ready_queue.h
@@ -1,12 +1,12 @@
 #ifndef QUEUE_READY_QUEUE_H
 #define QUEUE_READY_QUEUE_H
 
-/* The ready queue: all work that could start now, in the order in which one pass of the scheduler tries to place it.
- * Nothing here waits or changes the state. */
+/* The ready queue: all work that could start now, in the order in which one pass of the scheduler tries to place it. No
+ * function here suspends the coroutine or changes the state. */
 
 #include "queue/queue.h"
 
-/* A unit of work to place: one task, or a whole gang. */
+/* A unit of work to place: one task, or an entire gang. */
 typedef struct Candidate {
     const Job *job;
     size_t first;        /* index of its first task in the job */
@@ -19,8 +19,8 @@
     int64_t estimate_ms; /* expected run time of one of its tasks; 0: unknown */
 } Candidate;
 
-/* The index in the job of the candidate's task number member, counted from 0 without the members of a gang that have
- * ended. member must be below count. */
+/* The index in the job of the candidate's task at position member, counted from 0 without the members of a gang that
+ * have ended. member must be below count. */
 size_t candidate_task(const Candidate *candidate, size_t member);
 
 /* The ready queue. Its order: first the restarts of protected work without a latency target, biggest first, like the
@@ -46,7 +46,7 @@
 void ready_queue_skip(ReadyQueue *ready);
 /* rank (out): the rank of the step that contains the task; false: the step is not in the ready queue. */
 bool ready_queue_rank(const ReadyQueue *ready, const Job *job, size_t task, double *rank);
-/* The log time, in ms, when more work can start without an event: a failed task's backoff ends, or a due time comes;
+/* The log time, in ms, when more work can start without an event: a task's retry delay ends, or a due time comes;
  * INT64_MAX: never. */
 int64_t ready_queue_next_ms(const ReadyQueue *ready);
 
--- a/packages/queue/src/cached_job.h
+++ b/packages/queue/src/cached_job.h
@@ -26,7 +26,7 @@
     const ConfigCell *cell;
     const ConfigQueue *queue;
     Resources quota;       /* its tenant's, as configured now or else at acceptance; a component of 0 is unlimited */
-    uint64_t weight_milli; /* thousandths; its tenant's weight */
+    uint64_t weight_milli; /* its tenant's weight, in thousandths */
     Account *cell_account, *tenant_account;
     LatencyTarget target;     /* its chains of work; from_ms is that of the occurrence that was computed last */
     uint64_t estimates_stamp; /* stamp of the estimates that target was computed from */
--- a/packages/queue/src/estimate.c
+++ b/packages/queue/src/estimate.c
@@ -10,9 +10,9 @@
 
 #include "base/map.h"
 
-#define AS_ESTIMATED 1000    /* thousandths; a run time that is as estimated */
+#define AS_ESTIMATED 1000    /* a run time that is as estimated, in thousandths */
 #define MOVED_FRACTION 20    /* a change of the median by less than one part in this many is ignored */
-#define MEDIAN_VALUES_MAX 64 /* count; most values that a median is computed of */
+#define MEDIAN_VALUES_MAX 64 /* maximum number of values that a median is computed from */
 _Static_assert(ESTIMATE_RATIOS <= MEDIAN_VALUES_MAX && ESTIMATE_POOL_RATIOS <= MEDIAN_VALUES_MAX &&
                    ESTIMATE_FRESH_RATIOS <= MEDIAN_VALUES_MAX,
                "a median's values fit");
@@ -29,7 +29,7 @@
 typedef struct Slowdown {
     Ratios ends;                              /* of attempts that did all of a task's work */
     uint64_t recent[ESTIMATE_FRESH_RATIOS];   /* the newest, also of attempts that are still running */
-    int64_t recent_ms[ESTIMATE_FRESH_RATIOS]; /* steady clock; when each of them was taken */
+    int64_t recent_ms[ESTIMATE_FRESH_RATIOS]; /* steady clock; when each of them was recorded */
     uint64_t recent_count;
 } Slowdown;
 
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -9,9 +9,9 @@
 #include "base/constants.h"
 #include "base/map.h"
 
-#define CACHED_JOBS_SPARE 256     /* count; beyond this many and twice the active jobs, unused entries are dropped */
-#define WEIGHT_DEFAULT_MILLI 1000 /* thousandths; the default weight, also of a tenant that was removed */
-#define MILLIONTHS 1000000        /* of the fleet; precise enough for one small task */
+#define CACHED_JOBS_SPARE 256     /* unused entries are dropped beyond twice the active jobs plus this many */
+#define WEIGHT_DEFAULT_MILLI 1000 /* the default weight, in thousandths, also of a tenant that was removed */
+#define MILLIONTHS 1000000        /* unit of shares of the fleet; precise enough for one small task */
 
 struct Queue {
     const Estimates *estimates;
@@ -107,7 +107,7 @@
 CachedJob *cached_job(Queue *queue, const QueueContext *context, const Job *job)
 {
     CachedJob *cached = g_hash_table_lookup(queue->cached_jobs, &job->number);
-    /* after the whole state was replaced, the number may belong to another job */
+    /* after the entire state was replaced, the number may belong to another job */
     if (cached == NULL || cached->job != job) {
         if (cached != NULL)
             g_hash_table_remove(queue->cached_jobs, &cached->number);
--- a/packages/queue/src/ready_queue.c
+++ b/packages/queue/src/ready_queue.c
@@ -4,7 +4,7 @@
 #include "base/constants.h"
 #include "ready_steps.h"
 
-#define STEPS_INITIAL 64 /* count; slots allocated at first */
+#define STEPS_INITIAL 64 /* initial number of slots */
 
 /* --- candidates ------------------------------------------------------------------- */
 
--- a/packages/queue/test/latency_targets.c
+++ b/packages/queue/test/latency_targets.c
@@ -35,7 +35,7 @@
     return job_add(board, &spec, terms);
 }
 
-/* The first letters of the job ids, in the order in which the tasks are placed; at most so many as most. */
+/* The first letters of the job ids, in the order in which the tasks are placed; most: the maximum number of letters. */
 static const char *order_in(TableFixture *board, const char *text, int64_t log_ms, size_t most)
 {
     void *mem = talloc_new(board->table);
@@ -73,7 +73,7 @@
     add(&board, "b", 1000, targets(1500, 500, 0));
     add(&board, "c", 1000, targets(1500, 500, 0));
     assert_string_equal(order_of(&board, 1000), "bca");
-    /* a's target is 15.2 s from 1000: at 9.9 s it must start now; b and c have had no value since 4.5 s */
+    /* a must start by 10.2 s to meet its target at 16.2 s; b and c, which had to end by 7 s, have no value any more */
     assert_string_equal(order_of(&board, 9900), "abc");
     talloc_free(board.table);
 }
@@ -83,9 +83,9 @@
 {
     (void)state;
     TableFixture board = table_fixture_new();
-    add(&board, "x", 1000, targets(1000, 1000, 0)); /* target 2 s: no value after 6 s */
+    add(&board, "x", 1000, targets(1000, 1000, 0)); /* accepted at 1 s: target at 3 s, no value after 7 s */
     board.at_ms = 4000;
-    add(&board, "y", 1000, targets(1000, 1000, 0)); /* its target is missed at 7 s */
+    add(&board, "y", 1000, targets(1000, 1000, 0)); /* target at 6 s, no value after 10 s */
     board.at_ms = 7000;
     add(&board, "z", 1000, targets(1000, 1000, 0));
     assert_string_equal(order_of(&board, 7500), "zyx");
@@ -181,7 +181,7 @@
     talloc_free(board.table);
 }
 
-/* Jobs that have missed their targets are placed in the end: among those without any value, the oldest goes first. */
+/* Jobs that have missed their targets are still placed: among those without any value, the oldest goes first. */
 static void oldest_of_the_worthless_first(void **state)
 {
     (void)state;
@@ -254,7 +254,8 @@
     talloc_free(board.table);
 }
 
-/* Guards against treating a step that needs more than its tenant's quota as one that can run all at once. */
+/* Guards against treating a step that needs more than its tenant's quota as one whose tasks can all run at the same
+ * time. */
 static void quota_makes_waves(void **state)
 {
     (void)state;
@@ -263,8 +264,8 @@
     const JobSpec spec = spec_of("w", &wide, 1);
     job_add(&board, &spec, targets(2000, 1000, 0));
     add(&board, "n", 2000, targets(2000, 1000, 0));
-    /* all at once, w has 3 s less 1 s of work left, and n has 5 s less 2 s; in four waves within its quota, w has 9 s
-     * less 4 s */
+    /* with all tasks at the same time, w has 3 s less 1 s of work left, and n has 5 s less 2 s; in four waves within
+     * its quota, w has 9 s less 4 s */
     assert_string_equal(order_of(&board, 1000), "wwwwwwwwwwwwn");
     assert_string_equal(
         order_in(&board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{\"quota\":{\"cpu\":3,\"memMb\":0}}},\"queues\":{}}}}",
@@ -299,8 +300,8 @@
     talloc_free(board.table);
 }
 
-/* A gang is one candidate: it is not ready while a member is in its backoff, and members that have ended are left
- * out. */
+/* A gang is one candidate: it is not ready before each member's retry delay is over, and members that have ended are
+ * left out. */
 static void gang_starts_as_one(void **state)
 {
     (void)state;
@@ -318,7 +319,7 @@
     assert_string_equal(order_of(&board, 100000), ""); /* the other members are still being stopped */
     say(&board, "g", 0, 1, "w1", ATTEMPT_STOPPED, "");
     say(&board, "g", 2, 1, "w1", ATTEMPT_STOPPED, "");
-    assert_string_equal(order_of(&board, 1000), ""); /* the failed member is in its backoff */
+    assert_string_equal(order_of(&board, 1000), ""); /* the failed member is in its retry delay */
     assert_string_equal(order_of(&board, 100000), "g");
     talloc_free(board.table);
 }
