--- a/packages/state/include/state/capacity.h
+++ b/packages/state/include/state/capacity.h
@@ -2,7 +2,8 @@
 #define STATE_CAPACITY_H
 
 /* Resource vectors (CPU, memory, GPUs) for the capacity of workers and the demand of tasks, and arithmetic on them.
- * Every package that places work or accounts for it uses them. No function here allocates, fails or waits. */
+ * Every package that places work or accounts for it uses them. No function here allocates, fails or suspends the
+ * coroutine. */
 
 #include "wire/shape.h"
 
--- a/packages/state/include/state/change.h
+++ b/packages/state/include/state/change.h
@@ -25,7 +25,7 @@
     X(ZONE_DRAIN, 25, ZoneDrain)                                                               \
     X(FORGET, 26, Forget)   /* drops jobs that ended before a given time */                    \
     X(ASSURE, 27, StopList) /* attempts whose restart the plan for worker losses now covers */ \
-    X(JOB_END, 28, JobEnd)  /* proposed by a repair: a caller has already been told that the job ended */
+    X(JOB_END, 28, JobEnd)  /* proposed by a repair: a caller has already seen the job's end */
 
 typedef enum ChangeKind {
 #define X(name, number, shape) CHANGE_##name = number,
@@ -111,13 +111,13 @@
  * base: the version that this one is based on.
  * restored: proposed again by a repair; applied only when the version is above the current one.
  * digest: identifies the operator's call when the call names its version, so that a retry is recognised. */
-#define CONFIG_SET_FIELDS(X)                                                            \
-    X(U64, base, 0)                                                                     \
-    X(U64, version, 0) /* 0: base + 1 */                                                \
-    X(TXT, text, 0)                                                                     \
-    X(FLAG, restored, 0)                                                                \
-    X(FLAG, patch, 0) /* text is a merge patch on base; otherwise the whole document */ \
-    X(TXT, digest, 0)                                                                   \
+#define CONFIG_SET_FIELDS(X)                                                               \
+    X(U64, base, 0)                                                                        \
+    X(U64, version, 0) /* 0: base + 1 */                                                   \
+    X(TXT, text, 0)                                                                        \
+    X(FLAG, restored, 0)                                                                   \
+    X(FLAG, patch, 0) /* text is a merge patch on base; otherwise the complete document */ \
+    X(TXT, digest, 0)                                                                      \
     X(ONE, limits, ConfigLimits) /* of the resulting document */
 SHAPE(ConfigSet, CONFIG_SET_FIELDS)
 
--- a/packages/state/include/state/job.h
+++ b/packages/state/include/state/job.h
@@ -3,7 +3,7 @@
 
 /* Jobs in the replicated state: the submitted specification, the tasks with their phases, and sums over the tasks. The
  * order of the fields in each list is their order on disk and on the wire, so fields are only appended. Readers get
- * jobs through table.h; only packages/state modifies them. No function here waits. */
+ * jobs through table.h; only packages/state modifies them. No function here suspends the coroutine. */
 
 #include "base/constants.h"
 #include "state/capacity.h"
@@ -28,7 +28,8 @@
 SHAPE(StepSpec, STEP_SPEC_FIELDS)
 
 /* The restart guarantee for a task whose worker is lost. PROTECTED: it is restarted, which the planner guarantees
- * before the task starts (the paper's protected VMs). BEST_EFFORT: one restart if there is capacity. NONE: none. */
+ * before the task starts (the protected VMs of XenServer's HA design). BEST_EFFORT: one restart if there is capacity.
+ * NONE: none. */
 #define PROTECTION_LIST(X)        \
     X(PROTECTED, "protected")     \
     X(BEST_EFFORT, "best-effort") \
@@ -42,21 +43,21 @@
 
 /* A job as the caller submitted it; immutable. Two specifications denote the same job when their ids are equal, and
  * have the same body when all fields are equal. */
-#define JOB_SPEC_FIELDS(X)                                                                                          \
-    X(TXT, id, 0)                                                                                                   \
-    X(TXT, cell, 0)                                                                                                 \
-    X(TXT, tenant, 0)                                                                                               \
-    X(TXT, queue, 0)                                                                                                \
-    X(I64, priority, 0)                                                                                             \
-    X(U64, protection, 0)    /* a Protection */                                                                     \
-    X(FLAG, copies, 0)       /* as in StepSpec, for all steps */                                                    \
-    X(I64, due_wall_ms, 0)   /* earliest start, in ms of wall time; 0: none */                                      \
-    X(I64, delay_ms, 0)      /* minimum delay from acceptance to start, in ms */                                    \
-    X(U64, attempt_limit, 0) /* number of failed attempts after which a task fails */                               \
-    X(LST, steps, StepSpec)                                                                                         \
-    X(FLAG, lasting, 0)      /* runs until it is cancelled: every ended attempt of a task is followed by another */ \
-    X(U64, turns, 0)         /* number of times that all steps are run; 0: once */                                  \
-    X(I64, first_wall_ms, 0) /* turn K is due at first_wall_ms + K x period_ms, in ms of wall time; 0: at once */   \
+#define JOB_SPEC_FIELDS(X)                                                                                            \
+    X(TXT, id, 0)                                                                                                     \
+    X(TXT, cell, 0)                                                                                                   \
+    X(TXT, tenant, 0)                                                                                                 \
+    X(TXT, queue, 0)                                                                                                  \
+    X(I64, priority, 0)                                                                                               \
+    X(U64, protection, 0)    /* a Protection */                                                                       \
+    X(FLAG, copies, 0)       /* as in StepSpec, for all steps */                                                      \
+    X(I64, due_wall_ms, 0)   /* earliest start, in ms of wall time; 0: none */                                        \
+    X(I64, delay_ms, 0)      /* minimum delay from acceptance to start, in ms */                                      \
+    X(U64, attempt_limit, 0) /* number of failed attempts after which a task fails */                                 \
+    X(LST, steps, StepSpec)                                                                                           \
+    X(FLAG, lasting, 0)      /* runs until it is cancelled: every ended attempt of a task is followed by another */   \
+    X(U64, turns, 0)         /* number of times that all steps are run; 0: once */                                    \
+    X(I64, first_wall_ms, 0) /* turn K is due at first_wall_ms + K x period_ms, in ms of wall time; 0: immediately */ \
     X(I64, period_ms, 0)
 SHAPE(JobSpec, JOB_SPEC_FIELDS)
 
@@ -119,7 +120,7 @@
     X(U64, at, 0)      /* index among the tasks of its turn and step, from 0 */                                       \
     X(TXT, saved, 0)   /* last checkpoint that a worker reported; a gang shares one */                                \
     X(U64, miss_attempt, 0) /* newest attempt counted in misses, so that the failure of a gang counts once */         \
-    X(RAM, on_at, size_t)   /* index among the tasks on its worker (src/on_worker.c) */
+    X(RAM, on_at, size_t)   /* index among the tasks on its worker (src/worker_tasks.c) */
 SHAPE(JobTask, JOB_TASK_FIELDS)
 
 /* The states of a job. A job leaves ACTIVE in the delivery that ends its last task: for Job.ending when that is set,
@@ -138,12 +139,12 @@
 
 /* Settings that the configuration of the queue and tenant gave the job when it was accepted. They are not part of the
  * body: the same job submitted again under a newer configuration is still the same job. */
-#define JOB_TERMS_FIELDS(X)                                                                               \
-    X(U64, attempt_limit, 0) /* failed attempts after which a task or gang fails; 0: limit of the spec */ \
-    X(U64, stretch_milli, 0) /* thousandths; latency target = stretch x critical path + target_ms ... */  \
-    X(I64, target_ms, 0)     /* ms; ... from acceptance or due time; both 0: no target */                 \
-    X(I64, priority, 0)      /* priority of the queue */                                                  \
-    X(TXT, kind, 0)          /* kind of worker that serves the queue; empty: any */                       \
+#define JOB_TERMS_FIELDS(X)                                                                                  \
+    X(U64, attempt_limit, 0) /* failed attempts after which a task or gang fails; 0: limit of the spec */    \
+    X(U64, stretch_milli, 0) /* latency target = stretch (in thousandths) x critical path + target_ms ... */ \
+    X(I64, target_ms, 0)     /* ... (in ms) from acceptance or due time; both 0: no target */                \
+    X(I64, priority, 0)      /* priority of the queue */                                                     \
+    X(TXT, kind, 0)          /* kind of worker that serves the queue; empty: any */                          \
     X(ONE, quota, Resources) /* quota of the tenant, used when the configuration no longer has the tenant; 0: none */
 SHAPE(JobTerms, JOB_TERMS_FIELDS)
 
@@ -165,8 +166,8 @@
     X(U64, number, 0)                                                                        \
     X(U64, phase, 0)       /* a JobPhase */                                                  \
     X(U64, ending, 0)      /* ACTIVE, or the phase that follows once every task has ended */ \
-    X(I64, accepted_ms, 0) /* ms; log time */                                                \
-    X(I64, ended_ms, 0)    /* ms; log time */                                                \
+    X(I64, accepted_ms, 0) /* log time, in ms */                                             \
+    X(I64, ended_ms, 0)    /* log time, in ms */                                             \
     X(LST, tasks, JobTask) /* sorted by turn, then step */                                   \
     X(ONE, terms, JobTerms)                                                                  \
     X(RAM, sums, JobSums)
@@ -186,7 +187,7 @@
 size_t task_index(const Job *job, uint64_t number);
 /* Returns whether all steps that the task's step depends on are done, in the task's turn. */
 bool task_steps_done(const Job *job, const JobTask *task);
-/* Returns when the task's turn is due, in ms of wall time; 0: at once. */
+/* Returns when the task's turn is due, in ms of wall time; 0: immediately. */
 int64_t task_due_wall_ms(const Job *job, const JobTask *task);
 /* Returns the index of the first task of the same turn and step; the tasks of a step are consecutive. */
 size_t task_first_of_step(const Job *job, const JobTask *task);
--- a/packages/state/include/state/table.h
+++ b/packages/state/include/state/table.h
@@ -8,27 +8,27 @@
  * (state/change.h). Every voter holds one and delivers the same entries in the same order. Delivery depends on nothing
  * but the entry and the state, so all voters reach the same state.
  *
- * Only delivery modifies the state, and delivery never waits, so a reader that does not wait sees a consistent state.
- * No function here waits.
+ * Only delivery modifies the state, and delivery never suspends its coroutine, so a reader that does not suspend its
+ * own sees a consistent state. No function here suspends the coroutine.
  *
  * The operators' configuration is an immutable snapshot that is replaced as a whole (config/config.h). Jobs are
  * modified in place: copy-on-write would copy tens of thousands of tasks for each of some forty changes a second. */
 typedef struct Table Table;
 
-/* Called within the delivery, after the change has been applied; must not wait. body is the unpacked payload, with the
- * shape that CHANGE_LIST gives, and is valid during the call; null when the payload can't be decoded. Changes of
- * unknown kinds, which a later release may have written, are not reported. */
+/* Called within the delivery, after the change has been applied; must not suspend the coroutine. body is the unpacked
+ * payload, with the shape that CHANGE_LIST gives, and is valid during the call; null when the payload can't be decoded.
+ * Changes of unknown kinds, which a later release may have written, are not reported. */
 typedef void (*TableChangeFn)(void *arg, const Record *change, const void *body, const ChangeResult *result);
 
 /* Creates an empty state, owned by mem. */
 Table *table_new(void *mem);
 /* Sets the observer of changes and replaces the previous one. */
 void table_watch(Table *table, TableChangeFn fn, void *arg);
-/* Returns the deliver, save and load callbacks for replication_new. load replaces the whole state and thereby
+/* Returns the deliver, save and load callbacks for replication_new. load replaces the entire state and thereby
  * invalidates every pointer obtained from it. */
 ReplicationState table_state(Table *table);
 
-/* --- jobs. Pointers are valid until the next wait. */
+/* --- jobs. Pointers are valid until the coroutine is next suspended. */
 
 /* Returns the job with this id; null when it is unknown. */
 const Job *table_job(const Table *table, const char *id);
@@ -56,12 +56,12 @@
 /* Returns a counter that grows with each change of the worker's orders (the attempts that should be running on it); 0:
  * it never had any. */
 uint64_t table_orders_version(const Table *table, const char *worker);
-/* Called with the worker's name whenever its counter grows, within the delivery; must not wait. */
+/* Called with the worker's name whenever its counter grows, within the delivery; must not suspend the coroutine. */
 typedef void (*TableOrdersFn)(void *arg, const char *worker);
 void table_watch_orders(Table *table, TableOrdersFn fn, void *arg);
 
 /* Called with a task just before the leader takes its attempt off the worker without a report of the worker's agent, so
- * that the attempt may still be running there. Called within the delivery; must not wait. */
+ * that the attempt may still be running there. Called within the delivery; must not suspend the coroutine. */
 typedef void (*TableTaskTakenFn)(void *arg, const Job *job, const JobTask *task);
 void table_watch_taken_tasks(Table *table, TableTaskTakenFn fn, void *arg);
 
@@ -85,7 +85,7 @@
 
 /* Returns the versions of the configuration. The pointer is valid until the state is replaced (table_load_count). */
 const Versions *table_versions(const Table *table);
-/* Returns a counter that grows whenever the whole state is replaced: after that a version number may denote another
+/* Returns a counter that grows whenever the entire state is replaced: after that a version number may denote another
  * document. */
 uint64_t table_load_count(const Table *table);
 
--- a/packages/state/include/state/versions.h
+++ b/packages/state/include/state/versions.h
@@ -2,33 +2,33 @@
 #define STATE_VERSIONS_H
 
 /* The version history of the operators' configuration: the texts of recent versions, and the digests of the calls that
- * set them. The state table holds one history; an entry point holds a shorter one for repair. No function here
- * waits. */
+ * set them. The state table holds one history; an entry point holds a shorter one for repair. No function here suspends
+ * the coroutine. */
 
 #include <json-c/json.h>
 
 #include "state/change.h"
 
 /* One version of the operators' configuration document. */
-#define VERSION_FIELDS(X)                                                                              \
-    X(U64, version, 0)                                                                                 \
-    X(TXT, text, 0) /* the whole document, or a merge patch on the previous version; empty: dropped */ \
-    X(U64, base, 0)                                                                                    \
-    X(FLAG, patch, 0)                                                                                  \
-    X(TXT, digest, 0) /* digest of the call that set it, if the call named its version; else empty */  \
+#define VERSION_FIELDS(X)                                                                                 \
+    X(U64, version, 0)                                                                                    \
+    X(TXT, text, 0) /* the complete document, or a merge patch on the previous version; empty: dropped */ \
+    X(U64, base, 0)                                                                                       \
+    X(FLAG, patch, 0)                                                                                     \
+    X(TXT, digest, 0) /* digest of the call that set it, if the call named its version; else empty */     \
     X(ONE, limits, ConfigLimits)
 SHAPE(Version, VERSION_FIELDS)
 
 /* The committed versions, the newest last.
  *
  * A document with a thousand queues takes 300 KB and changes by some hundred bytes at a time. The history therefore
- * stores one text in whole, the first one, and merge patches from there on, and builds the text of a version on demand.
+ * stores one complete text, the first one, and merge patches from there on, and builds the text of a version on demand.
  * Texts are parsed only where the document is used, since parsing costs a hundred times more than storing them.
  *
  * Rows stay for the digests of their calls after their texts are dropped: an operator whose answers are lost keeps
  * retrying while others make hundreds of changes, and a call that was accepted must not be refused.
  *
- * Invariants: rows are sorted by version; the row at index whole is not a patch; all rows from there on have their
+ * Invariants: rows are sorted by version; the row at index first_text is not a patch; all rows from there on have their
  * texts and those before have none; the texts after the first take at most CONFIG_HISTORY_BYTES in total. */
 typedef struct Versions {
     Version *rows;
@@ -57,11 +57,11 @@
 /* Appends copies of the rows of a saved history. The history must be empty. */
 void versions_load(Versions *versions, const Version *rows, size_t count);
 
-/* Returns the whole text of a version, owned by mem; null when it is unknown or its text was dropped. */
+/* Returns the complete text of a version, owned by mem; null when it is unknown or its text was dropped. */
 const char *versions_text(const Versions *versions, void *mem, uint64_t version);
 /* Returns the newest version as a JSON tree, which the caller releases by json_object_put; null when there is none.
  * have (may be null) is the tree of version have_version: if possible the later patches are applied to that tree, so
- * that no whole text is parsed; it is not modified. */
+ * that no complete text is parsed; it is not modified. */
 json_object *versions_tree(const Versions *versions, json_object *have, uint64_t have_version);
 
 #endif
--- a/packages/state/include/state/worker.h
+++ b/packages/state/include/state/worker.h
@@ -2,7 +2,7 @@
 #define STATE_WORKER_H
 
 /* Workers in the replicated state, and the status updates of agents on attempts. Whether the lease of a worker is valid
- * is not part of it: the leader tracks that in memory (packages/heartbeat). */
+ * is not part of this state: the leader tracks that in memory (packages/heartbeat). */
 
 #include "state/job.h"
 
--- a/packages/state/src/attempt.c
+++ b/packages/state/src/attempt.c
@@ -1,6 +1,6 @@
 /* The effect of the end of an attempt on its task: counts of failures and losses, retry delay, and another attempt or
- * failure. Restarts after a loss follow the paper (XenServer HA design): protected work is always restarted,
- * best-effort work once, other work never. */
+ * failure. Restarts after a loss follow XenServer's HA design: protected work is always restarted, best-effort work
+ * once, other work never. */
 #include "attempt.h"
 
 #include <string.h>
@@ -22,7 +22,7 @@
 }
 
 /* Sets the retry delay of a lasting task, which gets another attempt however the last one ended. The delay grows as
- * long as the attempts end early, and starts anew after an attempt that ran for LASTING_STABLE_MS. */
+ * long as the attempts end early, and starts again from its minimum after an attempt that ran for LASTING_STABLE_MS. */
 static void set_lasting_retry_delay(JobTask *task, const AttemptEnd *end)
 {
     if (end->word != ATTEMPT_FAILED && end->word != ATTEMPT_DONE && end->word != ATTEMPT_REFUSED &&
@@ -42,7 +42,7 @@
         task->rest_until_ms = end->at_ms + REFUSED_BACKOFF_MS;
 }
 
-/* Counts the loss of one task for its whole gang, which restarts together. */
+/* Counts the loss of one task for its entire gang, which restarts together. */
 static void count_loss(Job *job, JobTask *task)
 {
     const Gang gang = gang_of(job, task);
--- a/packages/state/src/deliver.h
+++ b/packages/state/src/deliver.h
@@ -2,8 +2,8 @@
 #define STATE_SRC_DELIVER_H
 
 /* One function for each kind of change (CHANGE_LIST), called by table.c. Each must depend on nothing but the state and
- * the change, must not wait, and must be safe when the same change is delivered again. change provides the log time;
- * result is zero (OK) on entry. */
+ * the change, must not suspend the coroutine, and must be safe when the same change is delivered again. change provides
+ * the log time; result is zero (OK) on entry. */
 
 #include "table_internal.h"
 
--- a/packages/state/src/deliver_worker.c
+++ b/packages/state/src/deliver_worker.c
@@ -59,7 +59,7 @@
     talloc_free(before);
 }
 
-/* Compares by job and task. The outcome for a task may depend on another task of tasks job, and all nodes must reach
+/* Compares by job and task. The outcome for a task may depend on another task of the same job, and all nodes must reach
  * the same state, so the order must be fixed. */
 static int compare_tasks(const void *a, const void *b)
 {
--- a/packages/state/src/table_internal.h
+++ b/packages/state/src/table_internal.h
@@ -5,12 +5,12 @@
  * those above it in this list:
  *
  *     job_list        lists of jobs
- *     on_worker       the tasks on each worker
+ *     worker_tasks    the tasks on each worker
  *     phase           every change of a task's or a job's phase
  *     gang, attempt   effect of the end of an attempt on its gang and its task
  *     orphan          completed tasks of unknown jobs
  *     deliver*        one function for each kind of change (deliver.h)
- *     saved           saving the state as a snapshot and loading it
+ *     state_snapshot  saving the state as a snapshot and loading it
  *     table           the empty state, the getters, and the dispatch of changes */
 
 #include "base/map.h"
--- a/packages/state/src/versions.c
+++ b/packages/state/src/versions.c
@@ -1,4 +1,4 @@
-/* The version history of the operators' configuration: one whole text, merge patches on it, and the digests of older
+/* The version history of the operators' configuration: one complete text, merge patches on it, and the digests of older
  * calls. */
 #include "state/versions.h"
 
@@ -50,7 +50,7 @@
 
 /* --- reading ------------------------------------------------------------------- */
 
-/* Returns the tree of a row, built from the last whole text up to it or, if that is later, from have, the tree of
+/* Returns the tree of a row, built from the last complete text up to it or, if that is later, from have, the tree of
  * version have_version. The caller releases it by json_object_put. */
 static json_object *tree_at(const Versions *versions, size_t at, json_object *have, uint64_t have_version)
 {
@@ -108,7 +108,7 @@
         versions->first_text < versions->count ? strlen(versions->rows[versions->first_text].text) : 0;
 }
 
-/* Makes the row the first one with a text: replaces a patch by the whole text and drops the texts before it. */
+/* Makes the row the first one with a text: replaces a patch by the complete text and drops the texts before it. */
 static void set_first_text(Versions *versions, size_t at)
 {
     Version *row = &versions->rows[at];
@@ -122,7 +122,7 @@
     measure_first_text(versions);
 }
 
-/* Drops the first count rows; whole must not be among them. */
+/* Drops the first count rows; the row first_text must not be among them. */
 static void rows_drop(Versions *versions, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
@@ -135,7 +135,7 @@
 }
 
 /* Enforces the bounds on the numbers of texts and digests and on bytes. Texts and rows are dropped in batches of more
- * than CONFIG_HISTORY_STEP, since replacing a patch by the whole text costs a parse. */
+ * than CONFIG_HISTORY_STEP, since replacing a patch by the complete text costs a parse. */
 static void trim(Versions *versions)
 {
     if (versions->count - versions->first_text > versions->text_limit + CONFIG_HISTORY_STEP)
--- a/packages/state/src/worker.c
+++ b/packages/state/src/worker.c
@@ -1,4 +1,4 @@
-/* Shapes of workers and of updates on attempts, and the names of the attempt status. */
+/* Shapes of workers and of updates on attempts, and the names of the statuses of attempts. */
 #include "state/worker.h"
 
 #include <string.h>
--- a/packages/state/test/gangs.c
+++ b/packages/state/test/gangs.c
@@ -119,7 +119,7 @@
     talloc_free(fixture.table);
 }
 
-/* The loss of several members at once counts as one loss of the gang. */
+/* The loss of several members at the same time counts as one loss of the gang. */
 static void lost_once_for_an_attempt(void **state)
 {
     (void)state;
--- a/packages/state/test/state.c
+++ b/packages/state/test/state.c
@@ -1,5 +1,5 @@
-/* Tests of the state as a whole: turns and steps, derived sums, dropping of old jobs, and snapshots, including those of
- * an earlier release. */
+/* Tests of the entire state: turns and steps, derived sums, dropping of old jobs, and snapshots, including those of an
+ * earlier release. */
 #include "../../base/test/draw.h"
 #include "table_fixture.h"
 
--- a/packages/state/test/versions.c
+++ b/packages/state/test/versions.c
@@ -86,7 +86,7 @@
     assert_int_equal(result.number, 9);
     result = deliver(versions, set_of(3, 12, "{\"a\":2}", true, "three"));
     assert_int_equal(result.status, STATUS_STALE_VERSION);
-    /* Based on the newest version, but not above it. */
+    /* A call based on the newest version is refused when its own version is not above it. */
     result = deliver(versions, set_of(9, 9, "{\"a\":2}", true, "four"));
     assert_int_equal(result.status, STATUS_STALE_VERSION);
     result = deliver(versions, set_of(3, 9, "{\"a\":1}", true, "one"));
@@ -204,7 +204,7 @@
     talloc_free(mem);
 }
 
-/* With whole texts of 300 KB and large patches the size stays bounded, the newest version can be read back, and all
+/* With complete texts of 300 KB and large patches the size stays bounded, the newest version can be read back, and all
  * calls are recognised. */
 static void large_texts_stay_bounded_in_bytes(void **state)
 {
--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -1,4 +1,4 @@
-/* Writes journals in the format of this release, as fixtures for the tests olddisk and oldstate of later releases.
+/* Writes journals in the format of this release, as fixtures for the tests old_disk and old_state of later releases.
  *
  *     spancart-writedisk FOLDER
  *
