--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -5,7 +5,7 @@
 #include "state/table.h"
 
 /* The safety properties of the cluster, checked from outside. A checker receives the events that really happen (what
- * workers run, what callers are told, which leader plans) and counts violations of each property. It is used by the
+ * workers run, which answers callers get, which leader plans) and counts violations of each property. It is used by the
  * simulator, the model and the replay of real fleets (sim/tool/replay.c). Each event must be reported when it happens,
  * by the clock of CheckerSettings.now_ms. */
 #define INVARIANT_LIST(X)                                                                    \
@@ -53,7 +53,7 @@
 const char *serve_text(ServiceKind serve);
 
 /* The state of an operator's change that concerns a tenant: sent without an outcome yet, acknowledged with the tenant
- * present or absent, definitely rejected. */
+ * present or absent, definitely refused. */
 typedef enum TenantChangeState {
     TENANT_CHANGE_SENT,
     TENANT_PRESENT,
@@ -84,7 +84,7 @@
 /* Time, property and details of the first violation; "": none. The checker owns the text. */
 const char *checker_first_violation(const Checker *checker);
 
-/* The leader makes a plan under the term. No two leaders may do so at once. */
+/* The leader makes a plan under the term. No two leaders may do so at the same time. */
 void checker_leader_plans(Checker *checker, const char *leader, uint64_t term);
 /* The process of a leader or former leader has ended. */
 void checker_leader_ended(Checker *checker, const char *leader);
@@ -99,10 +99,10 @@
 /* An attempt has ended on the worker. */
 void checker_ended(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                    AttemptStatus word);
-/* The worker was told that the end of the attempt is known. */
+/* The worker was notified that the end of the attempt is known. */
 void checker_end_acknowledged(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                               AttemptStatus word);
-/* The worker's process has ended: nothing runs there any more. */
+/* The worker's process has ended: nothing runs there from now on. */
 void checker_worker_ended(Checker *checker, const char *worker);
 /* The worker's machine runs again after a freeze. */
 void checker_worker_thawed(Checker *checker, const char *worker);
@@ -114,7 +114,7 @@
 void checker_worker_booted(Checker *checker, const char *worker);
 /* The worker was granted a lease: it may run its attempts until until_ms. */
 void checker_lease_granted(Checker *checker, const char *worker, int64_t until_ms);
-/* The worker was told to stop the attempt. */
+/* The worker was ordered to stop the attempt. */
 void checker_stop_ordered(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 /* A fault begins or ends now. */
 void checker_fault(Checker *checker);
@@ -128,25 +128,25 @@
 int64_t checker_worst_ms(const Checker *checker, ServiceKind serve);
 /* A caller sends the job. Only the first time counts. */
 void checker_sent(Checker *checker, const char *job);
-/* A caller was told that the job is accepted. */
+/* A caller got the answer that the job is accepted. */
 void checker_accepted(Checker *checker, const char *job);
-/* A caller was told that the job is rejected. */
+/* A caller got the answer that the job is refused. */
 void checker_refused(Checker *checker, const char *job);
-/* A caller was told that the job is cancelled. */
+/* A caller got the answer that the job is cancelled. */
 void checker_cancelled(Checker *checker, const char *job);
 /* A caller was shown the job in this final phase. */
 void checker_job_ended(Checker *checker, const char *job, const char *phase);
-/* A caller was told that the job, which had been accepted, is unknown. */
+/* A caller got the answer that the job, which had been accepted, is unknown. */
 void checker_job_unknown(Checker *checker, const char *job);
-/* An operator was told that this configuration version is in force. */
+/* An operator got the answer that this configuration version is in force. */
 void checker_config_acknowledged(Checker *checker, uint64_t version);
-/* Two operators were told that their changes, both based on this version, were accepted. */
+/* Two operators got the answer that their changes, both based on this version, were accepted. */
 void checker_config_conflict(Checker *checker, uint64_t base);
 /* An operator has read this version as the one in force. */
 void checker_config_read(Checker *checker, uint64_t version);
 /* An operator's change of a tenant's membership has reached this state. */
 void checker_tenant_changed(Checker *checker, const char *tenant, TenantChangeState word);
-/* A job of the tenant, sent at sent_ms, was accepted (taken) or rejected now because of the tenant. */
+/* A job of the tenant, sent at sent_ms, was accepted now (taken is true), or refused because of the tenant. */
 void checker_tenant_probed(Checker *checker, const char *tenant, int64_t sent_ms, bool taken);
 /* An operator's change of the tenant's quota, which applies in every cell, has reached this state. */
 void checker_quota_changed(Checker *checker, const char *tenant, Resources quota, TenantChangeState word);
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -11,7 +11,7 @@
 
 #define FLEET_ROLE_NODES_MAX 40 /* Nodes of one role, at most. */
 
-/* A whole cell in a simulated world: controllers, entry points, agents with stand-in workers, and callers, with a
+/* A complete cell in a simulated world: controllers, entry points, agents with stand-in workers, and callers, with a
  * checker that receives their events. Used by the simulator's tests, sweeps and timelines. Node N of a role is in zone
  * N modulo the number of zones. */
 
@@ -25,12 +25,12 @@
 /* The setup of a fleet, where it differs from three zones and a cluster founded by three empty disks. */
 typedef struct FleetSite {
     int zones;             /* number of zones, 2 to 4 */
-    int losses;            /* controllers that may be lost at once together with their disks */
+    int losses;            /* controllers that may be lost at the same time, together with their disks */
     int entry_point_seeds; /* number of the three seeds that are entry points; the others are controllers */
     bool founded_by_votes; /* votes of the seeds found the cluster; a restarted process never founds one */
     bool disks_keep;       /* the setting that disks never lose what they have synced */
     int64_t voter_back_ms; /* the setting of the time within which a lost voter is replaced; 0: its default */
-    int64_t stagger_ms;    /* processes start at random times within this span; 0: all at once */
+    int64_t stagger_ms;    /* processes start at random times within this span; 0: all at the same time */
 } FleetSite;
 
 typedef enum FleetRole { FLEET_CONTROLLER, FLEET_ENTRY_POINT, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
@@ -63,7 +63,7 @@
     int caller_machine; /* number of the machine on which callers and operators run */
     Caller *callers[8];
     int caller_count;
-    bool probes_stopped; /* probes submit no more jobs */
+    bool probes_stopped; /* probes no longer submit jobs */
 } Fleet;
 
 /* A fleet owned by mem, in a world of its own. No process runs yet. */
--- a/packages/sim/include/sim/probe.h
+++ b/packages/sim/include/sim/probe.h
@@ -8,7 +8,7 @@
 /* Tenants that operators add and remove during a run. */
 #define PROBE_TENANT_COUNT 3
 extern const char *const PROBE_TENANT_NAMES[PROBE_TENANT_COUNT];
-/* A tenant that only rejected configurations contain. */
+/* A tenant that only refused configurations contain. */
 extern const char *const PROBE_REJECTED_TENANT;
 
 /* Starts a probe at each entry point. Every interval_ms it submits a small job of one of these tenants or of its own
--- a/packages/sim/include/sim/sweep.h
+++ b/packages/sim/include/sim/sweep.h
@@ -3,7 +3,7 @@
 
 #include "sim/fleet.h"
 
-/* Sweeps: runs of whole fleets with faults drawn from a seed. Used by the sweep tool and its tests. */
+/* Sweeps: runs of entire fleets with faults drawn from a seed. Used by the sweep tool and its tests. */
 
 #define SWEEP_STEPS_MAX 128 /* Steps of one run, at most; each step injects one fault. */
 
--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -15,7 +15,8 @@
 typedef void (*SimStart)(void *arg, Loop *loop);
 /* An event or a watcher. */
 typedef void (*SimFn)(void *arg);
-/* Bytes were appended to a machine's file and synced or, if whole, all of its content was. */
+/* Bytes were appended to a machine's file and synced; whole: bytes are the complete content, which was replaced and
+ * synced. */
 typedef void (*SimDiskFn)(void *arg, int machine, const char *path, Bytes bytes, bool whole);
 
 /* A world owned by mem, without machines. */
@@ -41,7 +42,7 @@
 int sim_machine_new(SimWorld *world);
 /* The machine's IP address. */
 const char *sim_address(const SimWorld *world, int machine);
-/* Starts a process; start is called at once. No process may run on the machine. */
+/* Starts a process; start is called immediately. No process may run on the machine. */
 void sim_start(SimWorld *world, int machine, SimStart start, void *arg);
 /* Whether a process runs on the machine. */
 bool sim_running(const SimWorld *world, int machine);
@@ -65,7 +66,7 @@
 void sim_clock_rate(SimWorld *world, int machine, int64_t percent);
 /* Cuts or restores the link from one machine to another, in this direction only. */
 void sim_link_cut(SimWorld *world, int from, int to, bool cut);
-/* Makes the link, while it is cut, reject new connections and reset a connection on which a frame is sent. */
+/* Makes the link, while it is cut, refuse new connections and reset a connection on which a frame is sent. */
 void sim_link_refuse(SimWorld *world, int from, int to, bool refused);
 bool sim_link_is_cut(const SimWorld *world, int from, int to);
 /* Sets the range from which the delay of each frame and connection is drawn. */
--- a/packages/sim/src/check_job.c
+++ b/packages/sim/src/check_job.c
@@ -1,4 +1,4 @@
-/* Checks of what callers are told about their jobs. */
+/* Checks of the answers that callers get about their jobs. */
 #include "checker.h"
 
 #include <string.h>
--- a/packages/sim/src/check_start.c
+++ b/packages/sim/src/check_start.c
@@ -13,7 +13,7 @@
     const Job *job = checker->settings.job(checker->settings.arg, seen->id);
     const size_t at = job != NULL ? task_index(job, task) : 0;
     if (job == NULL || at == job->tasks_count)
-        return; /* no node knows the job any more; other properties cover that */
+        return; /* the job is no longer known to any node; other properties cover that */
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
     for (size_t a = 0; a < step->after_count; a++)
         for (size_t t = 0; t < job->tasks_count; t++)
@@ -71,7 +71,7 @@
     SeenTask *seen = seen_task(job, task);
     SeenWorker *host = seen_worker(checker, worker);
     const Job *known = checker->settings.job(checker->settings.arg, id);
-    /* right after all disks lost their state, no node may know the job for a while */
+    /* null: right after all disks lost their state, it is possible that no node knows the job */
     if (known != NULL) {
         job->copies = known->spec.copies;
         job->lasting = known->spec.lasting;
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -76,7 +76,7 @@
 }
 
 /* A leader may plan under a term below the highest one only if that term is new and the process that planned under the
- * highest term has ended: the disks have then lost their state, but no two leaders plan at once. */
+ * highest term has ended: the disks have then lost their state, but no two leaders plan at the same time. */
 void checker_leader_plans(Checker *checker, const char *leader, uint64_t term)
 {
     char key[24];
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -19,11 +19,11 @@
 #define SERVE_LATE_MS 12000  /* "serving again within about 12 seconds" */
 /* A worker's claim lasts "a few seconds at most": the agent's lease and the transmission delay. */
 #define CLAIM_MOST_MS 4000
-/* A worker that was told to stop an attempt has stopped it after this time. Each answer repeats the order. */
+/* A worker that was ordered to stop an attempt has stopped it after this time. Each answer repeats the order. */
 #define STOP_ORDER_LATE_MS 500
-/* After a cancellation, each worker is told at once, or its lease of 3 s lapses. */
+/* After a cancellation, each worker is ordered to stop immediately, or its lease of 3 s expires. */
 #define CANCELLED_RUN_LATE_MS 4000
-/* A gang member's order expires (2 s) or its worker's lease lapses (3 s); then the other members are stopped. */
+/* A gang member's order (2 s) or its worker's lease (3 s) expires; then the other members are stopped. */
 #define GANG_LATE_MS 6000
 #define WALL_SLACK_MS 250 /* The correct wall clocks of voters differ by up to 100 ms in each direction. */
 
@@ -34,17 +34,17 @@
     const char *worker;
     uint64_t attempt;
     Resources resources;
-    int64_t notified_ms;         /* when the worker was told to stop the attempt; 0: it was not */
+    int64_t notified_ms;         /* when the worker was ordered to stop the attempt; 0: it was not */
     bool restarted_while_frozen; /* another attempt of the task started while this one's machine was frozen */
 } SeenRun;
 
-/* A worker's claim on an attempt: until it lapses, the worker may be running the attempt. Unlike a run it outlives the
+/* A worker's claim on an attempt: until it expires, the worker may be running the attempt. Unlike a run it outlives the
  * worker's process. */
 typedef struct SeenClaim {
     struct SeenClaim *next;
     const char *worker;
     uint64_t attempt;
-    int64_t until_ms; /* when the claim lapses, set at the end of the worker's process; 0: SeenWorker.claim_until_ms */
+    int64_t until_ms; /* when the claim expires, set at the end of the worker's process; 0: SeenWorker.claim_until_ms */
 } SeenClaim;
 
 /* A task of a job. */
@@ -52,7 +52,7 @@
     SeenRun *runs; /* attempts that run now */
     SeenClaim *claims;
     bool done;          /* a worker has completed the task */
-    bool done_known;    /* the worker was told that the controllers know of the completion */
+    bool done_known;    /* the worker was notified that the controllers know of the completion */
     int64_t started_ms; /* the latest start */
 } SeenTask;
 
@@ -74,7 +74,7 @@
     int64_t leaving_ms; /* when the worker announced that it leaves; 0: it has not */
     int64_t started_ms; /* the latest start of an attempt here; 0: none yet */
     size_t starts;
-    int64_t claim_until_ms; /* when the lease lapses that the worker was last granted */
+    int64_t claim_until_ms; /* when the latest lease of the worker expires */
 } SeenWorker;
 
 /* A zone. */
@@ -86,7 +86,7 @@
  * change until its outcome is known, and so is quota_pending for a change of the quota. */
 typedef struct SeenTenant {
     bool member, change_pending;    /* acknowledged membership; a change of membership has no outcome yet */
-    bool ever_member;               /* some configuration that was not rejected contained the tenant */
+    bool ever_member;               /* some configuration that was not refused contained the tenant */
     int64_t member_since_ms;        /* when the latest change of membership was acknowledged; 0: never */
     Resources quota, loosest_quota; /* the acknowledged quota; the loosest quota that may still be in force */
     int64_t quota_ms;               /* when the quota was acknowledged; 0: never */
@@ -132,7 +132,7 @@
 SeenWorker *seen_worker(Checker *checker, const char *name);
 /* Whether the task at that index was completed. For a gang, one completed member is enough. */
 bool seen_done(const Job *known, SeenJob *job, size_t at);
-/* Whether the task at that index was completed and its worker was told that this is known. */
+/* Whether the task at that index was completed and its worker was notified that this is known. */
 bool seen_done_known(const Job *known, SeenJob *job, size_t at);
 /* Removes the run of an attempt that no longer runs on the worker. Returns false if there was no such run. */
 bool seen_run_remove(SeenWorker *host, SeenTask *seen, uint64_t attempt);
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -28,7 +28,7 @@
 static SimContent *content_of(SimMachine *machine, const char *path)
 {
     SimName *name = name_of(machine, path);
-    /* A new file's name is durable at once: a file that has not been synced is empty after a loss of power. */
+    /* A new file's name is durable immediately: a file that has not been synced is empty after a loss of power. */
     if (name->content == NULL)
         name->durable = name->content = talloc_zero(machine->disk, SimContent);
     return name->content;
@@ -45,7 +45,7 @@
     content->write_ends[content->write_count++] = content->bytes.count;
 }
 
-/* Calls the watcher after a sync of a file. bytes: what was added at its end or, if whole, all of its content. */
+/* Calls the watcher after a sync of a file. bytes: what was added at its end; whole: the complete content instead. */
 static void notify_watcher(const SimMachine *machine, const char *path, Bytes bytes, bool whole)
 {
     const SimWorld *world = machine->world;
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -14,7 +14,7 @@
     HttpCall *call;
     SimLoop *caller;
     SimPort port;
-    bool server_done; /* no event of the server or of the response is due any more */
+    bool server_done; /* no further event of the server or of the response is due */
     bool answered;
     Status status;
     Signal done;
@@ -45,7 +45,7 @@
     return copy;
 }
 
-/* Frees the call once neither the caller nor the server needs it any more. */
+/* Frees the call once neither the caller nor the server needs it. */
 static void http_maybe_free(SimHttp *http)
 {
     if (http->call == NULL && http->server_done)
@@ -190,7 +190,8 @@
     return ((const SimLoop *)loop)->http_tasks;
 }
 
-/* An object of the calling process. Its destructor marks the caller as gone when the process ends during a call. */
+/* An object of the calling process. Its destructor records that the caller has ended when the process ends during a
+ * call. */
 typedef struct SimCallMark {
     SimHttp *http;
 } SimCallMark;
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -23,7 +23,7 @@
     SimChannel *end[2];           /* null: closed */
     SimFrame *first[2], *last[2]; /* frames in transit from that side to the other */
     bool transferring[2];         /* an event is due that moves that side's frames */
-    bool fin[2];                  /* that side sends no more frames */
+    bool fin[2];                  /* that side no longer sends frames */
     size_t duplicates;            /* duplicated frames in transit */
 } SimConnection;
 
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -7,7 +7,7 @@
 
 #include "api/show.h"
 
-#define PROBE_OPEN_MAX 512      /* Jobs that one probe tracks at once. */
+#define PROBE_OPEN_MAX 512      /* Jobs that one probe tracks at the same time, at most. */
 #define READ_BACK_DELAY_MS 3000 /* Requirement: no job is "unknown when asked about 3 seconds after acceptance". */
 
 const char *const PROBE_TENANT_NAMES[PROBE_TENANT_COUNT] = {"guest1", "guest2", "guest3"};
--- a/packages/sim/src/sweep_act.c
+++ b/packages/sim/src/sweep_act.c
@@ -51,7 +51,7 @@
         for (int i = 0; i < fleet->node_count[role]; i++) {
             if (role == FLEET_WORKER && !sim_running(fleet->world, fleet->nodes[role][i].machine))
                 checker_worker_leaving(fleet->checker, fleet->nodes[role][i].settings.name, false);
-            /* a spare runs only once it was started in place of another controller */
+            /* a spare is started only if it has replaced another controller before */
             if (role != FLEET_CONTROLLER || i < fleet->shape.controllers || fleet->nodes[role][i].recorder != NULL)
                 fleet_start_node(fleet, (FleetRole)role, i);
         }
--- a/packages/sim/src/sweep_nodes.c
+++ b/packages/sim/src/sweep_nodes.c
@@ -115,7 +115,7 @@
     sim_disk_fail(sweep->fleet->world, controller->machine, fails);
 }
 
-/* A journal that is torn or damaged while its controller is down. A journal damaged before its end is rejected at the
+/* A journal that is torn or damaged while its controller is down. A journal damaged before its end is refused at the
  * start, so that controller starts with an empty disk, like a replaced one. */
 void act_disk_damaged(Sweep *sweep)
 {
@@ -182,7 +182,7 @@
 }
 
 /* All links between controllers are cut for a while, so that no lock can be held. This is the case of the second
- * survival rule (XenServer HA design); the links are then restored. */
+ * survival rule of XenServer's HA design; the links are then restored. */
 void act_controllers_cut(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -1,4 +1,4 @@
-/* Changes by operators, also two at once, cancellations and load peaks by callers, and faults of workers. */
+/* Changes by operators, also two at the same time, cancellations and load peaks by callers, and faults of workers. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -126,7 +126,7 @@
                        base, change->code);
 }
 
-/* Two changes based on the same version and sent at once: at most one may be accepted. */
+/* Two changes based on the same version and sent at the same time: at most one may be accepted. */
 void act_config_race(Sweep *sweep)
 {
     uint64_t base;
@@ -143,7 +143,7 @@
         checker_config_conflict(sweep->fleet->checker, base);
 }
 
-/* A change that must be rejected, because its base is stale or its content invalid, and must never take effect. */
+/* A change that must be refused, because its base is stale or its content invalid, and must never take effect. */
 void act_config_rejected(Sweep *sweep)
 {
     uint64_t base;
@@ -255,7 +255,7 @@
     stand_worker_set_resending(worker->worker, kind == 2);
 }
 
-/* A worker's process is restarted at once; all attempts that it ran are lost. */
+/* A worker's process is killed and restarted immediately; all attempts that it ran are lost. */
 void act_worker_restarts(Sweep *sweep)
 {
     FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
--- a/packages/sim/tool/scheduler_fixture.h
+++ b/packages/sim/tool/scheduler_fixture.h
@@ -189,7 +189,7 @@
     return STATUS_NOT_LEADER;
 }
 
-/* The fixture's scheduler. bounds must outlive it. */
+/* The fixture's scheduler. cluster_settings must outlive it. */
 static inline Scheduler *scheduler_create(SchedulerFixture *fixture, const ClusterSettings *cluster_settings)
 {
     return scheduler_new(fixture, &(SchedulerSettings){.loop = fixture->loop,
