--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -4,7 +4,7 @@
 
 /* --- a server whose responses the test alters ---------------------------------------------- */
 
-/* A server that answers every request at once. */
+/* A server that answers every request immediately. */
 typedef struct FakeServer {
     Loop *loop;
     OldFrame change; /* added to the fields of a correct response; all 0: no difference */
--- a/packages/sim/test/bad_disks.c
+++ b/packages/sim/test/bad_disks.c
@@ -10,10 +10,10 @@
 
 #include "controller_set.h"
 
-#define MISSED 3000        /* count; changes that were committed while the controller was away */
-#define CHANGE_BYTES 200   /* bytes; payload of a change */
-#define SYNC_MS 4000       /* ms; a loss counts as lasting until this long after the machine's return */
-#define CAUGHT_UP_MS 12000 /* ms; the controller has caught up within this after the end of the fault */
+#define MISSED 3000        /* changes that were committed while the controller was away */
+#define CHANGE_BYTES 200   /* payload of a change */
+#define SYNC_MS 4000       /* a loss counts as lasting until this time after the machine's return */
+#define CAUGHT_UP_MS 12000 /* the controller has caught up within this time after the end of the fault */
 
 static int machine_of(Fleet *fleet, int controller)
 {
@@ -127,7 +127,7 @@
 static void nearly_full_does_not_go_in_circles(void **state)
 {
     (void)state;
-    static const size_t SPARE_BYTES[] = {300, 3000, 20000, 100000}; /* bytes */
+    static const size_t SPARE_BYTES[] = {300, 3000, 20000, 100000};
     for (size_t i = 0; i < sizeof(SPARE_BYTES) / sizeof(SPARE_BYTES[0]); i++) {
         Fleet *fleet = begin(i + 1);
         const int full = (fleet_leader(fleet) + 1) % 3;
@@ -137,7 +137,8 @@
         sim_disk_capacity(fleet->world, machine_of(fleet, full),
                           sim_disk_used(fleet->world, machine_of(fleet, full)) + SPARE_BYTES[i]);
         assert_changes_committed(fleet, 60000);
-        /* the fault gave about 200; now at most one each DISK_RETRY_MAX_MS, and a few more at first */
+        /* the endless loop made about 200 rewrites; now there is at most one each DISK_RETRY_MAX_MS, and a few more at
+         * first */
         assert_in_range(journal_counts(replication_of(fleet, full)->journal)->rewrites - rewrites, 1, 30);
         sim_disk_capacity(fleet->world, machine_of(fleet, full), 0);
         assert_catches_up(fleet, full);
--- a/packages/sim/test/catch_up.c
+++ b/packages/sim/test/catch_up.c
@@ -26,7 +26,7 @@
 }
 
 /* Snapshot pieces that are out of order, repeated, of another snapshot, corrupted, or beyond the total size are
- * rejected: a snapshot is accepted only when its bytes match the checksum that was announced. */
+ * refused: a snapshot is accepted only when its bytes match the checksum that was announced. */
 static void pieces_refused(void **state)
 {
     (void)state;
@@ -71,10 +71,10 @@
 
 /* --- after many changes ------------------------------------------------------------ */
 
-#define LINK_BYTES_MS 25000              /* bytes/ms; 200 Mbit/s, the slowest link of a controller's machine */
-#define DISK_BYTES (128 * 1024 * 1024)   /* bytes; the smallest disk of a controller's machine */
-#define MEMORY_BYTES (130 * 1024 * 1024) /* bytes; half of the smallest memory: the other half is for tasks */
-#define BIG_BYTES (300 * 1024)           /* bytes; the complete configuration of a large site */
+#define LINK_BYTES_MS 25000              /* 200 Mbit/s, the slowest link of a controller's machine */
+#define DISK_BYTES (128 * 1024 * 1024)   /* the smallest disk of a controller's machine */
+#define MEMORY_BYTES (130 * 1024 * 1024) /* half of the smallest memory: the other half is for tasks */
+#define BIG_BYTES (300 * 1024)           /* the complete configuration of a large site */
 
 /* Bytes that the controller's process has allocated. */
 static size_t memory_of(Fleet *fleet, int controller)
@@ -93,7 +93,7 @@
 typedef struct CatchUp {
     int64_t took_ms;     /* from the start of the controller's process until it has caught up */
     uint64_t bytes;      /* sent by the leader to all others meanwhile */
-    size_t memory, disk; /* bytes; the highest use of any controller */
+    size_t memory, disk; /* the highest use of any controller, in bytes */
 } CatchUp;
 
 /* Raises the peaks of memory and disk use to what the controllers use now. */
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -101,7 +101,7 @@
 
 /* --- events passed by the test: violations of each property, and the nearest permitted sequences --- */
 
-/* Two leaders at once. On disks that lose synced data, a lower term may follow a higher one. */
+/* Two leaders at the same time. On disks that lose synced data, a lower term may follow a higher one. */
 static void leaders(void **state)
 {
     (void)state;
@@ -150,7 +150,7 @@
     checker = begin(), checker_accepted(checker, "j"), checker_job_ended(checker, "j", "done"),
     broke_only(checker, INVARIANT_FORGOTTEN);
 
-    /* the end of one gang member counts for the whole gang, that of any other task only for itself */
+    /* the end of one gang member counts for the entire gang, that of any other task only for itself */
     checker = begin(), checker_accepted(checker, "j"), checker_started(checker, "w1", "j", 0, 1, ONE),
     checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE);
     checker_started(checker, "w1", "j", FIRST, 1, ONE), checker_started(checker, "w2", "j", SECOND, 1, ONE);
@@ -209,7 +209,7 @@
 {
     (void)state;
     Checker *checker;
-    /* a claim outlives its worker's process; it ends when the worker reports, or when it lapses */
+    /* a claim outlives its worker's process; it ends when the worker reports, or when it expires */
     checker = begin(), checker_lease_granted(checker, "w1", now_ms + 3000),
     checker_started(checker, "w1", "x", 0, 1, ONE), checker_worker_ended(checker, "w1");
     now_ms += 3000, checker_started(checker, "w2", "x", 0, 2, ONE), none_broke(checker);
@@ -339,7 +339,8 @@
 static const FleetShape SHAPE
 = {3, 3, 11, MIX_TRENTVALE, 0};
 
-/* Plays the timeline under several seeds; asserts that in one of them a property breaks whose message has words. */
+/* Runs the timeline with several seeds; asserts that with one of them a property breaks whose message contains
+ * words. */
 static void assert_caught(const char *text, const char *words)
 {
     char why[512];
@@ -351,7 +352,7 @@
     fail_msg("not caught: %s; last: %s", words, why);
 }
 
-/* A worker whose clock runs at a tenth of the true speed keeps running tasks after its lease has lapsed, which the
+/* A worker whose clock runs at a tenth of the true speed keeps running tasks after its lease has expired, which the
  * checker must report. */
 static void slow_clock_runs_twice(void **state)
 {
@@ -364,7 +365,7 @@
                   "running twice");
 }
 
-/* Voters whose clocks run ten times too fast consider the leader's lease lapsed while the leader still holds it, which
+/* Voters whose clocks run ten times too fast consider the leader's lease expired while the leader still holds it, which
  * gives a second leader that the checker must report. */
 static void fast_voters_make_two_leaders(void **state)
 {
--- a/packages/sim/test/config_bodies.c
+++ b/packages/sim/test/config_bodies.c
@@ -1,4 +1,4 @@
-/* Configuration documents as operators send them: rejected ones, the largest one, and one that entry points resend
+/* Configuration documents as operators send them: refused ones, the largest one, and one that entry points resend
  * after the disks lost it. */
 #include <inttypes.h>
 
@@ -61,7 +61,7 @@
     assert_int_equal(code, 413);
 }
 
-/* A version that is not above its base, a base that is not in force, or a malformed document is rejected, and the
+/* A version that is not above its base, a base that is not in force, or a malformed document is refused, and the
  * configuration in force stays. */
 static void refused(void **state)
 {
@@ -127,8 +127,8 @@
     talloc_free(fleet);
 }
 
-/* A large document, which entry points do not copy at once, is copied later, so that they can restore it when the disks
- * have lost it. */
+/* A large document, which entry points do not copy immediately, is copied later, so that they can restore it when the
+ * disks have lost it. */
 static void large_repaired(void **state)
 {
     (void)state;
@@ -143,7 +143,7 @@
     assert_int_equal(
         fleet_request(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1&revision=5", body).code, 200);
     fleet_run(fleet, 200);
-    for (int i = 0; i < 3; i++) { /* its version and limits are known at once */
+    for (int i = 0; i < 3; i++) { /* its version and limits are known immediately */
         const HttpCall call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, i, "GET", "/metrics", NULL);
         assert_non_null(strstr(talloc_strndup(mem, (const char *)call.response_body.data, call.response_body.count),
                                "config_revision 5\n"));
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -6,7 +6,7 @@
 #include "config_fixture.h"
 #include "document/document.h"
 
-#define CHANGES 60 /* count; changes that each operator sends */
+#define CHANGES 60 /* changes that each operator sends */
 
 /* A change as its operator sees it. */
 typedef struct Change {
@@ -139,7 +139,7 @@
 }
 
 /* Asserts that each acknowledged change is in the history under its version and is acknowledged again when it is
- * resent, that no rejected change is in the history, that no two acknowledged changes have the same base, and that the
+ * resent, that no refused change is in the history, that no two acknowledged changes have the same base, and that the
  * newest version is not below any acknowledged one. */
 static void assert_history(Fleet *fleet, const Operator *all, int operators)
 {
@@ -223,7 +223,7 @@
     }
 }
 
-/* The task of an operator that sends its first change only. */
+/* The task of an operator that sends only its first change. */
 static void send_one_main(void *arg)
 {
     Operator *operator= arg;
--- a/packages/sim/test/controller_set.h
+++ b/packages/sim/test/controller_set.h
@@ -6,8 +6,8 @@
 #include "inside.h"
 #include "sim/fleet.h"
 
-#define UNKNOWN_CHANGE \
-    60000 /* number of a change that the state does not know: it is kept in the log and has no effect */
+/* Number of a change that the state does not know: the change is kept in the log and has no effect. */
+#define UNKNOWN_CHANGE 60000
 
 static inline Replication *replication_of(Fleet *fleet, int controller)
 {
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -142,7 +142,7 @@
     int number;
     uint64_t acknowledged[200];
     size_t count; /* of acknowledged */
-    size_t stale; /* changes that were rejected because their base was no longer in force */
+    size_t stale; /* changes that were refused because their base was no longer in force */
     bool done;
 } Operator;
 
@@ -177,8 +177,8 @@
     operator->done = true;
 }
 
-/* Five operators patch the configuration at once while the leader is killed: no version may be acknowledged twice, and
- * each acknowledged change must be in the history. */
+/* Five operators patch the configuration at the same time while the leader is killed: no version may be acknowledged
+ * twice, and each acknowledged change must be in the history. */
 static void config_storm(void **state)
 {
     (void)state;
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -122,8 +122,8 @@
 }
 
 /* A leader with a slow disk appends entries that its journal has not been given yet, makes a snapshot, and is isolated
- * at once; the others go on without those entries. After it has rejoined and reported the others' log as its own, its
- * disk must have that log too. */
+ * immediately; the others go on without those entries. After it has rejoined and reported the others' log as its own,
+ * its disk must have that log too. */
 static void snapshot_then_trimmed(void **state)
 {
     (void)state;
@@ -152,7 +152,7 @@
     }
 }
 
-/* --- requests that a voter must reject ----------------------------------------------------- */
+/* --- requests that a voter must refuse ----------------------------------------------------- */
 
 /* Two requests that would drop a committed entry, and their results. */
 typedef struct ConflictingRequests {
@@ -181,7 +181,7 @@
     requests->done = true;
 }
 
-/* A request to drop a committed entry is rejected, counted and recorded; the log does not change. */
+/* A request to drop a committed entry is refused, counted and recorded; the log does not change. */
 static void committed_stays(void **state)
 {
     (void)state;
@@ -335,7 +335,7 @@
     talloc_free(fleet);
 }
 
-/* All journals are damaged, which is more than the cluster survives: no controller may found a second cluster. */
+/* All journals are damaged, which is more than the cluster tolerates: no controller may found a second cluster. */
 static void all_spoilt(void **state)
 {
     (void)state;
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -15,7 +15,7 @@
 
 #define ZONE "west"
 #define DRAIN "/v1/zones/" ZONE "/drain"
-#define LINK_MS 10 /* ms; delay of each frame, so that a cut can fall between two of them */
+#define LINK_MS 10 /* delay of each frame, so that a cut can fall between two of them */
 
 static Fleet *begin(uint64_t seed)
 {
@@ -90,11 +90,11 @@
             print_message("cut in direction %d after %d ms: status %d\n", direction, at_ms, late->task->code);
             case_end(fleet);
         }
-    assert_true(delayed >= 9); /* at least so many cuts came before the response */
+    assert_true(delayed >= 9); /* at least this many cuts came before the response */
 }
 
 /* The start of a drain, without an order name, arrives while its entry point is frozen, and the caller starts and ends
- * the drain at another entry point. When the frozen process goes on, it must reject the request with 503, which says
+ * the drain at another entry point. When the frozen process goes on, it must refuse the request with 503, which means
  * that the request had no effect; sent again, the request is accepted. */
 static void late_start_at_a_frozen_entry_point(void **state)
 {
@@ -157,7 +157,7 @@
     case_end(fleet);
 }
 
-/* A request that others have overtaken while its caller still waits is rejected with 503 and Retry-After, as it had no
+/* A request that others have overtaken while its caller still waits is refused with 503 and Retry-After, as it had no
  * effect; sent again, it is accepted. */
 static void overtaken(void **state)
 {
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -141,7 +141,7 @@
     /* no queue has this host */
     assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code,
                      404);
-    /* the queue is full: the job is rejected with Retry-After */
+    /* the queue is full: the job is refused with Retry-After */
     assert_int_equal(fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
                                    "{\"cells\":{\"imagery\":{\"limit\":1}}}")
                          .code,
@@ -163,8 +163,8 @@
     case_end(fleet);
 }
 
-/* All disks lose what they acknowledged: until the entry points have resent it, no response may say that the job or the
- * queue does not exist. */
+/* All disks lose what they acknowledged: until the entry points have resent it, no response may report that the job or
+ * the queue does not exist. */
 static void forgotten(void **state)
 {
     (void)state;
@@ -188,7 +188,7 @@
     case_end(fleet);
 }
 
-/* While there is no configuration, callers are told to retry later. */
+/* While there is no configuration, the answer to callers is to retry later. */
 static void no_document(void **state)
 {
     (void)state;
--- a/packages/sim/test/first.c
+++ b/packages/sim/test/first.c
@@ -1,4 +1,4 @@
-/* The shortest test of a whole simulated fleet: it starts, is configured, and runs all jobs that callers submit. */
+/* The shortest test of an entire simulated fleet: it starts, is configured, and runs all jobs that callers submit. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/packages/sim/test/fleet_fixture.h
+++ b/packages/sim/test/fleet_fixture.h
@@ -1,7 +1,7 @@
 #ifndef SIM_TEST_FLEET_FIXTURE_H
 #define SIM_TEST_FLEET_FIXTURE_H
 
-/* Fixture of tests of whole fleets: start and end of a test case, and jobs. */
+/* Fixture of tests of entire fleets: start and end of a test case, and jobs. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -10,8 +10,8 @@
 
 #include "sim/fleet.h"
 
-#define SERVES_MS 3000       /* ms; a leader accepts changes within this after the last start */
-#define VOTERS_GIVEN_MS 4000 /* ms; the cluster has the wanted number of voters within this after the last start */
+#define SERVES_MS 3000       /* a leader accepts changes within this time after the last start */
+#define VOTERS_GIVEN_MS 4000 /* the cluster has the wanted number of voters within this time after the last start */
 
 /* Null when the controller does not run. */
 static const Replication *replication_of(Fleet *fleet, int controller)
@@ -116,7 +116,7 @@
                   (FleetSite){.zones = 4, .losses = 2, .founded_by_votes = true}, 5);
 }
 
-/* One disk more than the losses to survive ask for: it stays without a vote. */
+/* One disk more than the losses to tolerate require: it stays without a vote. */
 static void four_disks(void **state)
 {
     (void)state;
@@ -124,7 +124,8 @@
                   (FleetSite){.zones = 3, .losses = 1, .founded_by_votes = true}, 3);
 }
 
-/* Two losses ask for five voters, but there are four disks: three vote, as four voters survive no more losses. */
+/* Two losses to tolerate require five voters, but there are four disks: three vote, as four voters tolerate no more
+ * losses than three do. */
 static void four_of_five(void **state)
 {
     (void)state;
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -1,5 +1,5 @@
 /* Fuzz tests with fixed seeds: corrupted jobs, configurations, patches, policies, worker reports, HTTP requests and
- * frames between processes. Each input must be accepted or rejected with a typed error, and a process that received it
+ * frames between processes. Each input must be accepted or refused with a typed error, and a process that received it
  * must go on serving. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -26,7 +26,7 @@
     return (random_state >> 33) % below;
 }
 
-/* Fragments that parsers are likely to mishandle; they are inserted at random places. */
+/* Fragments that parsers are likely to mishandle; they are inserted at random positions. */
 static const char *const FRAGMENTS[] = {
     "{",
     "}",
@@ -268,7 +268,7 @@
     X(Record)             \
     X(Worker)
 
-/* Random bytes and corrupted packed structs are unpacked with every shape: each is rejected, or gives a complete struct
+/* Random bytes and corrupted packed structs are unpacked with every shape: each is refused, or gives a complete struct
  * that can be packed again. */
 static void shapes(void **state)
 {
--- a/packages/sim/test/job_runs.c
+++ b/packages/sim/test/job_runs.c
@@ -143,7 +143,7 @@
     case_end(fleet);
 }
 
-/* Tasks of a job that allows copies are started again before the silent worker's lease has lapsed, other tasks only
+/* Tasks of a job that allows copies are started again before the silent worker's lease has expired, other tasks only
  * after it. */
 static void copies(void **state)
 {
--- a/packages/sim/test/last_block.c
+++ b/packages/sim/test/last_block.c
@@ -1,5 +1,5 @@
 /* The last block of a journal, which was synced, is damaged while its machine is powered off. The controller must not
- * vote with the rest of the journal: an acknowledged change would be lost when the other disk that has it is away as
+ * vote with the rest of the journal: an acknowledged change would be lost when the other disk that has it is absent as
  * well. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,7 +11,7 @@
 
 #include "controller_set.h"
 
-#define RETURNED_MS 8000 /* ms; a controller that has a majority leads within this */
+#define RETURNED_MS 8000 /* a controller that has a majority leads within this time */
 
 /* Kinds of damage: the last bit of the journal is flipped, or its last byte is missing. */
 typedef enum Damage { DAMAGE_FLIPPED, DAMAGE_CUT, DAMAGE_COUNT } Damage;
--- a/packages/sim/test/leader_found.c
+++ b/packages/sim/test/leader_found.c
@@ -1,4 +1,4 @@
-/* How soon a killed leader is replaced after a time without faults, and what callers are told meanwhile. */
+/* How soon a killed leader is replaced after a time without faults, and which answers callers get meanwhile. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,7 +13,7 @@
 /* Seeds of the cases, first and last. */
 #define SEED_FIRST 41
 #define SEED_LAST 48
-#define CALM_MS 30000 /* ms; by then, how long renewals took right after the first election no longer matters */
+#define CALM_MS 30000 /* after this time, the duration of renewals right after the first election no longer matters */
 
 static Fleet *begin(uint64_t seed)
 {
@@ -30,8 +30,8 @@
                          "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":64}}]}");
 }
 
-/* The next leader is found well before the longest grant of a lease would have ended, and callers who are rejected
- * meanwhile are told to retry at about that time, not later. */
+/* The next leader is found well before the longest grant of a lease would have ended, and callers that are refused
+ * meanwhile get a Retry-After of about that time, not longer. */
 static void found_again_soon(void **state)
 {
     (void)state;
@@ -53,7 +53,7 @@
     }
 }
 
-/* While no controller can lead, the time after which callers are told to retry grows, up to three seconds. */
+/* While no controller can lead, the Retry-After that callers get grows, up to three seconds. */
 static void long_outage_spares_tries(void **state)
 {
     (void)state;
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -90,7 +90,7 @@
     case_end(fleet);
 }
 
-/* While no controller runs, a request cannot have been carried out, so it is rejected at once with Retry-After. */
+/* While no controller runs, a request cannot have been carried out, so it is refused immediately with Retry-After. */
 static void refused_at_once(void **state)
 {
     (void)state;
@@ -281,7 +281,7 @@
     }
 }
 
-/* SIGTERM under load: every request that was read is answered, and fewer than ten are rejected. */
+/* SIGTERM under load: every request that was read is answered, and fewer than ten are refused. */
 static void leaving(void **state)
 {
     (void)state;
--- a/packages/sim/test/learners.c
+++ b/packages/sim/test/learners.c
@@ -3,12 +3,15 @@
 #include "replaced_fixture.h"
 #include "state.h"
 
-#define ADDED_MS 8000    /* ms; within this after a loss, a learner has been given a vote */
-#define STEP_MS 10       /* ms; between two moments that are tried */
-#define READ_MS 20       /* ms; by now a started process has read its journal, and no leader has sent it anything yet */
-#define PROMISED_MS 5    /* ms; a promise is synced within this */
-#define PROMISE_SEEDS 32 /* count; seeds of the case with a higher promise */
-#define TRIED_MS 700     /* ms; before the vote: the leader's latest contact with a learner may be this old */
+#define ADDED_MS 8000 /* a learner has been given a vote within this time after a loss */
+#define STEP_MS 10    /* interval between two moments that are tried */
+/* After this time a started process has read its journal, and no leader has sent it anything yet. */
+#define READ_MS 20
+#define PROMISED_MS 5    /* a promise is synced within this time */
+#define PROMISE_SEEDS 32 /* seeds of the case with a higher promise */
+/* The longest time from the learner's loss to its vote that is tried: the leader's latest contact with the learner may
+ * be this old. */
+#define TRIED_MS 700
 
 static const Replication *replication_at(Fleet *fleet, int controller)
 {
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -1,4 +1,4 @@
-/* Controllers are lost under load one right after another, each time as many as the cluster must survive: when they
+/* Controllers are lost under load one right after another, each time as many as the cluster must tolerate: when they
  * have returned or were replaced, all voters must be in the leader's view again in time for the next loss. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -244,9 +244,9 @@
     }
 }
 
-/* Loses as many voters together as the cluster must survive, lets them return together, and asserts that all voters are
- * in the view again within bound_ms. The first loss is of the given kind, the others of random kinds. The environment
- * variable SPANCART_LOSSES makes it print each loss. */
+/* Loses as many voters together as the cluster must tolerate, lets them return together, and asserts that all voters
+ * are in the view again within bound_ms. The first loss is of the given kind, the others of random kinds. The
+ * environment variable SPANCART_LOSSES makes it print each loss. */
 static void loss_attempt(Trial *trial, LossKind kind, bool with_leader, int64_t bound_ms)
 {
     Fleet *fleet = trial->fleet;
--- a/packages/sim/test/member_bounds.c
+++ b/packages/sim/test/member_bounds.c
@@ -2,8 +2,8 @@
  * some records; no member may be lost because of them. */
 #include "member_fixture.h"
 
-#define SIZE 30         /* count; members of the fleet */
-#define SETTLE_MS 5000  /* ms; all members know each other within this after their start */
+#define SIZE 30         /* members of the fleet */
+#define SETTLE_MS 5000  /* all members know each other within this time after their start */
 #define OTHER_CLUSTER 9 /* identifier of a cluster that the fleet does not belong to */
 
 /* A process that sends one hello to the first controller and records the answer. */
@@ -115,7 +115,7 @@
     talloc_free(fleet);
 }
 
-/* A member of an earlier release sends no digest and must get the whole table. */
+/* A member of an earlier release sends no digest and must get the entire table. */
 static void earlier_release(void **state)
 {
     (void)state;
--- a/packages/sim/test/member_exchange.c
+++ b/packages/sim/test/member_exchange.c
@@ -2,15 +2,15 @@
  * the fleet, and how soon and how reliably controllers know every member. */
 #include "member_fixture.h"
 
-#define LINK_BYTES_MS 250  /* bytes/ms; an entry point's link of 2 Mbit/s */
-#define MOST_BYTES_S 25000 /* bytes/s; a tenth of that link */
-#define SETTLE_MS 10000    /* ms; all members have found each other within this */
-#define MEASURED_MS 20000  /* ms; long enough for several hellos of each member to each seed */
-#define JOIN_MS 1500 /* ms; limit for a join: a restarted controller begins its repair after REPAIR_START_DELAY_MS */
-#define JOIN_LOSS_MS 12000    /* ms; limit for a join while a tenth of all frames are lost */
-#define START_JOIN_MS 3000    /* ms; limit for the join of all after the last one has started */
-#define START_SEED_BYTES 2500 /* bytes for each member; limit for a seed's traffic while all start */
-#define FLAT_PERCENT 110      /* percent; limit for the cost in a fleet three times as large */
+#define LINK_BYTES_MS 250  /* an entry point's link of 2 Mbit/s */
+#define MOST_BYTES_S 25000 /* a tenth of that link */
+#define SETTLE_MS 10000    /* all members have found each other within this time */
+#define MEASURED_MS 20000  /* long enough for several hellos of each member to each seed */
+#define JOIN_MS 1500       /* limit for a join: a restarted controller begins its repair after REPAIR_START_DELAY_MS */
+#define JOIN_LOSS_MS 12000 /* limit for a join while a tenth of all frames are lost */
+#define START_JOIN_MS 3000 /* limit for the join of all after the last one has started */
+#define START_SEED_BYTES 2500 /* limit for a seed's traffic while all start, per member */
+#define FLAT_PERCENT 110      /* limit for the cost in a fleet three times as large */
 
 /* Members of the fleets that are measured. */
 static const int SIZES[] = {30, 100, MEMBER_FLEET_MAX};
@@ -162,7 +162,7 @@
     return count;
 }
 
-/* Controllers learn that a member is alive only from the member itself: lost messages must not make it look gone. */
+/* Controllers learn that a member is alive only from the member itself: lost messages must not make it seem absent. */
 static void lost_messages_raise_suspicion(void **state)
 {
     (void)state;
@@ -181,7 +181,7 @@
         }
 }
 
-#define REMOVED 3 /* count; controllers that were removed long ago and are still in the member tables */
+#define REMOVED 3 /* controllers that were removed long ago and are still in the member tables */
 
 /* Guards against a loss of acknowledged changes: entry points sent hellos to removed controllers only, so a leader
  * whose state was lost did not know them in time to ask for their repair buffers. */
--- a/packages/sim/test/member_fixture.h
+++ b/packages/sim/test/member_fixture.h
@@ -15,10 +15,10 @@
 #include "member/members.h"
 #include "sim/world.h"
 
-#define MEMBER_FLEET_MAX 300       /* count; members of the largest fleet */
-#define MEMBER_FLEET_CONTROLLERS 5 /* count; controllers have the first numbers, entry points the next ones */
-#define MEMBERS_PER_ENTRY_POINT 5  /* count; one member in this many is an entry point */
-#define MEMBER_FLEET_START_MS 300  /* ms; all members start within this span */
+#define MEMBER_FLEET_MAX 300       /* members of the largest fleet */
+#define MEMBER_FLEET_CONTROLLERS 5 /* controllers have the first numbers, entry points the next ones */
+#define MEMBERS_PER_ENTRY_POINT 5  /* one member in this many is an entry point */
+#define MEMBER_FLEET_START_MS 300  /* all members start within this span */
 #define MEMBER_FLEET_CLUSTER 7     /* identifier of the fleet's cluster */
 
 /* A member and the machine that it runs on. */
--- a/packages/sim/test/narrow_links.c
+++ b/packages/sim/test/narrow_links.c
@@ -14,8 +14,8 @@
 #include "wire/kinds.h"
 #include "wire/traffic.h"
 
-#define LINK_BYTES_PER_MS 250 /* bytes/ms; 2 Mbit/s */
-#define MEASURE_MS 10000      /* span over which rates are measured */
+#define LINK_BYTES_PER_MS 250 /* 2 Mbit/s */
+#define MEASURE_MS 10000      /* time over which rates are measured */
 
 static const uint64_t SEED = 21;
 
@@ -103,7 +103,7 @@
     return fleet;
 }
 
-/* Guards against control traffic that fills the links: hellos with the whole member table saturated links of 2 Mbit/s
+/* Guards against control traffic that fills the links: hellos with the entire member table saturated links of 2 Mbit/s
  * at 300 machines, and callers got no responses. The budget is a tenth of the link. The fleets are smaller than 300
  * machines, where any part that grows with the fleet would be 3.5 times as large, so the rate must not grow from 43 to
  * 83 members either. */
@@ -129,7 +129,7 @@
 
 /* --- callers' requests beside bulk transfers ------------------------------------------------ */
 
-#define READ_GAP_MS 50     /* between the starts of two reads */
+#define READ_GAP_MS 50     /* interval between the starts of two reads */
 #define READ_WAIT_MS 10000 /* time-out of a read; longer than an entry point works on a request */
 #define READS_MAX 400      /* reads of a case */
 
@@ -253,7 +253,7 @@
 static void each_role_ends_in_time(void **state)
 {
     (void)state;
-    static const int64_t RATES[] = {0, 1, 20}; /* bytes/ms; 0: cut */
+    static const int64_t RATES[] = {0, 1, 20}; /* in bytes per ms; 0: cut */
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++)
         for (size_t rate = 0; rate < sizeof(RATES) / sizeof(RATES[0]); rate++) {
             Fleet *fleet = case_begin(SEED, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -10,13 +10,13 @@
 
 #include "fleet_fixture.h"
 
-/* Two queues with latency targets; plans need not survive any loss. */
+/* Two queues with latency targets; plans need not tolerate any loss. */
 #define CONFIG                                                       \
     "{\"r\":0,\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{" \
     "\"bulk\":{\"stretch\":2,\"targetMs\":2000,\"rounds\":4},"       \
     "\"urgent\":{\"priority\":1,\"stretch\":1.5,\"targetMs\":1000,\"rounds\":4}}}}}"
 
-/* One queue with a latency target; every plan must survive the loss of one worker. */
+/* One queue with a latency target; every plan must tolerate the loss of one worker. */
 #define CONFIG_LOSSES                                                \
     "{\"r\":1,\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{" \
     "\"urgent\":{\"priority\":1,\"stretch\":1.5,\"targetMs\":1000,\"rounds\":4}}}}}"
@@ -93,7 +93,7 @@
     case_end(fleet);
 }
 
-/* The first progress report that a new leader gets of an attempt says how far the attempt has come. Guards against the
+/* The first progress report that a new leader gets of an attempt states the progress made so far. Guards against the
  * leader concluding that the attempt has made no progress since it started. */
 static void new_leader_hears(void **state)
 {
@@ -104,7 +104,7 @@
         "{\"name\":\"a\",\"count\":12,\"room\":{\"cpu\":6,\"memMb\":64},\"estMs\":14000,\"payload\":{\"runMs\":14000}}");
     fleet_run(fleet, 5000);
     case_submit(
-        fleet, "short", "bulk", "", /* its progress makes reports of no progress credible at once */
+        fleet, "short", "bulk", "", /* its progress makes reports of no progress credible immediately */
         "{\"name\":\"a\",\"count\":36,\"room\":{\"cpu\":1,\"memMb\":64},\"estMs\":9000,\"payload\":{\"runMs\":9000}}");
     fleet_run(fleet, 500);
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
@@ -268,7 +268,7 @@
 }
 
 /* Where the configuration states the expected losses, such tasks are spread instead: the fewer tasks on one worker, the
- * fewer have to restart at once. */
+ * fewer have to restart at the same time. */
 static void spread_where_losses_are_named(void **state)
 {
     (void)state;
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -74,7 +74,7 @@
     }
 }
 
-/* Two cells with shares 3 and 1 both ask for the whole fleet; tenants within a cell get equal parts. */
+/* Two cells with shares 3 and 1 both ask for the entire fleet; tenants within a cell get equal parts. */
 static void shares(void **state)
 {
     (void)state;
@@ -148,7 +148,7 @@
     case_end(fleet);
 }
 
-/* Small tasks are submitted without end, and some end all the time. A task that needs a whole worker starts all the
+/* Small tasks are submitted without end, and some end all the time. A task that needs an entire worker starts all the
  * same, since a worker is reserved for it; for a gang of two such tasks, two workers are reserved. */
 static void big_among_small(void **state)
 {
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -9,7 +9,7 @@
     bool answered;
 } RawRequest;
 
-/* Sends the frame on a connection of its own and waits for the answer. */
+/* Sends the frame on a connection of its own and receives the answer. */
 static void raw_request_main(void *arg)
 {
     RawRequest *raw = arg;
--- a/packages/sim/test/quota.c
+++ b/packages/sim/test/quota.c
@@ -17,7 +17,7 @@
                            tenants);
 }
 
-/* A configuration in which tenant t may use so many cores, and another tenant has no quota. */
+/* A configuration in which tenant t may use cpu cores, and another tenant has no quota. */
 static const char *quota_config(Fleet *fleet, uint64_t cpu)
 {
     return config_text(fleet,
@@ -93,7 +93,7 @@
 }
 
 /* Guards against a copy being started over the quota beside an attempt on a silent worker, which runs on until its
- * lease lapses. */
+ * lease expires. */
 static void copies_count_beside_what_they_replace(void **state)
 {
     (void)state;
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -15,9 +15,9 @@
 #include "state/table.h"
 
 #define LINK_MS 10         /* delay of each frame, in ms */
-#define CUT_AT_MS 25       /* ms; the request has reached the leader, which has not answered yet */
-#define ORDER_CUT_AT_MS 45 /* ms; an order, whose base was asked for first, by a round of contact, is on its way */
-#define COMMITTED_MS 300   /* ms; the change is committed, and the entry point still waits for the answer */
+#define CUT_AT_MS 25       /* the request has reached the leader, which has not answered yet */
+#define ORDER_CUT_AT_MS 45 /* an order is on its way: its base was requested before, by a round of messages */
+#define COMMITTED_MS 300   /* the change is committed, and the entry point still waits for the answer */
 #define JOB(id)                                                                                                     \
     "{\"id\":\"" id "\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\"," \
     "\"room\":{\"cpu\":1,\"memMb\":64},\"payload\":{\"runMs\":60000}}]}"
@@ -61,7 +61,7 @@
     return fleet;
 }
 
-/* The part of the state that these requests change, as a text on mem: equal texts, equal states. */
+/* The part of the state that these requests change, as a text on mem; equal texts mean equal states. */
 static char *state_of(void *mem, Fleet *fleet)
 {
     const HttpCall call = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/v1/config/history", NULL);
@@ -76,7 +76,7 @@
                            table_zone_is_drained(table, "west"), (long long)table_drain_stamp(table, "west"), history);
 }
 
-/* Sends the row's request through the first entry point, and does not wait. */
+/* Sends the row's request through the first entry point, and returns without waiting for the answer. */
 static InsideRequest *send_row(Fleet *fleet, const Row *row)
 {
     const bool whole = strcmp(row->method, "PUT") == 0 && strcmp(row->path, "/v1/config") == 0;
@@ -121,8 +121,8 @@
 }
 
 /* All controllers lose power as a job is committed, and their disks lose what they reported as synced, so that the next
- * leader has to be repaired first. Guards against the caller being told that the outcome is unknown because one leader
- * cannot tell it yet: the request waits for the repair. */
+ * leader has to be repaired first. Guards against an answer to the caller that the outcome is unknown, given because
+ * one leader does not know it yet: the request waits for the repair. */
 static void repair_awaited(void **state)
 {
     (void)state;
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -2,7 +2,7 @@
  * learner becomes a voter before the next loss. */
 #include "replaced_fixture.h"
 
-/* The new controller follows the log before the old one is shut down; the next loss comes as soon as it may. */
+/* The new controller follows the log before the old one is shut down; the next loss comes as soon as it is allowed. */
 static void planned_then_lost(uint64_t seed, bool leader_goes, bool leader_lost)
 {
     Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 1}, &ONE_LOSS);
@@ -75,7 +75,7 @@
         fail_msg("%s is not in %s", text, body);
 }
 
-/* The status shows which controllers follow, how far behind they are, and how many losses can be survived: fewer right
+/* The status shows which controllers follow, how far behind they are, and how many losses can be tolerated: fewer right
  * after a loss, and as many as before once the learner is a voter. */
 static void status_shows(void **state)
 {
@@ -96,7 +96,7 @@
 /* --- losses in sequence ----------------------------------------------------------------- */
 
 #define ATTEMPTS 10
-#define OUT_MS 1000 /* ms; from a loss until the machine, or its replacement, starts */
+#define OUT_MS 1000 /* from a loss until the machine, or its replacement, starts */
 
 /* LOSS_WIPED: the machine returns with an empty disk; LOSS_REPLACED: a spare starts in place of the lost controller;
  * LOSS_PLANNED: a spare follows the log before the controller is shut down. */
@@ -160,8 +160,8 @@
         controller_begin(trial, trial->next_spare++);
 }
 
-/* In each attempt as many voters are lost at once as may be, and all are back or replaced before the next attempt.
- * cut_short: a learner is lost as well. */
+/* In each attempt as many voters are lost at the same time as are tolerated, and all are back or replaced before the
+ * next attempt. cut_short: a learner is lost as well. */
 static void loss_attempts(uint64_t seed, FleetShape shape, const FleetSite *site, Target target, bool cut_short)
 {
     Trial trial = {.fleet = begin(seed, shape, site), .next_spare = shape.controllers};
--- a/packages/sim/test/replaced_fixture.h
+++ b/packages/sim/test/replaced_fixture.h
@@ -14,15 +14,15 @@
 
 #include "sim/fleet.h"
 
-#define SYNC_MS 4000     /* ms; a loss counts until this long after the machine's return */
-#define CATCH_UP_MS 2000 /* ms; within this a controller that starts follows the log: founding and one snapshot */
-#define TAKEOVER_MS 6000 /* ms; within this after a loss another controller leads */
+#define SYNC_MS 4000     /* a loss counts until this time after the machine's return */
+#define CATCH_UP_MS 2000 /* a controller that starts follows the log within this time: founding and one snapshot */
+#define TAKEOVER_MS 6000 /* another controller leads within this time after a loss */
 
 /* One controller may be lost at a time. */
 static const FleetSite ONE_LOSS = {
     .zones = 3, .losses = 1, .founded_by_votes = true, .disks_keep = true, .voter_back_ms = SYNC_MS, .stagger_ms = 500};
 
-/* A fleet with a configuration that has run for SYNC_MS; it is on no parent. */
+/* A fleet with a configuration that has run for SYNC_MS; it has no talloc parent. */
 static inline Fleet *begin(uint64_t seed, FleetShape shape, const FleetSite *site)
 {
     Fleet *fleet = fleet_new_with_site(NULL, seed, shape, site);
@@ -36,7 +36,7 @@
     return fleet;
 }
 
-/* Fails if a safety property is broken, else frees the fleet. */
+/* Fails if a safety property is broken, otherwise frees the fleet. */
 static inline void finish(Fleet *fleet)
 {
     if (checker_violations_total(fleet->checker) > 0)
@@ -57,7 +57,7 @@
     fail_msg("no controller leads %s", when);
 }
 
-/* A random controller that runs, or the leader if that is asked for; never the one that is spared (-1: none). */
+/* A random controller that runs, or the leader if leader is set; never the controller spared (-1: none). */
 static inline int pick_controller(Fleet *fleet, int spared, bool leader)
 {
     const int leads = fleet_leader(fleet);
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -3,7 +3,7 @@
 
 #include "job_fixture.h"
 
-/* Jobs that are rejected: the HTTP code, the status, and a text that the answer must hold. */
+/* Jobs that are refused: the HTTP code, the status, and a text that the answer must hold. */
 static const struct {
     const char *body;
     int code;
@@ -156,7 +156,8 @@
     case_end(fleet);
 }
 
-/* The same job submitted at several entry points at once is accepted once; the same id with another body is refused. */
+/* The same job submitted at several entry points at the same time is accepted once; the same id with another body is
+ * refused. */
 static void twice_at_once(void **state)
 {
     (void)state;
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -16,9 +16,9 @@
 #define CONTROLLERS 3
 #define ENTRY_POINTS 3
 #define NODES (CONTROLLERS + ENTRY_POINTS)
-#define SEND_ATTEMPTS 200    /* to send one call, until it gets a definite answer */
-#define CALL_TIMEOUT_MS 1000 /* ms; a caller's time-out */
-#define CALLS_AT_ONCE 8      /* the most changes that may be in progress at once */
+#define SEND_ATTEMPTS 200    /* attempts to send one call, until it gets a definite answer */
+#define CALL_TIMEOUT_MS 1000 /* a caller's time-out */
+#define CALLS_AT_ONCE 8      /* the most changes that may be in progress at the same time */
 
 /* A change of the configuration that is sent until it gets a definite answer. */
 typedef struct Call {
@@ -60,7 +60,7 @@
     return talloc_asprintf(fleet, "{\"note\":\"%s\"}", note);
 }
 
-/* Sends the call to the node. return: the HTTP code; 0: no definite answer. */
+/* Sends the call to the node. Returns the HTTP code; 0: no definite answer. */
 static int send_once(const Call *call, int node)
 {
     Loop *loop = sim_loop(call->fleet->world, call->fleet->caller_machine);
@@ -99,7 +99,7 @@
             fleet_run(fleet, 5);
 }
 
-/* Sends the call to the node once more, unchanged. return: the HTTP code. */
+/* Sends the call to the node once more, unchanged. Returns the HTTP code. */
 static int resend(const Call *call, int node)
 {
     void *mem = talloc_new(NULL);
@@ -128,7 +128,7 @@
     return version;
 }
 
-/* Applies so many patches in sequence. */
+/* Applies count patches in sequence. */
 static void patches_apply(Fleet *fleet, int count)
 {
     uint64_t base = newest_version(fleet);
@@ -192,7 +192,7 @@
         fleet_node_cut(fleet, FLEET_CONTROLLER, leader, begins);
 }
 
-/* Sends two calls on the same base at once; the fault begins after_ms after they were sent. */
+/* Sends two calls on the same base at the same time; the fault begins after_ms after they were sent. */
 static void race_once(Fleet *fleet, Call pair[2], LeaderFault fault, int64_t after_ms)
 {
     const int leader = fleet_leader(fleet);
@@ -262,8 +262,8 @@
     races_of(63, "PATCH", "PATCH");
 }
 
-/* Eight changes at once with different bodies, some with the same version: one is accepted. Then the same call eight
- * times at once: it is one change, and accepted every time. */
+/* Eight concurrent changes with different bodies, some with the same version: one is accepted. Then the same call eight
+ * times concurrently: it is one change, and accepted every time. */
 static void eight_at_once(void **state)
 {
     (void)state;
--- a/packages/sim/test/reservations.c
+++ b/packages/sim/test/reservations.c
@@ -7,11 +7,11 @@
 
 #include "scheduler_fixture.h"
 
-#define WORKERS (4 * (RESERVATION_MEMBERS_MAX + 4)) /* at most a quarter of them may be reserved at once */
+#define WORKERS (4 * (RESERVATION_MEMBERS_MAX + 4)) /* at most a quarter of them may be reserved at the same time */
 #define HALF_WORKER (FIXTURE_CPU_MILLI / 2)
 
-/* Fills half of each worker, submits a gang whose members need a whole worker each, and runs a scheduling pass after
- * the gang has waited for RESERVATION_WAIT_MS. return: how many reservations were made. */
+/* Fills half of each worker, submits a gang whose members need an entire worker each, and runs a scheduling pass after
+ * the gang has waited for RESERVATION_WAIT_MS. Returns how many reservations were made. */
 static uint64_t reserved_for(size_t members)
 {
     void *mem = talloc_new(NULL);
--- a/packages/sim/test/rpc.c
+++ b/packages/sim/test/rpc.c
@@ -74,7 +74,7 @@
     request_once(fixture, 500);  /* 4: server dead: unreachable */
     rpc_set_cluster(fixture->rpc[0], 8);
     loop_sleep(fixture->loop[0], 3000);
-    request_once(fixture, 500); /* 5: of another cluster: stranger */
+    request_once(fixture, 500); /* 5: the server is of another cluster: stranger */
 }
 
 static void client_start(void *arg, Loop *loop)
@@ -268,7 +268,7 @@
     loop_spawn(loop, "long wait", long_wait_main, fixture);
 }
 
-/* Guards against a connection being taken for dead and closed because answers arrive late on a full link: every other
+/* Guards against a connection being considered dead and closed because answers arrive late on a full link: every other
  * request on it, callers' included, would lose its answer. */
 static void late_answers_keep_the_connection(void **state)
 {
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -14,7 +14,7 @@
     "{\"id\":\"s\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"one\"," \
     "\"saves\":true,\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":9000,\"saveMs\":500}}]}"
 
-/* ms; a lease that outlasts a change of leader */
+/* A lease that outlasts a change of leader. */
 #define LEASE_MS 8000
 
 /* A fleet in which a task that saves its progress has been submitted. */
@@ -44,7 +44,7 @@
     return -1;
 }
 
-/* Runs until the job is done. return: that time; INT64_MAX: it was not done within 15 s. */
+/* Runs until the job is done. Returns that time; INT64_MAX: it was not done within 15 s. */
 static int64_t ended_ms(Fleet *fleet)
 {
     for (int i = 0; i < 300; i++) {
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -15,12 +15,13 @@
 
 #define CONTROLLERS 3
 #define ENTRY_POINTS 3
-#define READ_PAUSE_MS 40     /* ms; between two reads of one reader */
-#define CALL_TIMEOUT_MS 1000 /* ms; a caller's time-out */
-#define CHANGE_PAUSE_MS 7    /* ms; between two of the operator's changes: one is sent as soon as the lock has moved */
+#define READ_PAUSE_MS 40     /* interval between two reads of one reader */
+#define CALL_TIMEOUT_MS 1000 /* a caller's time-out */
+/* Interval between two of the operator's changes; short, so that one is sent as soon as the lock has moved. */
+#define CHANGE_PAUSE_MS 7
 
-/* CUT_IN, CUT_OUT: one direction only; CUT_BOTH: both directions of the links to other controllers; CUT_ALL: the links
- * to all nodes; CUT_REFUSED: connections are refused and reset; CUT_FREEZE: the process is frozen. */
+/* CUT_BOTH, CUT_IN, CUT_OUT: both directions or one direction of the links to other controllers; CUT_ALL: the links to
+ * all nodes; CUT_REFUSED: connections are refused and reset; CUT_FREEZE: the process is frozen. */
 typedef enum CutKind { CUT_BOTH, CUT_IN, CUT_OUT, CUT_ALL, CUT_REFUSED, CUT_FREEZE } CutKind;
 
 /* What the readers, the operator and the submitter, which run on the callers' machine, have observed. */
@@ -187,7 +188,7 @@
 /* Begins or ends the cut of the controller. */
 static void cut_controller(Fleet *fleet, int victim, CutKind kind, int64_t span_ms, bool cut)
 {
-    if (kind == CUT_FREEZE) { /* it wakes by itself, and receives all that was sent to it meanwhile */
+    if (kind == CUT_FREEZE) { /* the process goes on by itself, and receives all that was sent to it meanwhile */
         if (cut)
             fleet_freeze(fleet, FLEET_CONTROLLER, victim, span_ms);
         return;
@@ -311,7 +312,7 @@
     cut_cases_run(CASES, sizeof(CASES) / sizeof(CASES[0]), 2);
 }
 
-/* The clock of the lock's holder is slow, or the others' clocks are fast, so that their grants lapse first. */
+/* The clock of the lock's holder is slow, or the others' clocks are fast, so that their grants expire first. */
 static void clocks_apart(void **state)
 {
     (void)state;
@@ -322,8 +323,8 @@
     cut_cases_run(CASES, sizeof(CASES) / sizeof(CASES[0]), 3);
 }
 
-/* The leader's clock almost stops, so that its lease seems to last for ever. Reads of the configuration, and refusals
- * that state the version in force or which jobs exist, must rest on a round of contact, not on a clock. */
+/* The leader's clock almost stops, so that its lease seems to last forever. Reads of the configuration, and refusals
+ * that state the version in force or which jobs exist, must rest on a round of messages, not on a clock. */
 static void clock_stands(void **state)
 {
     (void)state;
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -1,5 +1,5 @@
 /* Guards against a gang running on with part of its members: its placement is lost with the controllers' disks and one
- * member's machine with it, so that only the other member is known to run. That one is stopped, and the whole gang is
+ * member's machine with it, so that only the other member is known to run. That one is stopped, and the entire gang is
  * started again. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,7 +12,7 @@
 
 #include "fleet_fixture.h"
 
-#define LEASE_MS 8000 /* ms; longer than the some 4 s for which no controller leads */
+#define LEASE_MS 8000 /* longer than the time for which no controller leads, about 4 s */
 
 #define BODY                                                                                                                 \
     "{\"id\":\"g\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\",\"gang\":true," \
--- a/packages/sim/test/state_full.c
+++ b/packages/sim/test/state_full.c
@@ -11,7 +11,7 @@
 #include "controller_set.h"
 #include "large_state.h"
 
-#define SHRUNK_MS 12000 /* ms; within this a submission is accepted again after the state has shrunk */
+#define SHRUNK_MS 12000 /* a submission is accepted again within this time after the state has shrunk */
 
 static HttpCall submit(Fleet *fleet, const char *id)
 {
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -18,7 +18,7 @@
 {
     const char *text = getenv("SPANCART_STEPS");
 #if defined(__SANITIZE_ADDRESS__)
-    default_stride *= 4; /* the sanitizer makes it some ten times slower */
+    default_stride *= 4; /* the sanitizer makes runs about ten times slower */
 #endif
     return text != NULL && strcmp(text, "all") == 0 ? 1 : default_stride;
 }
@@ -34,8 +34,8 @@
     int steps_max;
 } FaultSequence;
 
-/* The node that fails. After the loss of the leader it is not known yet which controller takes over, so the others are
- * taken in turn. */
+/* The node that fails. After the loss of the leader it is not known yet which controller takes over, so each of them is
+ * tried in turn. */
 static FleetNode *failing_node(Fleet *fleet, const FaultSequence *sequence, int leader, int step)
 {
     if (sequence->role != FLEET_CONTROLLER)
@@ -62,7 +62,7 @@
     }
 }
 
-/* One run with the fault at the given turn, counted from 0. return: false if the node has fewer turns. */
+/* One run with the fault at the given turn, counted from 0. Returns false if the node has fewer turns. */
 static bool run_with_fault_at(const FaultSequence *sequence, int step)
 {
     Fleet *fleet = case_begin(11, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -12,7 +12,7 @@
 static void seeds_run(SweepSite site, Mix mix, const uint64_t *list, size_t count)
 {
 #if defined(__SANITIZE_ADDRESS__)
-    count = count < 2 ? count : 2; /* the sanitizer makes it some ten times slower */
+    count = count < 2 ? count : 2; /* the sanitizer makes runs about ten times slower */
 #endif
     for (size_t i = 0; i < count; i++) {
         SweepResult result;
@@ -58,7 +58,7 @@
 SWEPT(varied14, MIX_VARIED, 14, 23, 17)
 SWEPT(varied65, MIX_VARIED, 65, 77, 110)
 
-/* 9030: two controllers that stood for election asked each other for ever while the third's disk was slow; 9038: a list
+/* 9030: two controllers that stood for election asked each other forever while the third's disk was slow; 9038: a list
  * of voters was proposed when too few controllers were there to commit it */
 SWEPT(trentvale9030, MIX_TRENTVALE, 9030)
 SWEPT(varied9038, MIX_VARIED, 9038)
--- a/packages/sim/test/tenant_storm.c
+++ b/packages/sim/test/tenant_storm.c
@@ -43,7 +43,8 @@
     return call;
 }
 
-/* The operator: each version adds a key and removes the one before the last, and is sent until it is acknowledged. */
+/* The operator: each version adds a key and removes the one before the last, and is sent repeatedly until it is
+ * acknowledged. */
 static void storm_operator(void *arg)
 {
     Storm *storm = arg;
--- a/packages/sim/test/tenants.c
+++ b/packages/sim/test/tenants.c
@@ -215,7 +215,7 @@
 }
 
 /* A leader accepts a job and is lost with its answer; the configuration changes under the next leader; then the entry
- * point, which was cut off meanwhile, sends the request again. return: the code that the caller gets. */
+ * point, which was cut off meanwhile, sends the request again. Returns the code that the caller gets. */
 static int taken_before_change(Fleet *fleet, const char *patch)
 {
     Posting *posting = talloc_zero(fleet, Posting);
--- a/packages/sim/test/tenants_fixture.h
+++ b/packages/sim/test/tenants_fixture.h
@@ -21,17 +21,17 @@
     "\"two\":{\"keys\":[\"key-2a\"]}},"
     "\"queues\":{\"q\":{" ENTRY("/q/") "},\"open\":{\"public\":true," ENTRY("/open/") "}}}}}";
 
-/* A job that runs for so long. */
+/* A job that runs for run_ms. */
 #define BODY(run_ms) \
     "{\"steps\":[{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":" #run_ms "}}]}"
 
-/* A fleet with TENANTS_CONFIG; it is on no parent. */
+/* A fleet with TENANTS_CONFIG; it has no talloc parent. */
 static inline Fleet *tenants_begin(uint64_t seed)
 {
     return case_configured(seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 6, MIX_TRENTVALE, 0}, TENANTS_CONFIG);
 }
 
-/* Sends one call under the key (null: none). return: the HTTP code; 0: no answer. */
+/* Sends one call under the key (null: none). Returns the HTTP code; 0: no answer. */
 static inline int ask(Fleet *fleet, FleetRole role, int number, const char *method, const char *path, const char *key,
                       const char *body)
 {
@@ -45,7 +45,7 @@
     return code;
 }
 
-/* Submits a job at the entry point. return: the HTTP code; 0: no answer. */
+/* Submits a job at the entry point. Returns the HTTP code; 0: no answer. */
 static inline int post(Fleet *fleet, int entry_point, const char *path, const char *key)
 {
     return ask(fleet, FLEET_ENTRY_POINT, entry_point, "POST", path, key, BODY(2000));
--- a/packages/sim/test/test_client.h
+++ b/packages/sim/test/test_client.h
@@ -48,7 +48,7 @@
     Rpc *rpc;
 } TestClient;
 
-/* A SimStart; arg is the Asker. */
+/* A SimStart; arg is the TestClient. */
 static inline void test_client_start(void *arg, Loop *loop)
 {
     TestClient *asker = arg;
@@ -63,8 +63,8 @@
     PeerIdentity expected_peer; /* the peer that the request is meant for; id 0: any */
     RpcSendState *sending;      /* the sending that the request belongs to; null: none */
     uint64_t number;            /* payload of the request */
-    int64_t timeout_ms;         /* time-out */
-    bool done;                  /* the request has ended; status and answer are valid from then on */
+    int64_t timeout_ms;
+    bool done; /* the request has ended; status and answer are valid from then on */
     Status status;
     Echo answer; /* valid when status is STATUS_OK */
 } TestCall;
@@ -78,7 +78,7 @@
     ask->done = true;
 }
 
-/* Starts a request in a task of its own and returns at once. The result belongs to the client's loop. */
+/* Starts a request in a task of its own and returns immediately. The result belongs to the client's loop. */
 static inline TestCall *begin(TestClient *asker, PeerIdentity meant, uint64_t number, int64_t wait_ms)
 {
     TestCall *ask = talloc_zero(asker->loop, TestCall);
@@ -87,7 +87,7 @@
     return ask;
 }
 
-/* Runs the world for so many milliseconds of virtual time. */
+/* Runs the world for this long in virtual time. */
 static inline void run_for(SimWorld *world, int64_t for_ms)
 {
     sim_run_until(world, sim_now_ms(world) + for_ms);
--- a/packages/sim/test/timelines.c
+++ b/packages/sim/test/timelines.c
@@ -8,7 +8,7 @@
 
 #include "sim/timeline.h"
 
-/* With sanitizers, which make it some ten times slower, each timeline is run with one seed. */
+/* With sanitizers, which make runs about ten times slower, each timeline is run with one seed. */
 #if defined(__SANITIZE_ADDRESS__)
 #define SEEDS_MAX 1
 #else
@@ -96,7 +96,8 @@
          "26000  .       join    .      .\n"
          "30000  .       .       .      end+gap<6000\n")
 
-/* An agent is restarted after its wall clock was set back: guards against it being taken for an older process. */
+/* An agent is restarted after its wall clock was set back: guards against the agent being mistaken for an older
+ * process. */
 TIMELINE(agent_clock_set_back, TRENTVALE, 6,
          "ms     agent1       worker1  callers\n"
          "0      .            .        call:20\n"
