--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -18,7 +18,7 @@
     X(BLACKOUT, "blackout")   /* powers all machines off */                             \
     X(WIPE, "wipe")           /* powers off, empties the disk, starts again */          \
     X(LEAVE, "leave")         /* shuts down gracefully, permanently */                  \
-    X(VANISH, "vanish")       /* removes the machine permanently at once */             \
+    X(VANISH, "vanish")       /* removes the machine permanently and immediately */     \
     X(JOIN, "join")           /* adds a machine with an empty disk */                   \
     X(FREEZE, "freeze")       /* suspends the process */                                \
     X(CUT_BOTH, "cut")        /* cuts the node off from all others */                   \
@@ -33,7 +33,7 @@
     X(DISK_SLOW, "disk-slow") /* amount: duration of each sync, in ms */                \
     X(DISK_FAIL, "disk-fail") /* disk writes fail */                                    \
     X(STEP_DOWN, "step-down") /* the leader gives up its term */                        \
-    X(CHANGES, "changes")     /* amount: changes submitted at once */
+    X(CHANGES, "changes")     /* amount: changes submitted at the same time */
 
 typedef enum ActKind {
 #define X(name, word) ACT_##name,
@@ -83,22 +83,22 @@
     Moment until;    /* the act ends at the first such moment, or after duration_ms */
 } Act;
 
-#define MOMENT_WAIT_MAX_MS 3000 /* ms; the longest time that an act waits for its moment to begin */
+#define MOMENT_WAIT_MAX_MS 3000 /* the longest time that an act waits for its moment to begin */
 
-#define EXPLORE_ACTS_MAX 80 /* count */
+#define EXPLORE_ACTS_MAX 80 /* acts in one plan, at most */
 
 /* A run's parameters and acts.
  *
  * Invariant: acts are sorted by at_ms. */
 typedef struct ExplorePlan {
     uint64_t seed, world; /* random seeds of the plan, and of the world (delays, disks, clients) */
-    int losses;           /* losses tolerated at once: 2 * losses + 1 voters are configured */
+    int losses;           /* losses tolerated at the same time: 2 * losses + 1 voters are configured */
     int spares;           /* machines in addition to the voters, present from the start */
     bool by_votes;        /* the cluster is founded by votes of the seeds; otherwise by three empty disks */
     bool precise;         /* acts may begin and end at moments */
-    bool pace;            /* disks are lost one after another, each when the previous loss must have been repaired */
-    bool excess_losses;   /* more disks may be lost than the log tolerates: then only safety is required */
-    size_t snapshot;      /* number of entries after which a snapshot replaces the log */
+    bool pace;          /* disks are lost in sequence, each after the time limit for the repair of the previous loss */
+    bool excess_losses; /* more disks may be lost than the log tolerates: then only safety is required */
+    size_t snapshot;    /* number of entries after which a snapshot replaces the log */
     int64_t voter_replacement_ms; /* as in ReplicationSettings */
     int64_t length_ms;            /* duration of the adversary, in ms */
     Act acts[EXPLORE_ACTS_MAX];
@@ -106,7 +106,7 @@
     size_t act_count;
 } ExplorePlan;
 
-/* The safety and liveness rules, with texts that say how each is broken. */
+/* The safety and liveness rules, with texts that describe how each is broken. */
 #define RULE_LIST(X)                                                                    \
     X(NONE, "none")                                                                     \
     X(TWO_LEADERS, "two nodes lead in one epoch")                                       \
@@ -154,20 +154,20 @@
 
 /* Generates the plan of a seed. The result stays the same as long as the generator does not change. */
 void explore_plan_random(uint64_t seed, ExplorePlan *plan);
-/* Generates a pace plan: disk losses one after another and no other act, each when the previous loss must have been
- * repaired. */
+/* Generates a pace plan: disk losses in sequence, each after the time limit for the repair of the previous loss, and
+ * joins of learners; no other acts. */
 void explore_plan_pace(uint64_t seed, ExplorePlan *plan);
 /* Generates the plan of explore_plan_random with many acts beginning or ending at moments, with clock rates at their
  * bounds, and with restarts as fast as possible. */
 void explore_plan_precise(uint64_t seed, ExplorePlan *plan);
-/* Runs the plan and fills in the result. verbose: prints each event, and the flight recorders if a rule breaks.
- * Blocks. */
+/* Runs the plan and fills in the result. verbose: prints each event, and the flight recorders if a rule breaks. Returns
+ * when the run has ended. */
 void explore_run(const ExplorePlan *plan, bool verbose, ExploreResult *result);
 /* Skips every act of the plan that is not needed to break its rule. Returns false if the plan breaks no rule. */
 bool explore_shrink(ExplorePlan *plan, ExploreResult *result);
 /* Prints the plan as a C initializer, without the skipped acts. */
 void explore_print(const ExplorePlan *plan);
-/* Returns the text that says how the rule is broken. */
+/* Returns the text that describes how the rule is broken. */
 const char *rule_text(Rule rule);
 
 #endif
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -8,10 +8,10 @@
 #include "nodes.h"
 #include "report.h"
 
-#define LINK_DELAY_MIN_MS 1 /* ms; range of the network delay of a frame without faults */
+#define LINK_DELAY_MIN_MS 1 /* range of the network delay of a frame without faults */
 #define LINK_DELAY_MAX_MS 3
-#define SYNC_MS 3                /* ms; duration of a disk sync without faults */
-#define REPEAT_DELAY_MAX_MS 2000 /* ms; maximum delay of a duplicated frame */
+#define SYNC_MS 3                /* duration of a disk sync without faults */
+#define REPEAT_DELAY_MAX_MS 2000 /* maximum delay of a duplicated frame */
 
 /* An act in effect that is to be undone. */
 typedef struct ActUndo {
@@ -140,7 +140,7 @@
         node_start(node);
 }
 
-/* Submits count changes at once. */
+/* Submits count changes at the same time. */
 static void submit_changes(Explore *explore, Node *node, unsigned count)
 {
     for (unsigned i = 0; i < count && node->up; i++)
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -8,8 +8,8 @@
 #include "nodes.h"
 #include "report.h"
 
-#define CLIENT_INTERVAL_MS 60  /* ms; mean interval between two changes */
-#define CLIENT_PADDING_MAX 160 /* bytes; maximum size of the padding of a change */
+#define CLIENT_INTERVAL_MS 60  /* mean interval between two changes */
+#define CLIENT_PADDING_MAX 160 /* maximum size of the padding of a change, in bytes */
 
 typedef struct Submission {
     Explore *explore;
--- a/packages/explore/src/disks.h
+++ b/packages/explore/src/disks.h
@@ -5,8 +5,8 @@
 
 #include "state.h"
 
-/* Updates the model of a machine's disk. The world calls it after each sync; explore is the Explore. bytes: the
- * bytes that were added; whole: they are the complete journal instead. */
+/* Updates the model of a machine's disk. The world calls it after each sync; explore is the Explore. bytes: the bytes
+ * that were added; complete: they are the complete journal instead. */
 void disk_changed(void *explore, int machine, const char *path, Bytes bytes, bool complete);
 /* Marks the node's disk as lost; the node has no disk model until it syncs to a new disk. */
 void disk_lost(Explore *explore, Node *node);
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -7,7 +7,7 @@
 #include "state.h"
 
 #define PACE_LOSSES 10            /* number of losses in a pace plan */
-#define PACE_LEARNER_LEAD_MS 2500 /* ms; maximum time from the start of a replacement learner to the loss */
+#define PACE_LEARNER_LEAD_MS 2500 /* maximum time from the start of a replacement learner to the loss */
 
 /* State of the random number generator. */
 typedef struct RandomGenerator {
@@ -116,9 +116,9 @@
     }
 }
 
-#define PRECISE_RESTART_MS 40 /* ms; a process that is restarted at once is running again within this time */
+#define PRECISE_RESTART_MS 40 /* a process that is restarted immediately is running again within this time */
 
-/* ms; the longest excess of a sync over SUBMIT_TIMEOUT_MS. A sync in progress is completed when its disk has
+/* The longest excess of a sync over SUBMIT_TIMEOUT_MS. A sync in progress is completed when its disk has
  * recovered: it must take at most half of the time within which service has to recover. */
 #define PRECISE_SYNC_EXCESS_MS 1000
 
--- a/packages/explore/src/moment.c
+++ b/packages/explore/src/moment.c
@@ -4,7 +4,7 @@
 
 #include "moment.h"
 
-#define MOMENT_DELAY_MAX_MS 8 /* ms; maximum delay of an act after its moment: the time of one or two messages */
+#define MOMENT_DELAY_MAX_MS 8 /* maximum delay of an act after its moment: the time of one or two messages */
 
 /* A call to be made once, at a moment or at a time limit. Kept until the run ends. */
 typedef struct MomentWait {
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -11,8 +11,8 @@
 #include "report.h"
 
 #define NODE_DATA "journal"
-#define RESTART_DELAY_MS 500 /* ms; a process that could not open its disk is restarted after this time */
-#define LEAVE_GRACE_MS 3000  /* ms; a node that shuts down is gone after this time */
+#define RESTART_DELAY_MS 500 /* a process that could not open its disk is restarted after this time */
+#define LEAVE_GRACE_MS 3000  /* the machine of a node that shuts down is removed after this time */
 
 /* --- replicated state ---------------------------------------------------------------- */
 
--- a/packages/explore/src/nodes.h
+++ b/packages/explore/src/nodes.h
@@ -7,7 +7,7 @@
 
 /* Adds a machine without starting it. Returns null if there are NODES_MAX machines already. */
 Node *node_add(Explore *explore);
-/* Starts the node's process. Has no effect on a node that is running or permanently gone; the same holds for
+/* Starts the node's process. Has no effect on a node that is running or permanently removed; the same holds for
  * node_start_later and node_start_at. */
 void node_start(Node *node);
 /* Starts the node after after_ms. */
@@ -19,8 +19,8 @@
 void node_kill(Node *node, bool power);
 /* Powers the machine off and empties its disk. */
 void node_wipe(Node *node);
-/* Shuts the node down gracefully; afterwards the machine is permanently gone. A node that is not running vanishes at
- * once. */
+/* Shuts the node down gracefully; afterwards the machine is permanently removed. A node that is not running is removed
+ * immediately. */
 void node_leave(Node *node);
 /* Removes the machine permanently, without a shutdown. */
 void node_vanish(Node *node);
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -11,8 +11,8 @@
 #include "nodes.h"
 #include "report.h"
 
-#define FOUND_LIMIT_MS 30000 /* ms; time limit from the first start until all voters are present */
-#define CHECK_INTERVAL_MS 50 /* ms; interval between checks for a broken rule */
+#define FOUND_LIMIT_MS 30000 /* time limit from the first start until all voters are present */
+#define CHECK_INTERVAL_MS 50 /* interval between checks for a broken rule */
 
 static bool rule_broken(const Explore *explore)
 {
@@ -27,7 +27,7 @@
     }
 }
 
-/* Adds and starts the initial machines, and waits until the cluster is founded and has all voters. */
+/* Adds and starts the initial machines, and runs the world until the cluster is founded and has all voters. */
 static void found_cluster(Explore *explore)
 {
     const ExplorePlan *plan = explore->plan;
--- a/packages/explore/src/state.h
+++ b/packages/explore/src/state.h
@@ -10,8 +10,8 @@
 #include "sim/world.h"
 #include "replication/inspection.h"
 
-#define NODES_MAX 24 /* count; machines in one run at most */
-#define DISKS_MAX 96 /* count; disks in one run at most, wiped ones included */
+#define NODES_MAX 24 /* machines in one run at most */
+#define DISKS_MAX 96 /* disks in one run at most, wiped ones included */
 /* Required recovery time, in ms: after a burst of failures, a change must be committed within about 12 s. */
 #define LIVENESS_LIMIT_MS 12000
 /* Time after the failures within which the configured number of voters must be present, if there are enough disks,
@@ -38,7 +38,7 @@
  * Invariant: entry i (counted from 0) has index base_index + 1 + i. */
 typedef struct DiskModel {
     int machine;
-    bool lost;                      /* the disk was wiped, or its machine is permanently gone */
+    bool lost;                      /* the disk was wiped, or its machine is permanently removed */
     uint64_t disk, cluster;         /* ids; 0: not yet known */
     uint64_t promised;              /* highest term that the disk has promised */
     uint64_t base_index, base_term; /* last entry covered by the snapshot; 0: no snapshot */
@@ -73,7 +73,7 @@
     const char *name, *listen;
     Recorder *recorder;
     bool may_found;     /* the node's first start may found the cluster */
-    bool leaving, gone; /* shutting down gracefully; permanently gone */
+    bool leaving, gone; /* shutting down gracefully; permanently removed */
     DiskModel *model;   /* model of its disk; null: nothing has been synced to the disk yet */
     /* State of the current process; reset at each start. */
     bool up;              /* the process has booted and its disk is open */
@@ -103,7 +103,7 @@
     SimWorld *world;
     bool verbose;                    /* prints what happens */
     int64_t start_ms;                /* time at which the adversary started */
-    bool adversary_over;             /* acts that still wait for a moment are not performed */
+    bool adversary_over;             /* the adversary has ended: acts that still wait for a moment are not performed */
     struct MomentWait *moment_waits; /* calls that wait for a moment, newest first */
     Node nodes[NODES_MAX];
     int node_count;
--- a/packages/explore/test/explored.c
+++ b/packages/explore/test/explored.c
@@ -46,8 +46,9 @@
                                    }});
 }
 
-/* Guards against a removal just after a loss. A voter that had been silent was removed just when it returned and
- * another voter was lost: the configuration of the two remaining voters was ordered, and only one of them was alive. */
+/* Guards against a removal just after a loss. A voter that had been silent was removed at the moment when it returned
+ * and another voter was lost: the configuration of the two remaining voters was ordered, and only one of them was
+ * alive. */
 static void removal_just_after_a_loss(void **state)
 {
     (void)state;
@@ -88,8 +89,8 @@
                                    }});
 }
 
-/* Guards against a long wait of voters with slow disks. The disks of two of three voters are slow at once, and the
- * third voter is lost. Both refrained from standing for election for 10 s after their disks had recovered, so that
+/* Guards against a long wait of voters with slow disks. The disks of two of three voters are slow at the same time, and
+ * the third voter is lost. Both refrained from standing for election for 10 s after their disks had recovered, so that
  * nothing was committed for 13 s. */
 static void slow_disks_of_a_majority(void **state)
 {
@@ -153,7 +154,7 @@
     }
 }
 
-/* One of three voters is permanently gone, and the disk of the leader, one of the two remaining voters, refuses
+/* One of three voters is permanently removed, and the disk of the leader, one of the two remaining voters, refuses
  * writes for a while: the leader must stand for election again once its disk accepts writes. */
 static void failed_disk_leads_again(void **state)
 {
--- a/packages/explore/test/members.c
+++ b/packages/explore/test/members.c
@@ -84,8 +84,8 @@
 }
 
 /* Two of five voters' disks are lost, as many as are tolerated, while a third voter is powered off. That voter was
- * removed for its silence before its replacement was added: two of the remaining configuration of four were
- * permanently gone, and the return of the third did not restore a majority. */
+ * removed for its silence before its replacement was added: two members of the remaining configuration of four were
+ * permanently lost, and the return of the third did not restore a majority. */
 static void silent_voter_returns_after_two_lost_disks(void **state)
 {
     (void)state;
