--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -22,7 +22,7 @@
 
 /* --- tasks and workers --------------------------------------------------------------- */
 
-#define MODEL_ID_BYTES 17 /* bytes; 16 hex digits and the terminating null */
+#define MODEL_ID_BYTES 17 /* 16 hex digits and the terminating null */
 
 /* A task of a job: the turn (of a job that runs several times), the step, and the index within the step. */
 typedef struct TaskName {
@@ -68,9 +68,9 @@
     const char *payload, *saved;
 } WorkerModelStart;
 
-/* The answer to a report. seen: ends up to this number are acknowledged; fence: answers with a lower fence than an
- * earlier one are ignored; lease_ms: duration of the lease; next_heartbeat_ms: time until the next report is due.
- * Negative lease_ms or next_heartbeat_ms: not given. */
+/* The answer to a report. acknowledged_end: ends up to this number are acknowledged; fence: answers with a lower fence
+ * than an earlier one are ignored; lease_ms: duration of the lease; next_heartbeat_ms: time until the next report is
+ * due. Negative lease_ms or next_heartbeat_ms: not given. */
 typedef struct WorkerModelAnswer {
     WorkerModelStart *starts;
     size_t start_count;
@@ -83,7 +83,8 @@
 /* --- jobs ------------------------------------------------------------------------------ */
 
 /* A step of a generated job: count tasks that each use resources and take work_ms on an undisturbed worker of normal
- * speed. after: indexes of the steps that must be done before; apart: most tasks of the step on one worker. */
+ * speed. after: indexes of the steps that must be done before; apart: maximum number of tasks of the step on one
+ * worker. */
 typedef struct GeneratedJobStep {
     uint64_t count;
     Resources resources;
@@ -103,7 +104,7 @@
     const char *payload;
     GeneratedJobStep steps[GENERATED_JOB_STEPS_MAX];
     size_t step_count;
-    /* Whether its tasks make checkpoints, may run twice at once, and run until they are cancelled. */
+    /* Whether its tasks make checkpoints, may run twice at the same time, and run until they are cancelled. */
     bool saves, copies, lasting;
     uint64_t turns; /* 0: the job runs once, immediately */
     int64_t first_wall_ms, period_ms;
@@ -122,11 +123,11 @@
 /* The meaning of an answer to a request. UNCLEAR: the request may or may not have been carried out. */
 typedef enum Outcome {
     OUTCOME_ACCEPTED,
-    OUTCOME_REJECTED, /* rejected: not accepted, and never will be */
+    OUTCOME_REJECTED, /* refused: not accepted, and never will be */
     OUTCOME_NO_QUEUE, /* the queue does not exist */
     OUTCOME_NO_JOB,   /* the job does not exist */
     OUTCOME_CONFLICT, /* the request was based on a document that is no longer in force */
-    OUTCOME_INVALID,  /* rejected as invalid */
+    OUTCOME_INVALID,  /* refused as invalid */
     OUTCOME_UNCLEAR
 } Outcome;
 
@@ -186,7 +187,7 @@
     bool (*orders)(void *mem, Bytes result, WorkerModelAnswer *orders);
     Bytes (*job)(void *mem, const GeneratedJob *generated_job);
     JobWord (*state)(Bytes result);
-    /* Returns the number of jobs in a queue; -1: the result does not say. */
+    /* Returns the number of jobs in a queue; -1: the result does not contain it. */
     int64_t (*queue_length)(Bytes result);
     /* Encodes a document that replaces the one of version base, with the given defect. */
     CodecRequest (*document)(void *mem, const Document *document, uint64_t base, DocumentDefect spoil);
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -45,7 +45,7 @@
     size_t fault_count;
 } DayResult;
 
-/* Runs one day and fills in the result. Blocks; frees everything else. */
+/* Runs one day and fills in the result. Returns when the day has ended; everything except the result is freed. */
 void day_run(const DaySettings *settings, DayResult *result);
 
 #endif
--- a/packages/model/include/model/rules.h
+++ b/packages/model/include/model/rules.h
@@ -37,7 +37,7 @@
 const char *rule_name(Rule rule);
 const char *rule_words(Rule rule);
 
-#define BREAKS_RECORDED_MAX 40 /* count; breaks of a run that are recorded with their text */
+#define BREAKS_RECORDED_MAX 40 /* breaks of a run that are recorded with their text */
 
 /* One break of a rule. */
 typedef struct Break {
--- a/packages/model/src/caller_check.c
+++ b/packages/model/src/caller_check.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define IDLE_MS 3000 /* ms; a job that is idle for this long breaks a rule */
+#define IDLE_MS 3000 /* a job that is idle for this long breaks a rule */
 
 /* Number of tasks of the step that would fit, over all available workers, if each task took twice its resources. */
 static uint64_t count_places(const WorkerModels *worker_models, const GeneratedJobStep *step)
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -7,9 +7,9 @@
 
 #include "fault.h"
 
-#define IDLE_CHECK_MS 200      /* ms; interval between checks for idle jobs */
-#define FAULT_FREE_END_MS 3500 /* ms; faults end at least this long before the closing fault or the end of traffic */
-#define CONTROLLER_GAP_MS 3000 /* ms; additional gap after the time at which a controller's loss no longer counts */
+#define IDLE_CHECK_MS 200      /* interval between checks for idle jobs */
+#define FAULT_FREE_END_MS 3500 /* faults end at least this long before the closing fault or the end of traffic */
+#define CONTROLLER_GAP_MS 3000 /* additional gap after the time at which a controller's loss no longer counts */
 
 static void on_fault_begin(void *arg)
 {
@@ -51,8 +51,8 @@
         node_cut(leader, true);
 }
 
-/* Whether the fault can be added to the list. Faults of controllers are kept apart, so that no more controllers are
- * lost at once than must be tolerated. */
+/* Whether the fault can be added to the list. Faults of controllers are kept apart, so that at no time more controllers
+ * are lost than must be tolerated. */
 static bool can_add_fault(const Fault *list, size_t count, const Fault *fault, const Site *site)
 {
     const int64_t gap_ms = site->sync_ms + CONTROLLER_GAP_MS;
@@ -144,7 +144,7 @@
     day->callers->restart_ms = topology_now_ms(topology);
 }
 
-/* Injects the closing fault into all machines of the product at once; workers keep running. */
+/* Injects the closing fault into all machines of the product at the same time; workers keep running. */
 static void inject_closing_fault(Day *day, Closing closing, RandomSource *random_source)
 {
     Topology *topology = day->topology;
--- a/packages/model/src/fault.c
+++ b/packages/model/src/fault.c
@@ -36,8 +36,8 @@
     sim_schedule(topology->world, topology_now_ms(topology) + fault->for_ms, restart_node, spare);
 }
 
-/* Waits for the next acknowledgement by an entry point or controller, and takes power, or power and disk, from the
- * node that acknowledged, or from the leader if that node has no disk. */
+/* Event, repeated for up to 2 s until an entry point or controller has acknowledged a request: takes power, or power
+ * and disk, from the node that acknowledged, or from the leader if that node has no disk. */
 static void await_acknowledgement(void *arg)
 {
     Fault *fault = arg;
--- a/packages/model/src/fault.h
+++ b/packages/model/src/fault.h
@@ -4,9 +4,9 @@
 #include "model/model.h"
 #include "operator.h"
 
-/* The kinds of faults in a day. Where controller is set, the fault disables controllers: at most as many at once as
- * the losses that must be tolerated. planned: planned work rather than a failure. X(name, name outside, controller,
- * planned, meaning) */
+/* The kinds of faults in a day. Where controller is set, the fault disables controllers: at most as many at the same
+ * time as the losses that must be tolerated. planned: planned work rather than a failure. X(name, name outside,
+ * controller, planned, meaning) */
 #define FAULT_LIST(X)                                                                                 \
     X(CONTROLLER_KILL, "coreKill", true, false, "a core's process is killed")                         \
     X(CONTROLLER_POWER, "corePower", true, false, "a core loses power")                               \
--- a/packages/model/src/generated_job.c
+++ b/packages/model/src/generated_job.c
@@ -6,8 +6,8 @@
 
 #include "caller.h"
 
-#define TASKS_MAX 60             /* count; maximum number of tasks in a step */
-#define FIRST_TURN_DELAY_MS 2500 /* ms; minimum time until the first turn */
+#define TASKS_MAX 60             /* maximum number of tasks in a step */
+#define FIRST_TURN_DELAY_MS 2500 /* minimum time until the first turn */
 
 static uint64_t limit(uint64_t value, uint64_t max)
 {
--- a/packages/model/src/job_records.h
+++ b/packages/model/src/job_records.h
@@ -5,9 +5,9 @@
 
 /* Records of all submitted jobs: the attempts that workers ran, and the answers that callers received. */
 
-#define FAILURES_MAX 32 /* count; failures recorded for one task */
+#define FAILURES_MAX 32 /* failures recorded for one task */
 
-/* The outcome of a task, or of a gang as a whole. */
+/* The outcome of a task, or of an entire gang. */
 typedef struct TaskOutcome {
     bool done; /* a worker has completed the task */
     int64_t done_ms;
@@ -42,13 +42,13 @@
     size_t first_task_of_step[GENERATED_JOB_STEPS_MAX];
     int64_t sent_ms, accepted_ms; /* 0: not yet */
     const TopologyNode *accepted_by;
-    int pending_submissions;                        /* submissions whose answer is pending */
-    bool outcome_unclear;                           /* a submission had no clear answer */
-    int64_t refused_ms;                             /* since when every submission was rejected; 0: not so */
+    int pending_submissions; /* submissions whose answer is pending */
+    bool outcome_unclear;    /* a submission had no clear answer */
+    int64_t refused_ms;      /* when the last submission was refused, if all were; 0: not all were */
     int64_t cancel_sent_ms, cancel_acknowledged_ms; /* sent, and acknowledged; 0: not yet */
     JobWord shown;
     int64_t shown_ms;      /* when its end was first shown; 0: not yet */
-    int64_t idle_since_ms; /* since when none of its tasks runs although there is capacity; 0: not so; -1: reported */
+    int64_t idle_since_ms; /* since when the job is idle although there is capacity; 0: it is not idle; -1: reported */
     int64_t confirmed_ms;  /* when it was read with a clear answer after traffic ended; 0: not yet */
 } JobRecord;
 
--- a/packages/model/src/listener.c
+++ b/packages/model/src/listener.c
@@ -5,8 +5,8 @@
 #include <string.h>
 #include <talloc.h>
 
-#define HEALTH_CHECK_MS 1000 /* ms; interval and timeout of health checks */
-#define EJECT_MISSES 2       /* count; consecutive failures that eject an entry point */
+#define HEALTH_CHECK_MS 1000 /* interval and timeout of health checks */
+#define EJECT_MISSES 2       /* consecutive failures that eject an entry point */
 
 /* The periodic health check of one server. */
 typedef struct EntryPointProbe {
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <talloc.h>
 
-#define CHANGE_TIMEOUT_MS 25000     /* ms; time after which a change without a clear answer is abandoned */
-#define QUEUE_PROBE_INTERVAL_MS 700 /* ms; mean interval between probes of an entry point */
+#define CHANGE_TIMEOUT_MS 25000     /* time after which a change without a clear answer is abandoned */
+#define QUEUE_PROBE_INTERVAL_MS 700 /* mean interval between probes of an entry point */
 
 /* Sends a document or a patch and records its outcome. */
 static void send_document_main(void *arg)
--- a/packages/model/src/operator_order.c
+++ b/packages/model/src/operator_order.c
@@ -4,7 +4,7 @@
 #include <inttypes.h>
 #include <talloc.h>
 
-#define ACKNOWLEDGEMENT_PER_QUEUE_MS 3 /* ms; additional time that an acknowledgement may take for each queue */
+#define ACKNOWLEDGEMENT_PER_QUEUE_MS 3 /* additional time that an acknowledgement may take for each queue */
 
 Loop *operator_loop(const Operator *self)
 {
--- a/packages/model/src/operator_order.h
+++ b/packages/model/src/operator_order.h
@@ -3,7 +3,7 @@
 
 #include "operator.h"
 
-#define CALL_TIMEOUT_MS 1000 /* ms; timeout after which another node is called */
+#define CALL_TIMEOUT_MS 1000 /* timeout after which another node is called */
 
 /* A request that is repeated until there is a clear answer. */
 typedef struct OperatorRequest {
@@ -20,7 +20,7 @@
 
 /* The operator's event loop. */
 Loop *operator_loop(const Operator *self);
-/* Returns a random node that is not permanently gone: the operator's list of nodes may be outdated. */
+/* Returns a random node that is not permanently removed: the operator's list of nodes may be outdated. */
 TopologyNode *operator_random_node(Operator *self);
 /* Returns a word for the outcome, for log lines. */
 const char *outcome_word(Outcome outcome);
--- a/packages/model/src/sent_documents.c
+++ b/packages/model/src/sent_documents.c
@@ -59,7 +59,7 @@
     return false;
 }
 
-/* Whether the document may be in force: it is not rejected, not invalid, and its version is not below min_version. */
+/* Whether the document may be in force: it is not refused, not invalid, and its version is not below min_version. */
 static bool may_be_in_force(const Sent *sent, uint64_t min_version)
 {
     return sent->status != SENT_REFUSED && sent->spoil == DEFECT_NONE && sent->document.version >= min_version;
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -4,7 +4,7 @@
 
 #include "worker_model.h"
 
-#define NOTED_LATE_MS 1000 /* ms; a healthy machine knows of an end at most this long after its acknowledgement */
+#define NOTED_LATE_MS 1000 /* a healthy machine knows of an end at most this long after its acknowledgement */
 
 /* The start of an attempt that is being checked. */
 typedef struct Start {
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -10,8 +10,8 @@
 #include "sim/checker.h"
 #include "sim/world.h"
 
-#define SERVERS_MAX 32 /* count; controllers, spares and entry points */
-#define AGENTS_MAX 40  /* count; also the maximum number of workers */
+#define SERVERS_MAX 32 /* controllers, spares and entry points */
+#define AGENTS_MAX 40  /* agents; also the maximum number of workers */
 
 /* A machine of the product with its one process.
  *
@@ -23,7 +23,7 @@
     int machine;
     bool is_agent, disk, counted; /* an agent; a controller; unused */
     bool used;                    /* false: a spare machine that has not been started */
-    bool gone;                    /* permanently gone */
+    bool gone;                    /* permanently removed */
     bool up, leaving;             /* the process has started; it is shutting down gracefully */
     uint64_t incarnation;         /* number of its current process */
     int64_t fault_ms;
--- a/packages/model/src/topology_node.c
+++ b/packages/model/src/topology_node.c
@@ -6,7 +6,7 @@
 #include <talloc.h>
 #include <unistd.h>
 
-#define RESTART_MS 300 /* ms; the platform restarts a process that has ended after this time */
+#define RESTART_MS 300 /* the platform restarts a process that has ended after this time */
 
 static void on_plans(void *arg, const char *name, uint64_t term)
 {
@@ -51,7 +51,7 @@
         fclose(file);
     }
     const Status status = topology->adapter->read(node->mem, path, &node->place, failure);
-    (void)unlink(path); /* the file is not needed any longer */
+    (void)unlink(path); /* the file is no longer needed */
     return status == STATUS_OK;
 }
 
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <talloc.h>
 
-#define ANSWER_TIMEOUT_MS 1000 /* ms; timeout of a heartbeat; a later answer is ignored */
-#define UPDATE_GAP_MS 50       /* ms; delay of the heartbeat that reports an end, so that it can report several */
-#define HEARTBEAT_RETRY_MS 300 /* ms; interval after a failed heartbeat */
-#define LEAVE_TIMEOUT_MS 4000  /* ms; wait for the acknowledgement of leaving, after the time to leave */
-#define HEARTBEAT_ENDS_MAX 500 /* count; maximum number of ends in one heartbeat */
+#define ANSWER_TIMEOUT_MS 1000 /* timeout of a heartbeat; a later answer is ignored */
+#define UPDATE_GAP_MS 50       /* delay of the heartbeat that reports an end, so that it can report several */
+#define HEARTBEAT_RETRY_MS 300 /* interval after a failed heartbeat */
+#define LEAVE_TIMEOUT_MS 4000  /* time limit for the acknowledgement of leaving, after the time to leave */
+#define HEARTBEAT_ENDS_MAX 500 /* maximum number of ends in one heartbeat */
 
 void worker_model_update_pace(WorkerModel *worker_model)
 {
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -36,7 +36,7 @@
 typedef struct WorkerModelEnd {
     WorkerModelEnded reported;
     TaskRecord *task;
-    bool lapsed_after; /* the lease has lapsed since: the acknowledgement is not checked */
+    bool lapsed_after; /* the lease has expired since: the acknowledgement is not checked */
 } WorkerModelEnd;
 
 /* A worker model: carries out its orders, runs attempts only while it has a lease, and reports each end until the
@@ -67,7 +67,7 @@
     WorkerModelEnd *ends;
     size_t end_count;
     Map *highest;         /* for each task, the highest attempt that was stopped or ended here */
-    Signal work, updates; /* an attempt may be due; a heartbeat is due at once */
+    Signal work, updates; /* an attempt may be due; a heartbeat is due immediately */
     bool update_open;     /* there is something to report */
 } WorkerModel;
 
@@ -85,7 +85,7 @@
 /* Starts all workers, or one that is not running. */
 void worker_models_start(WorkerModels *worker_models);
 void worker_model_start(WorkerModel *worker_model);
-/* Ends the process at once. power: its machine loses power, so that its peers are not notified. */
+/* Ends the process immediately. power: its machine loses power, so that its peers are not notified. */
 void worker_model_crash(WorkerModel *worker_model, bool power);
 /* Reports that the worker drains, and shuts it down after after_ms. */
 void worker_model_leave(WorkerModel *worker_model, int64_t after_ms);
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -265,7 +265,7 @@
     if (orders->lease_ms <= 0)
         return;
     const int64_t lease_ms = orders->lease_ms < site->lease_max_ms ? orders->lease_ms : site->lease_max_ms;
-    /* The lease may have lapsed: act on that before a new lease counts. */
+    /* The lease may have expired: act on that before a new lease counts. */
     while (end_one_due(worker_model, topology_now_ms(worker_model->worker_models->topology)))
         ;
     if (sent_ms + lease_ms > worker_model->lease_until_ms)
