--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -59,7 +59,7 @@
 /* Returns a light job of the given tenant of that cell, as JSON on mem. */
 const char *mix_probe(void *mem, Mix mix, const char *tenant, const char *id);
 
-#define CALLER_ENTRY_POINTS_MAX 16 /* count; maximum number of entry points of one caller */
+#define CALLER_ENTRY_POINTS_MAX 16 /* maximum number of entry points of one caller */
 
 /* A submitted job and its state, as far as the caller knows it. */
 typedef struct CallerJob {
@@ -89,27 +89,27 @@
     const char *entries[CALLER_ENTRY_POINTS_MAX];
     size_t entry_count;
     Mix mix;
-    bool submits_duplicates; /* occasionally submits the same job through two entry points at once */
+    bool submits_duplicates; /* occasionally submits the same job through two entry points at the same time */
     int64_t rate_milli;      /* jobs per 1000 s; must be positive */
     int64_t submission_ms;   /* time for which jobs are submitted */
-    size_t jobs_max;         /* count; maximum number of jobs; 0: no limit */
+    size_t jobs_max;         /* maximum number of jobs; 0: no limit */
     CallerCallbacks watch;
 } CallerSettings;
 
 typedef struct Caller Caller;
 
-/* Creates a caller on mem, which starts to submit jobs at once. settings is copied. */
+/* Creates a caller on mem, which starts to submit jobs immediately. settings is copied. */
 Caller *caller_start(void *mem, Loop *loop, const CallerSettings *settings);
 /* Ends submission; the jobs that were submitted are still followed. */
 void caller_stop(Caller *caller);
 /* Cancels all its jobs that have not ended, including those still to be submitted. */
 void caller_cancel_all(Caller *caller);
-/* Returns the number of its jobs and, in order of submission, the jobs; the array is valid until the next wait. */
+/* Returns the number of its jobs and, in order of submission, the jobs; the array is valid until the loop runs on. */
 size_t caller_jobs(const Caller *caller, CallerJob *const **jobs);
 /* Whether submission has ended and every job has ended or was refused. */
 bool caller_done(const Caller *caller);
-/* Sets the mix's configuration through an entry point. Waits, for some minutes at most. Returns STATUS_BAD_FIELD if
- * the configuration was refused, and STATUS_NO_LEADER if it was not accepted in time. */
+/* Sets the mix's configuration through an entry point. Suspends the coroutine, for some minutes at most. Returns
+ * STATUS_BAD_FIELD if the configuration was refused, and STATUS_NO_LEADER if it was not accepted in time. */
 Status caller_configure(void *mem, Loop *loop, const char *entry, Mix mix);
 
 #endif
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -9,8 +9,8 @@
 #include "api/show.h"
 #include "base/array.h"
 
-#define LASTING_CANCEL_MS 5000 /* ms; time after which the caller cancels a lasting job */
-#define CONFIGURE_ATTEMPTS 60  /* count; attempts to configure, 0.5 s apart */
+#define LASTING_CANCEL_MS 5000 /* time after which the caller cancels a lasting job */
+#define CONFIGURE_ATTEMPTS 60  /* attempts to configure, 0.5 s apart */
 
 struct Caller {
     Loop *loop;
@@ -38,8 +38,8 @@
     return (caller->random_state >> 33) % bound;
 }
 
-/* Makes one call to an entry point; waits. If there is no answer, or a status of 500 or above, the next call goes to
- * the next entry point. */
+/* Makes one call to an entry point. Suspends the coroutine. If there is no answer, or a status of 500 or above, the
+ * next call goes to the next entry point. */
 static Status call_once(JobFollower *follower, void *mem, const char *method, const char *path, const char *body,
                         HttpCall *call)
 {
@@ -64,7 +64,7 @@
     SUBMIT_UNCLEAR /* no clear answer: to be repeated */
 } SubmitOutcome;
 
-/* Submits the job once; waits. *code is the HTTP status of a refusal. */
+/* Submits the job once. Suspends the coroutine. *code is the HTTP status of a refusal. */
 static SubmitOutcome submit_once(JobFollower *follower, int *code)
 {
     const Caller *caller = follower->caller;
@@ -93,7 +93,7 @@
         watch->refused(watch->arg, follower->job->id, code);
 }
 
-/* Submits the job until it is accepted (returns true) or refused; waits. */
+/* Submits the job until it is accepted (returns true) or refused. Suspends the coroutine. */
 static bool submit(JobFollower *follower)
 {
     Caller *caller = follower->caller;
@@ -186,7 +186,7 @@
     job->ended_ms = loop_now_ms(caller->loop);
 }
 
-/* Reads the job, each time at another entry point, since all must know it; waits. */
+/* Reads the job, each time at another entry point, since all must know it. Suspends the coroutine. */
 static void follow_once(JobFollower *follower)
 {
     Caller *caller = follower->caller;
@@ -229,7 +229,8 @@
  * of nine jobs about six refreshes, two sweeps and one reindex. */
 static MixClass draw_class(Caller *caller)
 {
-    static const uint8_t VARIED[CLASS_COUNT] = {20, 12, 8, 10, 6, 6, 6, 6, 5, 8, 3, 0, 4, 2, 4}; /* percent */
+    /* Weights of the classes, in percent. */
+    static const uint8_t VARIED[CLASS_COUNT] = {20, 12, 8, 10, 6, 6, 6, 6, 5, 8, 3, 0, 4, 2, 4};
     if (caller->settings.mix == MIX_VARIED) {
         uint64_t left = random_below(caller, 100);
         for (int i = 0; i < CLASS_COUNT; i++) {
@@ -334,7 +335,7 @@
     return base;
 }
 
-/* Replaces the configuration in force by the mix's; waits. STATUS_NO_LEADER: to be repeated. */
+/* Replaces the configuration in force by the mix's. Suspends the coroutine. STATUS_NO_LEADER: to be repeated. */
 static Status configure_once(void *mem, Loop *loop, const char *entry, Mix mix)
 {
     HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .wait_ms = 3000};
--- a/packages/standin/src/run.c
+++ b/packages/standin/src/run.c
@@ -192,7 +192,7 @@
     Run *run = run_new(worker, start, now_ms);
     run->next = worker->runs;
     worker->runs = run;
-    if (attempt <= highest) { /* not above an earlier attempt at the task: rejected */
+    if (attempt <= highest) { /* not above an earlier attempt at the task: refused */
         run->ended = true;
         run->word = ATTEMPT_REFUSED;
         return;
--- a/packages/standin/src/run.h
+++ b/packages/standin/src/run.h
@@ -46,12 +46,12 @@
     HttpCall *report_call; /* the report in progress; its answer may bring a lease */
 };
 
-/* Starts an attempt as the agent's order says, unless the order or the lease has expired or the attempt exists
- * already. An attempt that is not above an earlier one at its task is rejected: it ends at once as ATTEMPT_REFUSED.
- * sent_ms: when the report was sent that the order answers. */
+/* Starts an attempt as the agent's order says, unless the order or the lease has expired or the attempt exists already.
+ * An attempt that is not above an earlier one at its task is refused: it ends immediately as ATTEMPT_REFUSED. sent_ms:
+ * when the report was sent that the order answers. */
 void run_start(StandWorker *worker, json_object *start, int64_t sent_ms);
 /* Ends an attempt, unless it has ended already: makes its last checkpoint, calls the checkers, and has it reported
- * at once. */
+ * immediately. */
 void run_end(Run *run, AttemptStatus word);
 /* Updates the checkpoint of an attempt that makes checkpoints. */
 void run_save(Run *run);
@@ -61,10 +61,10 @@
 Run *run_find(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt);
 /* Removes an attempt from the reports. */
 void run_forget(Run *run);
-/* Records that an attempt was stopped or ended: if it is ordered later, it is rejected. */
+/* Records that an attempt was stopped or ended: if it is ordered later, it is refused. */
 void run_record_highest(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt);
-/* Ends all attempts as lapsed if the lease has expired; returns whether it has. Must be called first whenever time
- * may have passed. */
+/* Ends all attempts as ATTEMPT_LAPSED if the lease has expired; returns whether it has. Must be called first whenever
+ * time may have passed. */
 bool runs_lapse(StandWorker *worker);
 
 /* Returns the value of a key of an object; if the key is missing, otherwise or "". */
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -18,7 +18,7 @@
                     (uint64_t)json_int_field(one, "round", 0));
 }
 
-/* The leader knows the end of the attempt: it is not reported any more. */
+/* The leader knows the end of the attempt: it is no longer reported. */
 static void apply_known(StandWorker *worker, json_object *one)
 {
     Run *run = run_from_json(worker, one);
@@ -33,7 +33,7 @@
 static void apply_stop(StandWorker *worker, json_object *one)
 {
     Run *run = run_from_json(worker, one);
-    if (run == NULL) /* an attempt that has not been ordered yet is rejected later */
+    if (run == NULL) /* an attempt that has not been ordered yet is refused later */
         run_record_highest(worker, json_text_field(one, "job"), (uint64_t)json_int_field(one, "task", 0),
                            (uint64_t)json_int_field(one, "round", 0));
     if (run == NULL || run->ended)
@@ -146,8 +146,8 @@
     return body;
 }
 
-/* Resends the last report and ignores the answer; waits. This is a duplicate out of order, as retries in a lower
- * layer produce. */
+/* Resends the last report and ignores the answer. Suspends the coroutine. This is a duplicate out of order, as retries
+ * in a lower layer produce. */
 static void resend_last(StandWorker *worker, void *mem, const char *path, const char *last)
 {
     HttpCall call = {.mem = mem, .address = worker->settings.agent, .method = "POST", .path = path, .wait_ms = 20};
@@ -155,7 +155,8 @@
     loop_call(worker->loop, &call);
 }
 
-/* Sends one report and applies its answer; waits. *last becomes the report if reports are to be resent. */
+/* Sends one report and applies its answer. Suspends the coroutine. *last becomes the report if reports are to be
+ * resent. */
 static void send_report(StandWorker *worker, void *mem, const char *path, char **last)
 {
     json_object *body = report_to_json(worker);
