--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -15,7 +15,7 @@
 typedef void (*SimStart)(void *arg, Loop *loop);
 /* An event or a watcher. */
 typedef void (*SimFn)(void *arg);
-/* Bytes were appended to a machine's file and synced; whole: bytes are the complete content, which was replaced and
+/* Bytes were appended to a machine's file and synced; whole: bytes are the complete content, all of which was
  * synced. */
 typedef void (*SimDiskFn)(void *arg, int machine, const char *path, Bytes bytes, bool whole);
 
@@ -35,7 +35,8 @@
 /* Sets a watcher for checkers, called after each event; null: none. */
 void sim_watch_events(SimWorld *world, SimFn fn, void *arg);
 
-/* Sets a watcher, called after each sync of a file with what a loss of power no longer removes; null: none. */
+/* Sets a watcher, called with the bytes that a sync of a file covers after each sync, also a falsely acknowledged one;
+ * null: none. */
 void sim_watch_disks(SimWorld *world, SimDiskFn fn, void *arg);
 
 /* Adds a machine with an IP address ("10.0.0.N") and a disk that outlives its processes. Returns its number. */
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -239,7 +239,8 @@
     content->write_count = 0;
 }
 
-/* Applies the end of the process to a file: a random prefix of the write in progress is stored. */
+/* Applies the end of the process to a file: a random prefix of the write in progress is stored, and a loss of power may
+ * remove unsynced writes. */
 static void content_end(SimMachine *machine, SimContent *content, bool power)
 {
     if (content == NULL)
