--- a/packages/model/src/caller_job.c
+++ b/packages/model/src/caller_job.c
@@ -9,7 +9,7 @@
 
 /* --- one call ------------------------------------------------------------------------------ */
 
-/* Sends one request about the job to an entry point. */
+/* Sends one request about the job to an entry point. Suspends the coroutine. */
 static Outcome call_entry_point(CallerTask *task, void *mem, const char *method, Bytes body, TopologyNode **node,
                                 int64_t *sent_ms, Bytes *result, int *retry_after_s)
 {
@@ -61,7 +61,7 @@
     }
 }
 
-/* Submits the job once; returns true if it was accepted. */
+/* Submits the job once; returns true if it was accepted. Suspends the coroutine. */
 static bool submit_once(CallerTask *task)
 {
     Callers *callers = task->callers;
@@ -92,7 +92,7 @@
     return accepted;
 }
 
-/* Submits the job until it is accepted or the caller's retries are used up. */
+/* Submits the job until it is accepted or the caller's retries are used up. Suspends the coroutine. */
 static bool submit(CallerTask *task)
 {
     JobRecord *job = task->job;
@@ -139,7 +139,7 @@
     job->shown_ms = topology_now_ms(topology);
 }
 
-/* Reads the job's state once; returns true if the answer was clear. */
+/* Reads the job's state once; returns true if the answer was clear. Suspends the coroutine. */
 static bool read_once(CallerTask *task)
 {
     JobRecord *job = task->job;
--- a/packages/model/src/operator_order.c
+++ b/packages/model/src/operator_order.c
@@ -74,7 +74,8 @@
                        request->sent != NULL ? request->sent->document.version : 0, now_ms - from_ms);
 }
 
-/* Sends the request once. Returns OUTCOME_UNCLEAR if it must be repeated, otherwise the final outcome. */
+/* Sends the request once. Suspends the coroutine. Returns OUTCOME_UNCLEAR if it must be repeated, otherwise the final
+ * outcome. */
 static Outcome send_once(OperatorRequest *request, void *mem, const CodecRequest *worded)
 {
     Operator *self = request->owner;
--- a/packages/model/src/operator_order.h
+++ b/packages/model/src/operator_order.h
@@ -24,10 +24,11 @@
 TopologyNode *operator_random_node(Operator *self);
 /* Returns a word for the outcome, for log lines. */
 const char *outcome_word(Outcome outcome);
-/* Calls a node once; result may be null. */
+/* Calls a node once; result may be null. Suspends the coroutine. */
 Outcome operator_call(const Operator *self, void *mem, const TopologyNode *node, const char *method,
                       const CodecRequest *worded, Bytes *result);
-/* Repeats the request until there is a clear answer, for at most for_ms. Returns OUTCOME_UNCLEAR if there was none. */
+/* Repeats the request until there is a clear answer, for at most for_ms. Suspends the coroutine. Returns
+ * OUTCOME_UNCLEAR if there was none. */
 Outcome operator_request_send(OperatorRequest *request, const CodecRequest *worded, int64_t for_ms);
 
 #endif
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -78,7 +78,7 @@
     worker_model->leave_ack_in_touch = node_in_touch(worker_model->agent_node);
 }
 
-/* Sends a heartbeat; returns the time until the next one is due, in ms. */
+/* Sends a heartbeat; returns the time until the next one is due, in ms. Suspends the coroutine. */
 static int64_t send_heartbeat(WorkerModel *worker_model, void *mem)
 {
     const Topology *topology = worker_model->worker_models->topology;
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -141,8 +141,8 @@
     return false;
 }
 
-/* Returns when the next run is due, by the worker's clock; that clock may be slow, so the time is early rather than
- * late. */
+/* Returns when the next run is due, by the worker's clock. If that clock is slow, the run ends later, by the clock's
+ * drift. */
 static int64_t next_due_ms(const WorkerModel *worker_model, int64_t now_ms)
 {
     const int64_t own_ms = loop_now_ms(worker_model->loop);
