--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -152,7 +152,7 @@
     json_object_put(body);
 }
 
-/* Cancels the job if it is lasting and has run long enough, or if the caller has given up. */
+/* Cancels the job if it is lasting and has run long enough, or if the caller has given up. Suspends the coroutine. */
 static void cancel_if_due(JobFollower *follower)
 {
     Caller *caller = follower->caller;
@@ -225,8 +225,8 @@
 
 /* --- submission ------------------------------------------------------------------------------ */
 
-/* Draws a job's class. Trentvale: of ten jobs about seven masks, two sweeps and one rebuild in two seconds; Atlas:
- * of nine jobs about six refreshes, two sweeps and one reindex. */
+/* Draws a job's class. Trentvale: at ten jobs a second, about seven masks and two sweeps a second, and one rebuild in
+ * two seconds; Atlas: of nine jobs about six refreshes, two sweeps and one reindex. */
 static MixClass draw_class(Caller *caller)
 {
     /* Weights of the classes, in percent. */
