--- a/packages/model/src/operator_order.c
+++ b/packages/model/src/operator_order.c
@@ -4,7 +4,7 @@
 #include <inttypes.h>
 #include <talloc.h>
 
-#define ACKNOWLEDGEMENT_PER_QUEUE_MS 3 /* ms; additional time that an acknowledgement may take for each queue */
+#define ACKNOWLEDGEMENT_PER_QUEUE_MS 3 /* additional time that an acknowledgement may take for each queue */
 
 Loop *operator_loop(const Operator *self)
 {
@@ -74,7 +74,8 @@
                        request->sent != NULL ? request->sent->document.version : 0, now_ms - from_ms);
 }
 
-/* Sends the request once. Returns OUTCOME_UNCLEAR if it must be repeated, otherwise the final outcome. */
+/* Sends the request once. Suspends the coroutine. Returns OUTCOME_UNCLEAR if it must be repeated, otherwise the final
+ * outcome. */
 static Outcome send_once(OperatorRequest *request, void *mem, const CodecRequest *worded)
 {
     Operator *self = request->owner;
--- a/packages/model/src/operator_order.h
+++ b/packages/model/src/operator_order.h
@@ -3,7 +3,7 @@
 
 #include "operator.h"
 
-#define CALL_TIMEOUT_MS 1000 /* ms; timeout after which another node is called */
+#define CALL_TIMEOUT_MS 1000 /* timeout after which another node is called */
 
 /* A request that is repeated until there is a clear answer. */
 typedef struct OperatorRequest {
@@ -20,14 +20,15 @@
 
 /* The operator's event loop. */
 Loop *operator_loop(const Operator *self);
-/* Returns a random node that is not permanently gone: the operator's list of nodes may be outdated. */
+/* Returns a random node that is not permanently removed: the operator's list of nodes may be outdated. */
 TopologyNode *operator_random_node(Operator *self);
 /* Returns a word for the outcome, for log lines. */
 const char *outcome_word(Outcome outcome);
-/* Calls a node once; result may be null. */
+/* Calls a node once; result may be null. Suspends the coroutine. */
 Outcome operator_call(const Operator *self, void *mem, const TopologyNode *node, const char *method,
                       const CodecRequest *worded, Bytes *result);
-/* Repeats the request until there is a clear answer, for at most for_ms. Returns OUTCOME_UNCLEAR if there was none. */
+/* Repeats the request until there is a clear answer, for at most for_ms. Suspends the coroutine. Returns
+ * OUTCOME_UNCLEAR if there was none. */
 Outcome operator_request_send(OperatorRequest *request, const CodecRequest *worded, int64_t for_ms);
 
 #endif
