--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -23,8 +23,8 @@
 Status agent_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Agent **agent,
                    Failure *failure);
 
-/* Graceful shutdown: tells the leader that the worker is draining, then waits DRAIN_MS / 3 for that message to arrive.
- * Running attempts are not stopped here; they stop when the lease lapses. */
+/* Graceful shutdown: reports to the leader that the worker is draining, then suspends the coroutine for DRAIN_MS / 3,
+ * so that the message arrives. Running attempts are not stopped here; they stop when the lease expires. */
 void agent_drain(Agent *agent);
 
 /* Replaces the addresses of the controllers that are asked for the membership list. The texts are copied. */
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -44,9 +44,9 @@
     int64_t next_report_ms; /* The next report is not needed before this time, unless an attempt ends */
 } WorkerOrders;
 
-/* Processes a report and answers it. Waits at most report->wait_ms until there is something to answer with.
- * in: *gone is read again after each wait; true: the sender has disconnected. mem is the talloc parent of the
- * orders.
+/* Processes a report and answers it. Suspends the coroutine, for report->wait_ms at most, until there is something to
+ * answer with.
+ * in: *gone is read again after each wait; true: the sender has disconnected. mem is the talloc parent of the orders.
  * out: *orders; the attempts in starts count as given to the worker from now on.
  * return: OK; CLOSED: a newer report has arrived, this report is a late one, or the sender has disconnected;
  * DUPLICATE_WORKER: the process of another boot may still be running, or this boot has ended. */
--- a/packages/agent/src/answer.c
+++ b/packages/agent/src/answer.c
@@ -40,7 +40,7 @@
 }
 
 /* While attempts run, a delayed answer delays the report of an end, and an early answer delays an order until the next
- * report: half of each costs least. While none runs, only an order can come. */
+ * report: splitting the interval equally between both delays costs least. While none runs, only an order can come. */
 int64_t answer_until_ms(const Agent *agent, const WorkerReport *report)
 {
     int64_t wait_ms = agent->settings->cluster_settings.worker_poll_ms;
--- a/packages/agent/src/attempt.h
+++ b/packages/agent/src/attempt.h
@@ -12,7 +12,7 @@
     X(ORDERED)   /* Ordered by the leader, not given to the worker yet */     \
     X(SENT)      /* Given to the worker, which has not reported it yet */     \
     X(RUNNING)   /* Running on the worker */                                  \
-    X(STOPPING)  /* To be stopped: each answer tells the worker so */         \
+    X(STOPPING)  /* To be stopped: each answer lists it */                    \
     X(ENDED)     /* Ended; the leader has not committed the end yet */        \
     X(COMMITTED) /* The leader has committed the end: the attempt is kept for \
                     repair and to recognize old orders */
--- a/packages/agent/src/attempts.h
+++ b/packages/agent/src/attempts.h
@@ -2,7 +2,7 @@
 #define AGENT_SRC_ATTEMPTS_H
 
 /* The attempt table. All changes of an attempt's phase are made here, except three: from ORDERED to SENT (answer.c),
- * from SENT back to ORDERED (worker.c), and to STOPPING if an order no longer wants the attempt (orders.c). */
+ * from SENT back to ORDERED (worker.c), and to STOPPING if the orders no longer want the attempt (orders.c). */
 
 #include "state.h"
 
--- a/packages/agent/src/boot.c
+++ b/packages/agent/src/boot.c
@@ -33,7 +33,7 @@
     if (report->previous_boot_ended && boot_has_ended(agent, report->boot))
         return STATUS_DUPLICATE_WORKER; /* A late report: a newer boot has reported, or this one has shut down */
     if (agent->boot != NULL && strcmp(agent->boot, report->boot) != 0) {
-        /* Another process of this worker: unless the old one is known to have ended, its lease must lapse first. */
+        /* Another process of this worker: unless the old one is known to have ended, its lease must expire first. */
         if (!report->previous_boot_ended && loop_now_ms(agent->loop) < agent->worker_lease_until_ms) {
             recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
                            "worker %s asks as a second process", agent->worker_name);
--- a/packages/agent/src/deadlines.c
+++ b/packages/agent/src/deadlines.c
@@ -1,4 +1,4 @@
-/* Acts on deadlines: a lease that lapses, a worker that falls silent, an order that expires. */
+/* Acts on deadlines: a lease that expires, a worker that falls silent, an order that expires. */
 #include "attempts.h"
 #include "heartbeat.h"
 #include "tasks.h"
@@ -14,7 +14,8 @@
     return agent->settings->cluster_settings.worker_poll_ms + WORKER_SILENT_MS;
 }
 
-/* The time at which the worker counts as silent: when its next report takes longer after the last answer than usual. */
+/* The time at which the worker counts as silent: its next report is overdue by its usual intervals, or silence_limit_ms
+ * has passed since the last one. */
 static int64_t silent_from_ms(const Agent *agent)
 {
     return min_ms(agent->last_report_ms + silence_limit_ms(agent),
@@ -40,23 +41,23 @@
     return LEASE_HAD_LAPSED;
 }
 
-/* Handles a silent worker: it is no longer live, and once its lease has lapsed its attempts end. Also ends the wait for
- * attempts of an earlier agent process (settled). */
+/* Handles a silent worker: it is no longer live, and once its lease has expired its attempts end. Also ends the wait
+ * for attempts of an earlier agent process (settled). */
 static void silence_check(Agent *agent, int64_t now_ms)
 {
     const int64_t silent_ms = now_ms - agent->last_report_ms;
     if (agent->worker_live && now_ms > silent_from_ms(agent)) {
         agent->worker_live = false;
-        attempts_withdraw(agent, "the worker is silent"); /* What it has not been given is placed elsewhere */
+        attempts_withdraw(agent, "the worker is silent"); /* The leader places these attempts elsewhere */
         heartbeat_request(agent);
     }
-    /* The worker is silent, and the lease that it was given has lapsed: no attempt runs there. */
+    /* The worker is silent, and the lease that it was given has expired: no attempt runs there. */
     if (agent->settled && !agent->worker_live && silent_ms > min_ms(WORKER_LOST_MS, silence_limit_ms(agent)) &&
         now_ms >= agent->worker_lease_until_ms && agent->attempts.live.count > 0) {
         attempts_withdraw(agent, "the worker fell silent");
         attempts_end_given(agent, "the worker fell silent");
     }
-    /* No report since the agent started: any lease that an earlier agent process passed on has lapsed. */
+    /* No report since the agent started: any lease that an earlier agent process passed on has expired. */
     const int64_t earlier_ms = lease_claim_ms(
         min_ms(agent->settings->cluster_settings.lease_ms, agent->settings->cluster_settings.worker_lease_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
--- a/packages/agent/src/end_reports.c
+++ b/packages/agent/src/end_reports.c
@@ -85,8 +85,8 @@
     end_report_release(report);
 }
 
-/* Waits until the report is answered or another leader is known, so that the loss of the leader does not cost the whole
- * timeout. */
+/* Suspends the coroutine until the report is answered or another leader is known, so that the loss of the leader does
+ * not cost the entire timeout. */
 static Status end_report_send(Agent *agent, EndReport *report)
 {
     report->ask.number = ++agent->number;
@@ -124,7 +124,7 @@
         end_report_release(report);
         if (status == STATUS_OK)
             continue;
-        /* Retried until it is committed; at once if there is another leader. */
+        /* Retried until it is committed; immediately if there is another leader. */
         char address[ADDRESS_MAX];
         if (!leader_address(agent, address) || strcmp(address, last_address) == 0)
             loop_sleep(agent->loop, HEARTBEAT_MS / 5);
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -1,7 +1,7 @@
 /* Heartbeats: each reports the agent's state to the leader, renews the agent's lease, and requests orders. The leader
- * delays its answer until there are newer orders; what must be reported at once goes in another heartbeat meanwhile.
- * The lease counts from when the heartbeat was sent, so that it lapses here before it lapses by the leader's count
- * (XenServer HA design: a holder counts from sending, a granter from answering). */
+ * delays its answer until there are newer orders; what must be reported immediately goes in another heartbeat
+ * meanwhile. The lease counts from when the heartbeat was sent, so that it expires here before it expires by the
+ * leader's count (XenServer's HA design: a holder counts from sending, a granter from answering). */
 #include "heartbeat.h"
 
 #include <inttypes.h>
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -1,11 +1,11 @@
-/* The isolated agent: the second survival rule of the XenServer HA design. If no leader answers, nobody holds the
+/* The isolated agent: the second survival rule of XenServer's HA design. If no leader answers, nobody holds the
  * lock and all members see each other, the members may go on. The agent asks every controller that it knows, which
  * includes all voters, and the other members of its partial view, whether they know a lock holder. If all of them
  * answer that they know none, its lease is extended, counted from when the oldest of these requests was sent.
  *
  * Why this is safe: a lock is won with the votes of a majority of the voters. Each voter had granted nothing when it
  * answered, so any lock is won after the oldest request was sent, and its winner treats no member as lost for a
- * whole lease after that. This rests on the voters alone, which the controllers name: a voter that the agent does
+ * entire lease after that. This rests on the voters alone, which the controllers name: a voter that the agent does
  * not know has not answered, and the poll fails. The members of the view only make the agent stop more often. */
 #include <string.h>
 #include <talloc.h>
@@ -91,7 +91,7 @@
     return poll->voter_count > 0;
 }
 
-/* Waits. Asks all controllers, or all other known members, and records their answers. */
+/* Suspends the coroutine. Asks all controllers, or all other known members, and records their answers. */
 static void poll_members(Poll *poll, bool controllers)
 {
     Agent *agent = poll->agent;
@@ -115,8 +115,8 @@
         signal_wait(agent->loop, &poll->answer_arrived, INT64_MAX);
 }
 
-/* Waits. Polls the known members; if none knows a holder, the lease is extended, counted from the beginning of the
- * poll. */
+/* Suspends the coroutine. Polls the known members; if none knows a holder, the lease is extended, counted from the
+ * beginning of the poll. */
 static void poll_run(Agent *agent)
 {
     Poll *poll = talloc_zero(agent, Poll);
@@ -130,7 +130,7 @@
     if (poll->none_known && voters_answered(poll))
         poll_members(poll, false);
     const int64_t lease_ms = agent->settings->cluster_settings.lease_ms;
-    /* A lease that has lapsed meanwhile is not revived: its attempts are being stopped. */
+    /* A lease that has expired meanwhile is not revived: its attempts are being stopped. */
     if (poll->none_known && voters_answered(poll) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->isolated)
             log_event(agent->recorder, LOG_AGENT_ISOLATED, loop_now_ms(agent->loop), &(LogFields){0});
--- a/packages/agent/src/report_json.h
+++ b/packages/agent/src/report_json.h
@@ -5,7 +5,7 @@
 
 #include "state.h"
 
-/* Waits. Answers a report from the worker of this name. */
+/* Suspends the coroutine. Answers a report from the worker of this name. */
 void worker_report_serve(Agent *agent, HttpExchange *task, const char *name);
 
 #endif
--- a/packages/agent/src/state.h
+++ b/packages/agent/src/state.h
@@ -2,8 +2,8 @@
 #define AGENT_SRC_STATE_H
 
 /* The agent's state, shared by all files of this package. Layers, each of which calls only those before it: attempts
- * (the attempt table); orders; heartbeat; end_reports, isolated, watch (deadlines), boot, worker and answer (the
- * interface to the worker); report_json and http (HTTP); agent. */
+ * (the attempt table); orders; heartbeat; end_reports, isolated, deadlines, boot, worker and answer (the interface to
+ * the worker); report_json and http (HTTP); agent. */
 
 #include "base/arrivals.h"
 #include "base/log_event.h"
@@ -38,8 +38,8 @@
     /* Heartbeats */
     struct Heartbeat *heartbeat;   /* The newest heartbeat in flight; null if there is none */
     size_t heartbeats;             /* Number of heartbeats in flight */
-    int64_t heartbeat_due_ms;      /* When the next heartbeat is due, unless one is needed at once */
-    bool heartbeat_needed;         /* A heartbeat is needed at once */
+    int64_t heartbeat_due_ms;      /* When the next heartbeat is due, unless one is needed immediately */
+    bool heartbeat_needed;         /* A heartbeat is needed immediately */
     uint64_t have, have_term;      /* Version and term of the last orders applied; older orders are ignored */
     uint64_t saved_term;           /* The term of the leader that the attempts' leader_version refers to */
     int64_t heartbeat_answered_ms; /* When a heartbeat was last answered; 0: never */
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -120,8 +120,8 @@
         heartbeat_request(agent);
 }
 
-/* Waits until there is something to answer the report with. Returns false if the worker no longer waits for the
- * answer. */
+/* Suspends the coroutine until there is something to answer the report with. Returns false if the worker no longer
+ * waits for the answer. */
 static bool answer_wait(Agent *agent, const bool *gone, const WorkerReport *report)
 {
     const uint64_t number = ++agent->report_number;
--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -20,9 +20,9 @@
 #define LEADER "10.0.0.1:7000"
 #define OTHER "10.0.0.3:7000"
 #define TERM(counter) ((uint64_t)(counter) << TERM_HOLDER_BITS | 1)
-#define ATTEMPTS_LISTED_MAX 600 /* Array size: more attempts than a worker lists at once */
+#define ATTEMPTS_LISTED_MAX 600 /* Array size: more attempts than a worker lists in one report */
 
-/* A leader that answers as the test case says, and records all that the agent reports to it. */
+/* A leader that answers as the test case sets it up to, and records all that the agent reports to it. */
 typedef struct FakeLeader {
     const char *id, *address;
     Loop *loop;
--- a/packages/agent/test/agent_lease.c
+++ b/packages/agent/test/agent_lease.c
@@ -137,8 +137,8 @@
     talloc_free(fixture);
 }
 
-/* A worker that usually reports again at once counts as silent as soon as it does not: attempts not given to it yet go
- * back to the leader, those it has stay its own until its lease ends. */
+/* A worker that usually reports again immediately counts as silent as soon as it does not: attempts not given to it yet
+ * go back to the leader, those that it has stay with it until its lease ends. */
 static void silence_is_noticed_by_what_is_usual(void **state)
 {
     (void)state;
@@ -156,7 +156,7 @@
     assert_false(fixture->leader.heartbeat.worker_live);
     assert_int_equal(reported_count(&fixture->leader, "j", 1, 1, ATTEMPT_STOPPED), 1);
     assert_int_equal(fixture->leader.updates_count, 1);
-    /* It reports again, and may be given work at once. */
+    /* It reports again, and may be given work immediately. */
     report_running(fixture, "");
     run_for(fixture, 50);
     assert_true(fixture->leader.heartbeat.worker_live);
