--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -17,7 +17,7 @@
 #define LOCK_GRANT_MIN_MS 700
 /* Part of the longest grant that the leader relies on: its clock may be 2% slow, a voter's 2% fast */
 #define LOCK_LEASE_MS 1440
-#define LOCK_RENEW_MS 350 /* Renewal interval; four fit in a lease; a voter that takes appends renews with them */
+#define LOCK_RENEW_MS 350 /* Renewal interval; four fit in a lease; a voter that accepts appends renews with them */
 /* Interval between renewals that carry what appends do not: the clock and the leader's name */
 #define LOCK_NOTIFY_MS 1000
 /* Wait of a controller after its first lost election, doubled after each further one up to ELECTION_BACKOFF_MAX_MS */
@@ -35,7 +35,7 @@
 /* A worker gets no new work when its agent's heartbeat is overdue for longer than usual and for at least this long.
  * A lost datagram or one turn of a busy process takes less. */
 #define HEARTBEAT_OVERDUE_MIN_MS 150
-/* If more than 1 in this many workers is overdue at once, it is the leader that paused */
+/* If more than 1 in this many workers is overdue at the same time, it is the leader that paused */
 #define OVERDUE_WORKERS_DIVISOR 2
 /* A worker whose report is overdue for longer than usual and for at least this long is silent. Busy workers were
  * seen to take 300 ms now and then. */
@@ -59,8 +59,8 @@
 #define RUNNING_UPDATE_DELAY_MS 200
 /* Ended attempts that an agent keeps for repair: two minutes at 34 a second */
 #define ENDED_ATTEMPTS_KEPT_MAX 4096
-#define WORKER_STARTS_MAX 16 /* Earlier starts of its worker that an agent recognises */
-/* Work whose owner allows copies restarts after this long a silence of its worker */
+#define WORKER_STARTS_MAX 16 /* Ended boots of its worker that an agent recognises */
+/* Work whose owner allows copies is started again once its worker has been silent for this long */
 #define COPY_SILENT_MS 1500
 /* A worker's steady clock may be this slow, so leases that are passed on are shorter */
 #define CLOCK_SLOW_PERCENT 2
@@ -76,7 +76,7 @@
 #define DISK_RETRY_MS 300 /* First interval between attempts to write to a disk that refused a write */
 /* Longest interval between such attempts; doubled after each failure, as a loss may be over within 4 s */
 #define DISK_RETRY_MAX_MS 2500
-#define DISK_HEALTHY_MS 10000 /* A disk that has taken writes for this long is healthy again */
+#define DISK_HEALTHY_MS 10000 /* A disk that has accepted writes for this long is healthy again */
 #define VOTER_SLOW_MS 500     /* A voter that takes longer than this to sync is slow and delays every caller */
 #define VOTER_SLOW_SYNCS 3    /* Slow syncs in a row after which a voter leaves a view of three */
 /* Time for the other voters to answer once a majority has; those that answer later join afterwards */
@@ -85,12 +85,12 @@
 /* Time for which a request for orders alone is held open; below ORDER_LIFETIME_MS / 2 */
 #define ORDERS_FETCH_WAIT_MS 900
 #define CONFIG_WATCH_WAIT_MS 2000 /* Time for which an entry point's request for a new configuration is held open */
-/* After the loss of the leader, a request that nobody took waits this long for another route */
+/* After the loss of the leader, a request that no process accepted waits this long for another route */
 #define LEADER_WAIT_MS 150
 #define ELECTION_MS 3000 /* A new leader is normally found within this */
 /* Expected length of an outage of the leader until one has been observed: callers come back after it */
 #define OUTAGE_EXPECTED_MS 1000
-/* A process that was paused for this long reads requests whose callers may have gone elsewhere */
+/* A process that was paused for this long reads requests whose callers may have turned to another process */
 #define PAUSE_MIN_MS 500
 #define PAUSE_BACKLOG_MS 200     /* Time after a pause within which all that arrived during it is read */
 #define FORWARD_DEADLINE_MS 8000 /* An entry point gives up a request after this */
@@ -104,7 +104,7 @@
 #define CONNECTION_KEEPALIVE_PROBES 3     /* Unanswered probes after which the connection ends */
 /* Unanswered requests in a row after which a new connection is opened */
 #define CONNECTION_TIMEOUTS_MAX 2
-/* A request that a just restarted peer has not answered for this long went to its last incarnation */
+/* A request that a just restarted peer has not answered for this long went to its previous incarnation */
 #define CONNECTION_STALE_MS 200
 
 /* --- membership ------------------------------------------------------------------------------ */
@@ -141,12 +141,12 @@
 /* Interval of that check while a learner is not ready yet, or when one change follows another */
 #define MEMBERSHIP_CHECK_SHORT_MS 30
 #define LEARNERS_MAX 4 /* Learners that follow the log at a time: each costs a copy of the log */
-/* A learner gets what has come within this in one append, since nobody waits for it */
+/* A learner gets the entries of such an interval in one append, since nobody waits for it */
 #define LEARNER_APPEND_INTERVAL_MS 100
 #define VOTE_HANDOVER_MS 700 /* Two renewals: within this a learner that leaves hears that it was given the vote */
 /* A leaving voter waits 1 in this many of its grace period for its vote to pass on */
 #define VOTE_LEAVE_DIVISOR 2
-/* A learner that is not ready within this makes way for another: megabytes take a second */
+/* A learner that is not ready within this makes way for another: copying megabytes takes a second */
 #define LEARNER_READY_TIMEOUT_MS 2500
 #define VOTER_OUT_OF_VIEW_MS 1000 /* Minimum time out of the view for a voter that left it for being late */
 /* A controller that is no longer a voter does not propose itself for this long */
@@ -161,7 +161,7 @@
 #define LOG_SNAPSHOT_BYTES (8 * 1024 * 1024)
 /* Largest state of which a snapshot is made: memory would not hold both if it were larger */
 #define SNAPSHOT_MAX_BYTES (48 * 1024 * 1024)
-/* Size of the state from which no job is taken: the rest is for what the accepted ones add */
+/* Size of the state from which no job is accepted: the rest is for what the accepted ones add */
 #define STATE_FULL_BYTES (40 * 1024 * 1024)
 /* Minimum interval between measurements of a full state, each of which serializes it */
 #define STATE_MEASURE_INTERVAL_MS 10000
@@ -219,12 +219,12 @@
 /* Versions whose calls are recognised when they are repeated: ten a second for 100 s */
 #define CONFIG_VERSIONS_KNOWN 1000
 #define CONFIG_HISTORY_STEP 50             /* Configuration versions that are dropped at a time */
-#define CONFIG_HISTORY_BYTES (1024 * 1024) /* Size of the texts and patches kept beside one whole text */
+#define CONFIG_HISTORY_BYTES (1024 * 1024) /* Size of the texts and patches kept beside one complete text */
 #define ID_MAX 96                          /* Name of a job, tenant or worker, in bytes */
 /* Failed attempts after which a task fails, unless its owner sets another number */
 #define ATTEMPTS_DEFAULT 3
 #define ATTEMPTS_MAX 100 /* Largest number of attempts that an owner may set */
-/* Waiting tasks in one cell's queues beyond which jobs are rejected with 503 */
+/* Waiting tasks in one cell's queues beyond which jobs are refused with 503 */
 #define QUEUE_LIMIT_DEFAULT 20000
 /* A protected start that breaks the plan waits for this long, then runs unassured */
 #define PROTECTED_START_WAIT_MS 2000
@@ -233,13 +233,14 @@
 #define GANG_REPAIR_INTERVAL_MS 1000 /* Interval between searches for gangs that a loss of disks has split */
 #define STARTS_PER_CHANGE_MAX 128    /* Starts decided in one change */
 #define ATTEMPTS_LOST_MAX 10000      /* Attempts that disks may have lost; a larger number is a mistake */
-/* Rest of a failed task, doubled with each failure; short, as targets are 1 or 2 s and it restarts elsewhere */
+/* Wait before a failed task is retried, doubled with each failure; short: targets are 1 or 2 s, and it restarts
+ * elsewhere */
 #define RETRY_BACKOFF_MIN_MS 50
-#define RETRY_BACKOFF_MAX_MS 8000 /* Longest rest of a failed task */
-/* Rest of a refused task: by then a heartbeat or a start shows more of its worker */
+#define RETRY_BACKOFF_MAX_MS 8000 /* Longest wait before a failed task is retried */
+/* Wait before a refused task is retried: by then a heartbeat or a start shows more of its worker */
 #define REFUSED_BACKOFF_MS 200
-#define LASTING_STABLE_MS 5000      /* A lasting task that ran for this long has not failed at once */
-#define LASTING_BACKOFF_MAX_MS 2000 /* Longest rest of a lasting task that repeatedly fails at once */
+#define LASTING_STABLE_MS 5000      /* A lasting task that ran for this long has not failed immediately */
+#define LASTING_BACKOFF_MAX_MS 2000 /* Longest wait before a lasting task that fails repeatedly is started again */
 #define LIST_PAGE_DEFAULT 100       /* Jobs on one page of a list, by default */
 #define LIST_PAGE_MAX 1000          /* Jobs on one page of a list, at most */
 #define RESOURCES_MAX 100000000ULL  /* Milli-CPU, MB or count; larger numbers are mistakes */
@@ -247,7 +248,7 @@
 /* --- latency targets and estimates ----------------------------------------------------------- */
 /* Run time after which an attempt's progress is first reported; a short task's is not */
 #define PROGRESS_FIRST_MS 700
-/* Newest ratios of actual to estimated time that a median is taken of: older ones say little */
+/* Newest ratios of actual to estimated time of which a median is computed: older ones say little */
 #define ESTIMATE_RATIOS 32
 #define ESTIMATE_ENDS_MIN 5 /* Ended attempts before a step's estimate is corrected */
 /* Recent ratios of one worker; fewer than ESTIMATE_RATIOS, as a worker turns slow within seconds */
@@ -297,11 +298,11 @@
 #define FAILURE_EJECTION_PERCENT 60
 /* Different jobs in a row that failed on the worker, since one bad job does not make a bad worker */
 #define FAILURE_JOBS 3
-#define EJECTION_MIN_MS 10000  /* First rest of a worker, doubled with each further one */
-#define EJECTION_MAX_MS 300000 /* Longest rest of a worker */
+#define EJECTION_MIN_MS 10000  /* First ejection of a worker, doubled with each further one */
+#define EJECTION_MAX_MS 300000 /* Longest ejection of a worker */
 /* Half-life of a rate without new attempts, so that every worker is tried again */
 #define SCORE_HALF_LIFE_MS 10000
-#define EJECTED_WORKERS_DIVISOR 4 /* At most 1 in this many of the fleet's workers rests at once */
+#define EJECTED_WORKERS_DIVISOR 4 /* At most 1 in this many of the fleet's workers is ejected at the same time */
 
 /* Percent; weight of a slow attempt; concurrent attempts are one sign, so signs are few */
 #define SLOW_WEIGHT_PERCENT 50
@@ -317,10 +318,10 @@
 #define PLAN_LOSSES_MAX 4 /* Worker losses that a plan may be asked to survive */
 /* Interval at which the plan is computed for display where it need not survive any loss */
 #define PLAN_CHECK_MS 1000
-/* A worker that takes longer must have this many times the difference more capacity free */
+/* Weight of a worker's extra run time, which is subtracted from its free capacity when workers are compared */
 #define CHOICE_SLOWDOWN_WEIGHT 2
 #define CHOICE_GPU_COST 500 /* Thousandths of a worker; cost of a worker's GPU to work that needs none */
-/* Thousandths of a worker: gain of placing a step's tasks together. It is more than a worker's whole capacity, and
+/* Thousandths of a worker: gain of placing a step's tasks together. It is more than a worker's entire capacity, and
  * less than the penalty of a worker that is slow or fails its work. */
 #define CHOICE_TOGETHER_GAIN 1000
 /* Longest wait of work for capacity near its data: half of the time for which work may be stalled */
@@ -331,10 +332,10 @@
 #define CAPACITY_RESERVE_SLACK_MS 3000
 /* At most 1 in this many parts of the fleet's capacity is reserved for such work */
 #define CAPACITY_RESERVE_DIVISOR 3
-#define RESERVATION_WAIT_MS 10000 /* Work that fits a whole worker but no gap for this long has a worker reserved */
+#define RESERVATION_WAIT_MS 10000 /* Work that fits an entire worker but no gap for this long has a worker reserved */
 /* Minimum wait for a reservation of work with a latency target, which otherwise waits an eighth of its span */
 #define RESERVATION_WAIT_MIN_MS 300
-#define RESERVATION_WORKERS_DIVISOR 4 /* At most 1 in this many of the fleet's workers is reserved at once */
+#define RESERVATION_WORKERS_DIVISOR 4 /* At most 1 in this many of the fleet's workers is reserved at the same time */
 #define ZONE_ORDERS_MAX 16            /* Orders for a zone that are recognised when they are sent again */
 #define RESERVATION_MEMBERS_MAX 64    /* Workers reserved for one gang */
 
@@ -358,7 +359,7 @@
 #define TASK_STACK_BYTES (192 * 1024) /* Stack of a coroutine: JSON and printf fit, also under ASan */
 /* Stacks of ended coroutines kept for reuse; a burst allocates its own */
 #define TASK_STACKS_IDLE_MAX 24
-#define FRAME_MAX_BYTES (32 * 1024 * 1024)     /* Largest message: a whole snapshot (SNAPSHOT_SINGLE_BYTES) fits */
+#define FRAME_MAX_BYTES (32 * 1024 * 1024)     /* Largest message: a complete snapshot (SNAPSHOT_SINGLE_BYTES) fits */
 #define CHANNEL_QUEUE_BYTES (96 * 1024 * 1024) /* Unsent bytes beyond which the connection ends */
 #define CHANNEL_BUFFER_KEEP_BYTES (32 * 1024)  /* A buffer that grew beyond this for one frame is freed */
 #define CHANNEL_QUEUE_FRAMES 4096              /* Unread frames beyond which the connection ends */
@@ -368,12 +369,12 @@
 #define HTTP_HEAD_TIMEOUT_MS 5000
 #define HTTP_IDLE_TIMEOUT_MS 60000 /* A caller's connection without a request is closed after this */
 #define HTTP_CONNECTIONS_MAX 3000  /* Connections of callers to one process at a time */
-/* Requests in flight in one process; callers of further ones are told to retry */
+/* Requests in flight in one process; further ones are refused, and their callers may retry */
 #define HTTP_TASKS_MAX 2048
 #define TRACE_EVENTS 2048       /* Steps of changes that a node keeps: minutes at today's loads */
 #define RECORDER_LINES 256      /* Lines in the flight recorder */
 #define RECORDER_LINE_BYTES 200 /* Size of a line of the flight recorder; a longer one is truncated */
-#define RECORDER_NOTES_BURST 20 /* Notes written in one burst, so that a change of leader is logged whole */
+#define RECORDER_NOTES_BURST 20 /* Notes written in one burst, so that a change of leader is logged in full */
 /* After a burst, one note is written per interval, since a line costs processor time */
 #define RECORDER_NOTE_INTERVAL_MS 500
 /* Sent with a 503: another entry point, or the same one a moment later, will serve the request */
--- a/packages/base/include/base/log_event.h
+++ b/packages/base/include/base/log_event.h
@@ -57,7 +57,7 @@
 
 /* Fields of an event's line besides its message. All of them are copied. The node is the recorder's. */
 typedef struct LogFields {
-    uint64_t term, index; /* 0: those of the recorder's place; term is a counter (term_counter) */
+    uint64_t term, index; /* 0: those of the recorder's position; term is a counter (term_counter) */
     const char *peer;     /* worker, member or cluster that the event is about; null: peer_disk is used */
     uint64_t peer_disk;   /* disk id of the controller that the event is about; 0: none */
     const char *text;     /* free text after the message; null: none */
--- a/packages/base/include/base/recorder.h
+++ b/packages/base/include/base/recorder.h
@@ -27,7 +27,7 @@
     uint64_t term, index;
 } RecorderPlace;
 
-/* Returns the node's current place in the log. */
+/* Returns the node's current position in the log. */
 typedef RecorderPlace (*RecorderPlaceFn)(void *arg);
 
 /* Lines are written with the fields NODE, LEVEL, AT_MS (in ms, by the loop's clock), TERM and INDEX.
@@ -45,7 +45,7 @@
 /* Sets the threshold, NOTE by default: a line below this level is written only together with a later line at or above
  * it. */
 void recorder_set_level(Recorder *recorder, RecorderLevel least);
-/* Sets the callback that gives the place of each line. It must not wait. */
+/* Sets the callback that gives the position of each line. It must not wait. */
 void recorder_set_place(Recorder *recorder, RecorderPlaceFn place, void *arg);
 /* Sets *level to the level with this word; returns false, without effect, when there is none. */
 bool recorder_level_of_word(const char *word, RecorderLevel *level);
--- a/packages/base/src/internal.h
+++ b/packages/base/src/internal.h
@@ -43,8 +43,8 @@
 
 /* Takes one line from the budget; returns false when it is exhausted at this time. */
 bool line_budget_take(LineBudget *budget, int64_t at_ms);
-/* Adds an empty line at the recorder's place. The recorder owns it; the caller may use it until the next line is added.
- */
+/* Adds an empty line at the recorder's position. The recorder owns it; the caller may use it until the next line is
+ * added. */
 RecorderLine *recorder_line_add(Recorder *recorder, RecorderLevel level, int64_t at_ms);
 /* Writes the lines that may be written once the newest one has been logged. */
 void recorder_lines_write(Recorder *recorder, const RecorderLine *newest);
--- a/packages/base/src/recorder.c
+++ b/packages/base/src/recorder.c
@@ -63,7 +63,7 @@
 
 #define PLACE_BYTES (3 * NUMBER_BYTES) /* " term=T index=I" */
 
-/* Formats the line's place; the result is empty when there is none. An event may have a term without an index. */
+/* Formats the line's position; the result is empty when there is none. An event may have a term without an index. */
 static void place_print(char to[PLACE_BYTES], const RecorderLine *line)
 {
     const RecorderPlace *place = &line->place;
--- a/packages/base/test/log_event.c
+++ b/packages/base/test/log_event.c
@@ -85,7 +85,7 @@
     return (RecorderPlace){.term = 7, .index = 4001};
 }
 
-/* Fields that the caller leaves out are taken from the recorder's place, or are missing. */
+/* Fields that the caller leaves out are taken from the recorder's position, or are missing. */
 static void fields_left_out(void **state)
 {
     Written *written = written_clear(state);
--- a/packages/base/test/recorder.c
+++ b/packages/base/test/recorder.c
@@ -104,7 +104,7 @@
     recorder_write(recorder, RECORDER_NOTE, 10 + 2 * RECORDER_NOTE_INTERVAL_MS, "note 100");
     assert_int_equal(written->count, RECORDER_NOTES_BURST + 2);
     assert_non_null(strstr(written->lines[RECORDER_NOTES_BURST + 1].message, "note 21"));
-    /* an alert is written at once, after all waiting lines */
+    /* an alert is written immediately, after all waiting lines */
     recorder_write(recorder, RECORDER_ALERT, 10 + 2 * RECORDER_NOTE_INTERVAL_MS, "now");
     assert_int_equal(written->count, 102);
     assert_non_null(strstr(written->lines[101].message, "alert now"));
