--- a/packages/loop/include/loop/internal.h
+++ b/packages/loop/include/loop/internal.h
@@ -37,9 +37,9 @@
     Bytes bytes;
 } Frame;
 
-/* Invariants: frames are in order of arrival; none is added once the channel is closed; queued counts the bytes passed
- * to channel_send, handed those of them that may have left the process, and written those that have left it:
- * written <= handed <= queued. */
+/* Invariants: frames are in order of arrival; none is added once the channel is closed; queued_bytes counts the bytes
+ * passed to channel_send, maybe_sent_bytes those of them that may have left the process, and surely_sent_bytes those
+ * that have left it: surely_sent_bytes <= maybe_sent_bytes <= queued_bytes. */
 struct Channel {
     Loop *loop;
     bool closed;
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -15,7 +15,7 @@
  *
  * Rules for node code:
  *  - it runs in tasks, which are coroutines: only one runs at a time, until it is suspended;
- *  - a task is suspended only inside functions whose comment says "Waits.";
+ *  - a task is suspended only inside functions whose comment contains "Suspends the coroutine";
  *  - across such a call a task owns nothing but talloc memory, so that the simulator can end a node at any point;
  *  - now_ms never goes back and has no relation to wall time.
  *
@@ -73,9 +73,9 @@
 /* Starts a task that runs fn(arg) from the next turn of the loop on. It is freed when fn returns. name must outlive
  * it. */
 void loop_spawn(Loop *loop, const char *name, TaskFn fn, void *arg);
-/* Waits for wait_ms. */
+/* Suspends the coroutine for wait_ms. */
 void loop_sleep(Loop *loop, int64_t wait_ms);
-/* Waits for one turn of the loop. */
+/* Suspends the coroutine for one turn of the loop. */
 void loop_yield(Loop *loop);
 /* Requests shutdown: tasks check loop_stopping and return; the real loop ends after this turn. */
 void loop_stop(Loop *loop);
@@ -90,19 +90,20 @@
     Task *last;
 } Signal;
 
-/* Waits until the signal is raised (returns true) or until_ms is reached (returns false); INT64_MAX: no timeout. */
+/* Suspends the coroutine until the signal is raised (returns true) or until_ms is reached (returns false); INT64_MAX:
+ * no timeout. */
 bool signal_wait(Loop *loop, Signal *signal, int64_t until_ms);
 /* Wakes all tasks that wait for the signal, in the order in which they began to wait; they run after the caller. A task
  * that waits later is not affected. */
 void signal_raise(Loop *loop, Signal *signal);
 
-/* --- connections: whole frames, in order, until one side or the network breaks --- */
+/* --- connections: complete frames, in order, until one side or the network breaks --- */
 
 /* Listens for connections; fn handles each in a task of its own. bound receives the address in use, as port 0 selects a
  * free port. Returns OK, or BAD_SETTINGS with the text in failure. */
 Status loop_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure);
-/* Connects. Waits, at most wait_ms. The channel is a child of mem until channel_close. Returns OK, UNREACHABLE, or
- * BAD_SETTINGS when address is malformed. */
+/* Connects. Suspends the coroutine, for wait_ms at most. The channel is a child of mem until channel_close. Returns OK,
+ * UNREACHABLE, or BAD_SETTINGS when address is malformed. */
 Status loop_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
 /* Queues a copy of the frame; never waits. Returns OK, CLOSED, TOO_LARGE, or BUSY when the peer does not read, in which
  * case the connection has been closed. */
@@ -115,7 +116,8 @@
 /* Returns the number of queued bytes that have not left the process yet. If it stays above 0 the link or the peer is
  * slower than the rate at which frames are sent to it. */
 uint64_t channel_unsent_bytes(const Channel *channel);
-/* Waits for a frame, which is moved onto mem. Returns OK, EXPIRED when until_ms is reached, or CLOSED after the end. */
+/* Suspends the coroutine until a frame arrives, which is moved onto mem. Returns OK, EXPIRED when until_ms is reached,
+ * or CLOSED after the end. */
 Status channel_receive(Channel *channel, void *mem, int64_t until_ms, Bytes *frame);
 /* Ends the connection and wakes its reader; the reader then frees it by channel_close. */
 void channel_shut(Channel *channel);
@@ -128,19 +130,20 @@
  * directory, so it is called at start only. The file is a child of mem. Returns OK, or DISK_FAILED with the text in
  * failure. */
 Status file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
-/* Reads the whole file onto mem. Waits. The content has been synced when it is returned: it survives a power loss even
- * if the process that wrote it ended before its own sync. Returns OK or DISK_FAILED. */
+/* Reads the entire file onto mem. Suspends the coroutine. The content has been synced when it is returned: it survives
+ * a power loss even if the process that wrote it ended before its own sync. Returns OK or DISK_FAILED. */
 Status file_read(File *file, void *mem, Bytes *content);
-/* Appends the bytes. Waits until they are synced. Only one call at a time for each file. Returns OK or DISK_FAILED. */
-Status file_append(File *file, Bytes bytes);
-/* Replaces the content atomically: new file, sync, rename, sync of the directory. Waits for all of it. Returns OK or
+/* Appends the bytes. Suspends the coroutine until they are synced. Only one call at a time for each file. Returns OK or
  * DISK_FAILED. */
+Status file_append(File *file, Bytes bytes);
+/* Replaces the content atomically: new file, sync, rename, sync of the directory. Suspends the coroutine until all of
+ * this is done. Returns OK or DISK_FAILED. */
 Status file_replace(File *file, Bytes bytes);
-/* Replaces the hint stored beside the file (PATH.hint), which has at most FILE_HINT_MAX_BYTES bytes. Waits, but not for
- * a sync: the hint survives the process; after a power loss it may be missing, old or torn. Only one call at a time for
- * each file, as for the other functions. Returns OK or DISK_FAILED. */
+/* Replaces the hint stored beside the file (PATH.hint), which has at most FILE_HINT_MAX_BYTES bytes. Suspends the
+ * coroutine, but not for a sync: the hint survives the process; after a power loss it may be missing, old or torn. Only
+ * one call at a time for each file, as for the other functions. Returns OK or DISK_FAILED. */
 Status file_hint_write(File *file, Bytes bytes);
-/* Reads the hint onto mem; empty: there is none. Waits. Returns OK or DISK_FAILED. */
+/* Reads the hint onto mem; empty: there is none. Suspends the coroutine. Returns OK or DISK_FAILED. */
 Status file_hint_read(File *file, void *mem, Bytes *content);
 
 #define FILE_HINT_MAX_BYTES 256 /* Size of a hint, in bytes */
@@ -170,7 +173,7 @@
     bool caller_disconnected; /* the caller has disconnected: nobody would receive a response */
     /* the response, set by the handler */
     int code;                 /* HTTP status */
-    Status status;            /* reason of a rejection; OK otherwise */
+    Status status;            /* reason of a refusal; OK otherwise */
     const char *content_type; /* content type */
     Bytes response_body;
     int retry_after_s;                  /* Retry-After header in seconds, sent when above 0 */
@@ -185,10 +188,10 @@
 
 /* Limits on callers; 0 in a field selects the default. */
 struct HttpLimits {
-    size_t head_bytes, body_bytes; /* sizes of one request; a larger one is rejected */
+    size_t head_bytes, body_bytes; /* sizes of one request; a larger one is refused */
     int64_t head_ms;               /* a request's head must be complete within this, or its connection is closed */
     int64_t idle_ms;               /* a connection without a request is closed after this */
-    size_t connections; /* open at a time; a request on a further one is rejected and its connection closed */
+    size_t connections;            /* open at a time; a request on a further one is refused and its connection closed */
 };
 
 /* A request to another process and its response. The texts of the request must live until loop_call returns. */
@@ -198,7 +201,7 @@
     const char *method;
     const char *path; /* with the query */
     Bytes body;
-    int64_t wait_ms;                   /* timeout of the whole call */
+    int64_t wait_ms;                   /* timeout of the entire call */
     const HttpHeader *request_headers; /* further headers of the request; a "host" replaces the address as Host */
     size_t request_header_count;
     /* the response */
@@ -222,9 +225,9 @@
 void loop_serve_drain(Loop *loop);
 /* Returns the number of requests that have begun to arrive and whose response has not been sent. */
 size_t loop_serve_pending(const Loop *loop);
-/* Sends the request. Waits for the response, at most call->wait_ms. Returns OK when a response came, whatever its code;
- * UNREACHABLE; EXPIRED; CLOSED when the connection broke or the call was cancelled; BAD_SETTINGS when the address is
- * malformed. */
+/* Sends the request. Suspends the coroutine until the response arrives, for call->wait_ms at most. Returns OK when a
+ * response came, whatever its code; UNREACHABLE; EXPIRED; CLOSED when the connection broke or the call was cancelled;
+ * BAD_SETTINGS when the address is malformed. */
 Status loop_call(Loop *loop, HttpCall *call);
 /* Cancels a call from another task: it returns CLOSED and its response is dropped. */
 void loop_call_cancel(Loop *loop, HttpCall *call);
--- a/packages/loop/src/real_disk.c
+++ b/packages/loop/src/real_disk.c
@@ -184,7 +184,7 @@
     }
 }
 
-/* Waits. Submits a job to the file's thread and waits for its completion. */
+/* Suspends the coroutine. Submits a job to the file's thread and waits for its completion. */
 static Status job_run(File *file, DiskWork work, Bytes bytes, DiskJob *job)
 {
     RealFile *real_file = (RealFile *)file;
@@ -226,7 +226,7 @@
     return STATUS_OK;
 }
 
-/* Waits. Has the thread read the file or the hint, and copies the bytes read onto mem. */
+/* Suspends the coroutine. Has the thread read the file or the hint, and copies the bytes read onto mem. */
 static Status read_onto(File *file, DiskWork work, void *mem, Bytes *content)
 {
     DiskJob job;
--- a/packages/loop/src/real_serve.c
+++ b/packages/loop/src/real_serve.c
@@ -32,7 +32,7 @@
 } CallerConnection;
 
 /* Links an h2o request to its task. It is allocated on the request's pool; when the pool is freed, the caller is marked
- * as gone. */
+ * as disconnected. */
 typedef struct RequestLink {
     Served *served;
 } RequestLink;
@@ -101,7 +101,7 @@
     h2o_send_inline(req, (const char *)task->response_body.data, task->response_body.count);
 }
 
-/* Rejects a request without starting a task. */
+/* Refuses a request without starting a task. */
 static void reject(RealLoop *real, h2o_req_t *req, Status status, const char *text)
 {
     char body[160];
@@ -164,7 +164,7 @@
     return bytes;
 }
 
-/* Handles a complete request: starts its task, or rejects it. */
+/* Handles a complete request: starts its task, or refuses it. */
 static int on_req(h2o_handler_t *super, h2o_req_t *req)
 {
     (void)super;
@@ -234,7 +234,7 @@
     if (err != NULL)
         return;
     while ((sock = h2o_evloop_socket_accept(listener)) != NULL) {
-        /* a few connections over the limit are kept until their first request, to reject it with a reason */
+        /* a few connections over the limit are kept until their first request, to refuse it with a reason */
         if (real->caller_count >= real->limits.connections + real->limits.connections / EXTRA_CONNECTIONS_DIVISOR + 1) {
             h2o_socket_close(sock);
             continue;
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -20,7 +20,7 @@
 #include "loop/real.h"
 #include "socket_fixture.h"
 
-#define LARGE_BYTES (16 * 1024 * 1024) /* Size of a response that the kernel does not accept at once */
+#define LARGE_BYTES (16 * 1024 * 1024) /* Size of a response that the kernel does not accept immediately */
 
 /* State shared by the loop's thread and the caller's. Invariant: only the loop's thread accesses loop. */
 typedef struct PeerFixture {
@@ -306,7 +306,7 @@
     must_respond(third, "GET /third HTTP/1.1\r\nhost: x\r\n\r\n", "503", "etry-after: ");
     assert_true(is_closed(third));
     close(third);
-    assert_int_equal(fixture->served, served + 1); /* the rejected request was not handled */
+    assert_int_equal(fixture->served, served + 1); /* the refused request was not handled */
     must_respond(one, "GET /again HTTP/1.1\r\nhost: x\r\n\r\n", "200", "first GET /again");
     close(one);
     close(other);
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -40,14 +40,14 @@
     atomic_int gone;                             /* callers whose disconnection was detected */
 } PeerFixture;
 
-/* Waits for a step in the thread. */
+/* Waits for a step; called in the thread. */
 static void wait_for_step(PeerFixture *fixture, int step)
 {
     while (fixture->step < step)
         sched_yield();
 }
 
-/* Waits for a step in a task of the loop. */
+/* Suspends the coroutine until a step; called in a task of the loop. */
 static void sleep_until_step(PeerFixture *fixture, int step)
 {
     while (fixture->step < step)
@@ -124,7 +124,7 @@
 
 static void callers(PeerFixture *fixture)
 {
-    /* three requests at once on one connection; the first expires */
+    /* three requests at the same time on one connection; the first expires */
     const int fd = connect_to(fixture->address);
     send_request(fd, "/up");
     send_request(fd, "/second");
--- a/packages/loop/test/socket_fixture.h
+++ b/packages/loop/test/socket_fixture.h
@@ -21,7 +21,7 @@
     return fd;
 }
 
-/* Sends the whole text. */
+/* Sends the entire text. */
 static inline void send_text(int fd, const char *text)
 {
     if (send(fd, text, strlen(text), MSG_NOSIGNAL) != (ssize_t)strlen(text))
