--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -38,9 +38,9 @@
  * is null. */
 void trace_record(Trace *trace, TraceStep step, const char *detail, const char *key_format, ...)
     __attribute__((format(printf, 4, 5)));
-/* Waits, for REQUEST_TIMEOUT_MS at most after it has the list of members (members_list_all, which waits). Serves GET
- * /v1/trace?key=KEY: asks all members concurrently; the result names those that do not answer in time. Times are
- * converted to this process's clock, with an error of up to half the round-trip time. */
+/* Suspends the coroutine, for REQUEST_TIMEOUT_MS at most after it has the list of members (members_list_all, which
+ * suspends it too). Serves GET /v1/trace?key=KEY: asks all members concurrently; the result names those that do not
+ * answer in time. Times are converted to this process's clock, with an error of up to half the round-trip time. */
 void trace_serve(Trace *trace, HttpExchange *task);
 
 #endif
--- a/packages/trace/src/gather.c
+++ b/packages/trace/src/gather.c
@@ -115,8 +115,8 @@
     loop_spawn(trace->loop, "trace", member_query_main, member_query);
 }
 
-/* Waits. Asks all other members concurrently, until each request is done. An entry point knows only a part of the
- * members and gets the list of the others from a controller. */
+/* Suspends the coroutine. Asks all other members concurrently, until each request is done. An entry point knows only a
+ * part of the members and gets the list of the others from a controller. */
 static void query_members(TraceQuery *query)
 {
     Trace *trace = query->trace;
--- a/packages/wire/include/wire/rpc.h
+++ b/packages/wire/include/wire/rpc.h
@@ -76,8 +76,8 @@
  * BAD_SETTINGS with the text in failure. */
 Status rpc_listen(Rpc *rpc, const char *address, char bound[ADDRESS_MAX], Failure *failure);
 
-/* Waits, at most wait_ms. Sends a request to any process that listens at the address, and fills in the answer, with
- * everything it points to on mem.
+/* Suspends the coroutine, for wait_ms at most. Sends a request to any process that listens at the address, and fills in
+ * the answer, with everything it points to on mem.
  * The request was certainly not executed: UNREACHABLE, TOO_LARGE, FOREIGN_CLUSTER, OTHER_PEER, OTHER_INCARNATION,
  * OTHER_VERSION, UNKNOWN_REQUEST. It may have been executed: EXPIRED (no answer in time), CLOSED, BAD_FRAME. Any other
  * status is the peer's own. */
@@ -97,8 +97,8 @@
     RpcSendState *send_state; /* null: not needed */
 } RpcTarget;
 
-/* Waits. As rpc_call, for one process: another process that listens at the address does not execute the request, and
- * only the target's own answer is accepted. Returns UNREACHABLE also if the request was cancelled. */
+/* Suspends the coroutine. As rpc_call, for one process: another process that listens at the address does not execute
+ * the request, and only the target's own answer is accepted. Returns UNREACHABLE also if the request was cancelled. */
 Status rpc_call_peer(Rpc *rpc, void *mem, const RpcTarget *target, MessageKind kind, const Shape *ask_shape,
                      const void *ask, int64_t wait_ms, const Shape *answer_shape, void *answer);
 /* Notifies the endpoint that a new process listens at the address. A connection on which a request has waited for
--- a/packages/wire/src/ask.c
+++ b/packages/wire/src/ask.c
@@ -52,7 +52,7 @@
     return unpacked;
 }
 
-/* Waits until the request is done. EXPIRED: it timed out at until_ms, and may have been executed. */
+/* Suspends the coroutine until the request is done. EXPIRED: it timed out at until_ms, and may have been executed. */
 static Status pending_wait(Connection *connection, PendingRequest *request, int64_t until_ms)
 {
     Rpc *rpc = connection->rpc;
--- a/packages/wire/src/connection.h
+++ b/packages/wire/src/connection.h
@@ -4,8 +4,8 @@
 #include "pending.h"
 #include "wire/rpc.h"
 
-/* Waits, until until_ms at the latest. Returns the connection to the address, ready to send, or null when the peer
- * cannot be reached. A connection attempt takes at most CONNECT_TIMEOUT_MS. */
+/* Suspends the coroutine, until until_ms at the latest. Returns the connection to the address, ready to send, or null
+ * when the peer cannot be reached. A connection attempt takes at most CONNECT_TIMEOUT_MS. */
 Connection *connection_ready(Rpc *rpc, const char *address, int64_t until_ms);
 
 #endif
--- a/packages/wire/src/serve.c
+++ b/packages/wire/src/serve.c
@@ -84,7 +84,7 @@
     log_event(rpc->recorder, LOG_FRAME_BAD, loop_now_ms(rpc->loop), &(LogFields){.text = text});
 }
 
-/* Waits, if the handler does. Runs the handler and packs its answer. */
+/* Suspends the coroutine if the handler does. Runs the handler and packs its answer. */
 static Status request_serve(IncomingRequest *request, Bytes *payload)
 {
     Served *served = request->served;
@@ -134,7 +134,7 @@
     }
     rpc_count_received(rpc, envelope->kind, RPC_REQUESTS, frame.count);
     if (envelope->kind >= MESSAGE_MAX || rpc->handlers[envelope->kind].fn == NULL) {
-        /* the request is of a later release or for another role: the answer tells that it was not executed */
+        /* the request is of a later release or for another role: the answer states that it was not executed */
         answer_send(served, request, envelope, STATUS_UNKNOWN_REQUEST, (Bytes){0});
         bad_frame_note(rpc, "a request of an unknown kind");
         return false;
--- a/packages/wire/src/unpack.c
+++ b/packages/wire/src/unpack.c
@@ -73,7 +73,7 @@
     return copy;
 }
 
-/* Rejects a text that contains a zero byte, since C would read only a part of it. */
+/* Refuses a text that contains a zero byte, since C would read only a part of it. */
 static bool text_take(Unpacker *unpacker, const Value *value, const char **to)
 {
     *to = "";
@@ -132,7 +132,7 @@
     if (value.kind != VALUE_ARRAY)
         return wrong_type(failure, shape, field);
     uint8_t *list = talloc_array_size(unpacker->mem, of->size, (unsigned)value.number);
-    if (list == NULL) /* one byte of a frame may represent a whole struct */
+    if (list == NULL) /* one byte of a frame may represent an entire struct */
         return wrong_type(failure, shape, field);
     for (size_t i = 0; i < value.number; i++) {
         const Status status = unpack_shape(unpacker, of, list + i * of->size, failure);
--- a/packages/wire/test/wire.c
+++ b/packages/wire/test/wire.c
@@ -332,7 +332,7 @@
     assert_string_equal(failure.text, "Tree.on has the wrong type");
 }
 
-/* Each of 20,000 corrupted copies is rejected or gives a struct that can be packed; none ends the process. */
+/* Each of 20,000 corrupted copies is refused or gives a struct that can be packed; none ends the process. */
 static void spoiled_is_refused_or_packs_again(void **state)
 {
     Fixture *fixture = *state;
@@ -364,7 +364,7 @@
 static void list_beyond_memory_is_refused(void **state)
 {
     Fixture *fixture = *state;
-    enum { ELEMENTS = 17 * 1024 * 1024 }; /* of 16 bytes each: more than talloc allocates at once */
+    enum { ELEMENTS = 17 * 1024 * 1024 }; /* of 16 bytes each: more than talloc allocates in one block */
     static const uint8_t HEAD[] = {0x96, 0x00, 0xc2, 0xc4, 0x00, 0x90, 0x90, 0xdd, 0x01, 0x10, 0x00, 0x00};
     Bytes frame = {0};
     bytes_add(fixture, &frame, HEAD, sizeof(HEAD));
