--- a/examples/counter.c
+++ b/examples/counter.c
@@ -114,7 +114,7 @@
     Counter *counter = arg;
     (void)term;
     (void)repair;
-    if (new_holder) /* no process counts as lost before all leases that the previous holder granted have lapsed */
+    if (new_holder) /* no process counts as lost before all leases that the previous holder granted have expired */
         liveset_reset(counter->liveset,
                       replication_lease_won_ms(counter->replication) + AGENT_LEASE_MS + LEASE_SLACK_MS, NULL, 0);
 }
--- a/src/build.c
+++ b/src/build.c
@@ -1,4 +1,4 @@
-/* config build: builds a whole configuration from a template, its parameters and overlays. */
+/* config build: builds a complete configuration from a template, its parameters and overlays. */
 #include <popt.h>
 #include <stdio.h>
 #include <string.h>
@@ -44,7 +44,7 @@
     return count;
 }
 
-/* Builds the whole document; null if there are faults. out: *source, the file to which the faults belong. */
+/* Builds the complete document; null if there are faults. out: *source, the file to which the faults belong. */
 static json_object *build_document(Faults *faults, const char *template_path, const char *const *assignments,
                                    const char *const *overlays, const char **source)
 {
--- a/src/node.c
+++ b/src/node.c
@@ -23,7 +23,7 @@
     int code;
 } NodeRun;
 
-/* Reads the settings again. Seeds and bounds take effect at once, other changes at the next start. */
+/* Reads the settings again. Seeds and bounds take effect immediately, other changes at the next start. */
 static void reload_settings(NodeRun *run)
 {
     Failure failure = {0};
--- a/src/role.h
+++ b/src/role.h
@@ -14,7 +14,7 @@
  * reason, with the text in failure. */
 Status role_start(void *mem, AdapterNode *node, SettingsRole role, const Settings *settings,
                   const ControllerObserver *watch, Failure *failure);
-/* Shuts down gracefully what was started, then the loop. Waits. */
+/* Shuts down gracefully what was started, then the loop. Suspends the coroutine. */
 void role_end(const AdapterNode *node);
 /* Writes the flight recorder to standard error. */
 void role_dump(const AdapterNode *node);
--- a/src/status.c
+++ b/src/status.c
@@ -43,7 +43,7 @@
     }
 }
 
-/* Prints the whole state. */
+/* Prints the entire state. */
 static void print_status(json_object *body)
 {
     json_object *plan = reply_member(body, "plan"), *live = reply_member(body, "liveset");
