--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -198,19 +198,21 @@
 #define JOB_KEEP_MS 3600000 /* An ended job is kept for an hour: an id sent again within it still counts once */
 /* Minimum interval between removals of ended jobs, since each costs a change */
 #define JOBS_FORGET_INTERVAL_MS 1000
-#define JOB_TASKS_MAX 10000                               /* Tasks in one job */
-#define JOB_STEPS_MAX 64                                  /* Steps in one job: a bit for each fits in 64 */
-#define JOB_SPAN_MAX_MS (INT64_C(366) * 24 * 3600 * 1000) /* A year; longer spans in a job are mistakes */
-#define JOB_BODY_MAX (256 * 1024)                         /* One job's JSON, in bytes */
-/* One configuration, in bytes: some 5,000 queues, 0.15 s of a controller to check */
+#define JOB_TASKS_MAX 10000 /* Tasks in one job */
+#define JOB_STEPS_MAX 64    /* Steps in one job: a bit for each fits in 64 */
+#define JOB_SPAN_MAX_MS                                                                          \
+    (INT64_C(366) * 24 * 3600 * 1000) /* Longest span in a job: a year; longer ones are mistakes \
+                                       */
+#define JOB_BODY_MAX (256 * 1024)     /* One job's JSON, in bytes */
+/* Size of a configuration, in bytes: some 5,000 queues, which a controller checks in 0.15 s */
 #define CONFIG_BODY_MAX (2 * 1024 * 1024)
-/* A larger configuration is not forwarded: 130 ms of a 2 Mbit/s link, each way */
+/* A larger configuration is not forwarded: this size takes 130 ms on a 2 Mbit/s link, each way */
 #define CONFIG_LARGE_BYTES (32 * 1024)
-#define CONFIG_NOTE_MAX (64 * 1024)   /* Operator's note on a queue, a kind or the whole configuration, in bytes */
+#define CONFIG_NOTE_MAX (64 * 1024)   /* Operator's note on a queue, a kind or the entire configuration, in bytes */
 #define CONFIG_PATH_MAX 1024          /* Host, prefix or path, in bytes; longer ones are mistakes */
 #define CONFIG_KEY_MAX 256            /* A tenant's key, in bytes; longer ones are mistakes */
 #define CONFIG_WEIGHT_MAX 1000000     /* A tenant's weight; larger ones are mistakes */
-#define CONFIG_SPAN_MAX_MS 1000000000 /* Eleven days; longer spans are mistakes */
+#define CONFIG_SPAN_MAX_MS 1000000000 /* Longest span: eleven days; longer ones are mistakes */
 #define CONFIG_BYTES_MAX (1024 * 1024 * 1024) /* Limits in bytes; larger ones are mistakes */
 /* Latency target as a multiple of the longest chain of work; larger ones are mistakes */
 #define CONFIG_STRETCH_MAX 1000
@@ -243,7 +245,7 @@
 #define LASTING_BACKOFF_MAX_MS 2000 /* Longest wait before a lasting task that fails repeatedly is started again */
 #define LIST_PAGE_DEFAULT 100       /* Jobs on one page of a list, by default */
 #define LIST_PAGE_MAX 1000          /* Jobs on one page of a list, at most */
-#define RESOURCES_MAX 100000000ULL  /* Milli-CPU, MB or count; larger numbers are mistakes */
+#define RESOURCES_MAX 100000000ULL  /* Largest amount, in milli-CPU, MB or units; larger ones are mistakes */
 
 /* --- latency targets and estimates ----------------------------------------------------------- */
 /* Run time after which an attempt's progress is first reported; a short task's is not */
@@ -257,10 +259,10 @@
 /* Age up to which a ratio counts as recent: slow spells of workers are as short as this */
 #define ESTIMATE_FRESH_MS 4000
 #define ESTIMATE_POOL_RATIOS 64  /* Ratios of all workers: enough that no single worker decides */
-#define ESTIMATE_RATIO_MAX 20000 /* Thousandths; a worker that is slower than this is stalled */
-/* Thousandths; lower bound of a worker's usual slowdown: workers differ by a quarter either way */
+#define ESTIMATE_RATIO_MAX 20000 /* A worker slower than this, in thousandths, is stalled */
+/* Lower bound of a worker's usual slowdown, in thousandths: workers differ by a quarter either way */
 #define ESTIMATE_SLOWDOWN_MIN 600
-/* Thousandths; with estimates off by up to half, a slowdown beyond this is a slow spell */
+/* With estimates off by up to half, a slowdown beyond this, in thousandths, is a slow spell */
 #define ESTIMATE_SLOWDOWN_MAX 1700
 #define STALLED_PERCENT 15 /* An attempt without progress while this share of its work was due is stalled */
 /* Minimum time without progress of a stalled attempt: resuming from saved progress begins with a pause */
@@ -277,9 +279,9 @@
 #define LEAVE_START_TIMEOUT_MS 300 /* An order that a leaving worker has not started within this is withdrawn */
 #define LEAVE_STOPS_MAX 32         /* Attempts taken off leaving workers in one pass */
 #define SLOW_STOPS_MAX 4           /* Attempts restarted elsewhere in one pass */
-#define SLOW_ATTEMPTS_MAX 5        /* Attempts of a task after which it is not restarted elsewhere any more */
+#define SLOW_ATTEMPTS_MAX 5        /* Attempts of a task after which it is no longer restarted elsewhere */
 #define TARGET_LATE_TIMES 3        /* Up to this many times its latency target a job still has some value */
-/* Percent of the remaining work; a target missed by less may still be met: estimates are rough */
+/* A target missed by less than this share of the remaining work may still be met: estimates are rough */
 #define TARGET_TOLERANCE_PERCENT 25
 /* A target this much farther off weighs 2.7 times less: about one task's time */
 #define TARGET_HORIZON_MS 2000
@@ -293,8 +295,8 @@
 #define TARGET_WAVE_DIVISOR 4 /* A step wider than 1 in this many of the fleet's capacity runs in waves */
 
 /* --- scores of workers that claim to be healthy ---------------------------------------------- */
-#define FAILURE_WEIGHT_PERCENT 25 /* Percent; weight of the newest attempt in a worker's failure rate */
-/* Percent; above this failure rate, and after FAILURE_JOBS, a worker gets no work for a while */
+#define FAILURE_WEIGHT_PERCENT 25 /* Weight of the newest attempt in a worker's failure rate */
+/* Above this failure rate, and after FAILURE_JOBS, a worker gets no work for a while */
 #define FAILURE_EJECTION_PERCENT 60
 /* Different jobs in a row that failed on the worker, since one bad job does not make a bad worker */
 #define FAILURE_JOBS 3
@@ -304,7 +306,7 @@
 #define SCORE_HALF_LIFE_MS 10000
 #define EJECTED_WORKERS_DIVISOR 4 /* At most 1 in this many of the fleet's workers is ejected at the same time */
 
-/* Percent; weight of a slow attempt; concurrent attempts are one sign, so signs are few */
+/* Weight of a slow attempt; concurrent attempts count as one sign, so signs are few */
 #define SLOW_WEIGHT_PERCENT 50
 #define SLOW_SIGNS 2           /* Slow attempts of different jobs before a worker counts as slow */
 #define SLOW_TIMES 3           /* An attempt that takes this many times its step's median is slow */
@@ -320,8 +322,8 @@
 #define PLAN_CHECK_MS 1000
 /* Weight of a worker's extra run time, which is subtracted from its free capacity when workers are compared */
 #define CHOICE_SLOWDOWN_WEIGHT 2
-#define CHOICE_GPU_COST 500 /* Thousandths of a worker; cost of a worker's GPU to work that needs none */
-/* Thousandths of a worker: gain of placing a step's tasks together. It is more than a worker's entire capacity, and
+#define CHOICE_GPU_COST 500 /* Cost of a worker's GPU to work that needs none, in thousandths of a worker */
+/* Gain of placing a step's tasks together, in thousandths of a worker. It is more than a worker's entire capacity, and
  * less than the penalty of a worker that is slow or fails its work. */
 #define CHOICE_TOGETHER_GAIN 1000
 /* Longest wait of work for capacity near its data: half of the time for which work may be stalled */
--- a/packages/loop/src/real.h
+++ b/packages/loop/src/real.h
@@ -50,7 +50,7 @@
 h2o_socket_t *real_bind(RealLoop *real, const char *address, h2o_socket_cb on_accept, void *data, char *bound,
                         Failure *failure);
 
-/* Sets TCP_NODELAY and the timeouts after which a connection ends when its peer's machine does not respond any more.
+/* Sets TCP_NODELAY and the timeouts after which a connection ends when its peer's machine no longer responds.
  * Connections that a listening socket accepts inherit them. */
 void real_set_timeouts(int fd);
 
