--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -200,10 +200,9 @@
 #define JOBS_FORGET_INTERVAL_MS 1000
 #define JOB_TASKS_MAX 10000 /* Tasks in one job */
 #define JOB_STEPS_MAX 64    /* Steps in one job: a bit for each fits in 64 */
-#define JOB_SPAN_MAX_MS                                                                          \
-    (INT64_C(366) * 24 * 3600 * 1000) /* Longest span in a job: a year; longer ones are mistakes \
-                                       */
-#define JOB_BODY_MAX (256 * 1024)     /* One job's JSON, in bytes */
+/* Longest span in a job: a year; longer ones are mistakes */
+#define JOB_SPAN_MAX_MS (INT64_C(366) * 24 * 3600 * 1000)
+#define JOB_BODY_MAX (256 * 1024) /* One job's JSON, in bytes */
 /* Size of a configuration, in bytes: some 5,000 queues, which a controller checks in 0.15 s */
 #define CONFIG_BODY_MAX (2 * 1024 * 1024)
 /* A larger configuration is not forwarded: this size takes 130 ms on a 2 Mbit/s link, each way */
