--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -55,8 +55,8 @@
     Submission *submission = talloc_zero(loop, Submission);
     *submission = (Submission){explore, node, explore->client_change_count, {0}};
     bytes_add(submission, &submission->payload, &submission->number, sizeof(submission->number));
-    static const uint8_t INSTALL_SNAPSHOT[CLIENT_PADDING_MAX] = {0};
-    bytes_add(submission, &submission->payload, INSTALL_SNAPSHOT, sim_random(explore->world) % CLIENT_PADDING_MAX);
+    static const uint8_t ZERO_PADDING[CLIENT_PADDING_MAX] = {0};
+    bytes_add(submission, &submission->payload, ZERO_PADDING, sim_random(explore->world) % CLIENT_PADDING_MAX);
     loop_spawn(loop, "client", submit_main, submission);
 }
 
--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -123,7 +123,7 @@
 /* The meaning of an answer to a request. UNCLEAR: the request may or may not have been carried out. */
 typedef enum Outcome {
     OUTCOME_ACCEPTED,
-    OUTCOME_REJECTED, /* refused: not accepted, and never will be */
+    OUTCOME_REFUSED,  /* refused: not accepted, and never will be */
     OUTCOME_NO_QUEUE, /* the queue does not exist */
     OUTCOME_NO_JOB,   /* the job does not exist */
     OUTCOME_CONFLICT, /* the request was based on a document that is no longer in force */
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -20,7 +20,7 @@
     X(rack_worker_models, "rackHands", 3, "workers in each rack")                                     \
     X(worker_model_cpu_milli, "handCpuMilli", 64000, "CPU of a worker, in thousandths")               \
     X(worker_model_mem_mb, "handMemMb", 131072, "memory of a worker")                                 \
-    X(guards, "guards", 0, "1: workers reject tasks that do not fit")                                 \
+    X(guards, "guards", 0, "1: workers refuse tasks that do not fit")                                 \
     X(losses, "losses", 1, "controllers that may be lost at once")                                    \
     X(link_ms, "linkMs", 2, "maximum one-way network delay")                                          \
     X(slow_percent, "slowPercent", 2, "maximum drift of a worker's steady clock, slow")               \
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -347,7 +347,7 @@
                            "the document read back as version %" PRIu64 " was not sent in this form", version);
     else if (known != NULL && known->status == SENT_REFUSED)
         rules_record_break(topology->rules, RULE_CONFIG, topology_day_ms(topology),
-                           "version %" PRIu64 " was rejected but is in force", version);
+                           "version %" PRIu64 " was refused but is in force", version);
 }
 
 static void finish_main(void *arg)
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -127,8 +127,7 @@
         start->now_ms - job->cancel_acknowledged_ms > site->cancel_ms)
         BROKE(start, RULE_UNASKED, "cancelled %" PRId64 " ms ago", start->now_ms - job->cancel_acknowledged_ms);
     if (job->refused_ms != 0)
-        BROKE(start, RULE_REFUSED, "every submission was rejected, %" PRId64 " ms ago",
-              start->now_ms - job->refused_ms);
+        BROKE(start, RULE_REFUSED, "every submission was refused, %" PRId64 " ms ago", start->now_ms - job->refused_ms);
 }
 
 static void check_place(const Start *start)
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -58,7 +58,7 @@
     TENANT_CHANGE_SENT,
     TENANT_PRESENT,
     TENANT_ABSENT,
-    TENANT_CHANGE_REJECTED
+    TENANT_CHANGE_REFUSED
 } TenantChangeState;
 
 typedef struct Checker Checker;
--- a/packages/sim/include/sim/probe.h
+++ b/packages/sim/include/sim/probe.h
@@ -9,7 +9,7 @@
 #define PROBE_TENANT_COUNT 3
 extern const char *const PROBE_TENANT_NAMES[PROBE_TENANT_COUNT];
 /* A tenant that only refused configurations contain. */
-extern const char *const PROBE_REJECTED_TENANT;
+extern const char *const PROBE_REFUSED_TENANT;
 
 /* Starts a probe at each entry point. Every interval_ms it submits a small job of one of these tenants or of its own
  * tenant, reads the status of such jobs back at all entry points, and reports to the checker. The probe ends when
--- a/packages/sim/src/check_config.c
+++ b/packages/sim/src/check_config.c
@@ -67,7 +67,7 @@
         return;
     if (taken && !tenant->ever_member)
         checker_violated(checker, INVARIANT_REFUSED_CONFIG,
-                         "a job of tenant %s, which only a rejected configuration contains, was accepted", name);
+                         "a job of tenant %s, which only a refused configuration contains, was accepted", name);
     else
         checker_violated(checker, INVARIANT_CONFIG_LOST,
                          "a job of tenant %s is %s %" PRId64 " ms after the opposite was acknowledged", name,
@@ -83,7 +83,7 @@
 void checker_quota_changed(Checker *checker, const char *name, Resources quota, TenantChangeState word)
 {
     SeenTenant *tenant = seen_tenant(checker, name);
-    if (word == TENANT_CHANGE_REJECTED) {
+    if (word == TENANT_CHANGE_REFUSED) {
         tenant->quota_pending = false;
         return;
     }
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -11,7 +11,7 @@
 #define READ_BACK_DELAY_MS 3000 /* Requirement: no job is "unknown when asked about 3 seconds after acceptance". */
 
 const char *const PROBE_TENANT_NAMES[PROBE_TENANT_COUNT] = {"guest1", "guest2", "guest3"};
-const char *const PROBE_REJECTED_TENANT = "nobody";
+const char *const PROBE_REFUSED_TENANT = "nobody";
 
 typedef struct ProbeJob {
     char *id;
@@ -53,7 +53,7 @@
     void *mem = talloc_new(fleet);
     const uint64_t at = probe->count++;
     const char *tenant = at % 2 == 0   ? "probe"
-                         : at % 8 == 7 ? PROBE_REJECTED_TENANT
+                         : at % 8 == 7 ? PROBE_REFUSED_TENANT
                                        : PROBE_TENANT_NAMES[at / 2 % PROBE_TENANT_COUNT];
     char *id = talloc_asprintf(fleet, "probe-%d-%" PRIu64, probe->entry_point, at);
     const int64_t sent_ms = sim_now_ms(fleet->world);
--- a/packages/sim/src/sweep_act.h
+++ b/packages/sim/src/sweep_act.h
@@ -29,7 +29,7 @@
     X(links_slow, "LinksSlow", 3)             \
     X(config, "Config", 8)                    \
     X(config_race, "ConfigRace", 4)           \
-    X(config_rejected, "ConfigRefused", 3)    \
+    X(config_refused, "ConfigRefused", 3)     \
     X(quota, "Quota", 3)                      \
     X(cancel, "Cancel", 8)                    \
     X(drain, "Drain", 4)                      \
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -70,7 +70,7 @@
         checker_config_acknowledged(fleet->checker, version);
         change_report(change, change->quota || change->in ? TENANT_PRESENT : TENANT_ABSENT);
     } else if (change->code >= 400 && change->code < 500) {
-        change_report(change, TENANT_CHANGE_REJECTED);
+        change_report(change, TENANT_CHANGE_REFUSED);
     }
     change->done = true;
 }
@@ -144,21 +144,21 @@
 }
 
 /* A change that must be refused, because its base is stale or its content invalid, and must never take effect. */
-void act_config_rejected(Sweep *sweep)
+void act_config_refused(Sweep *sweep)
 {
     uint64_t base;
     if (!version_read(sweep, &base) || base == 0)
         return;
-    ConfigChange *change = change_new(sweep, base, PROBE_REJECTED_TENANT, true);
+    ConfigChange *change = change_new(sweep, base, PROBE_REFUSED_TENANT, true);
     const bool stale = sweep_draw(sweep, 2) == 0;
     if (stale)
         change->base--;
     else
         change->body = talloc_asprintf(change, "{\"r\":99,\"cells\":{\"%s\":{\"tenants\":{\"%s\":{}}}}}",
-                                       mix_cell(sweep->fleet->shape.mix), PROBE_REJECTED_TENANT);
+                                       mix_cell(sweep->fleet->shape.mix), PROBE_REFUSED_TENANT);
     change_send(change);
     change_wait(change);
-    sweep_report_fault(sweep, "a change that must be rejected (%s): %d", stale ? "stale" : "faulty", change->code);
+    sweep_report_fault(sweep, "a change that must be refused (%s): %d", stale ? "stale" : "faulty", change->code);
 }
 
 void act_quota(Sweep *sweep)
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -270,11 +270,10 @@
     checker = begin(), checker_tenant_changed(checker, "g", TENANT_PRESENT),
     checker_tenant_changed(checker, "g", TENANT_CHANGE_SENT), now_ms += 2000;
     checker_tenant_probed(checker, "g", now_ms, false), none_broke(checker),
-        checker_tenant_changed(checker, "g", TENANT_CHANGE_REJECTED),
-        checker_tenant_probed(checker, "g", now_ms, false);
+        checker_tenant_changed(checker, "g", TENANT_CHANGE_REFUSED), checker_tenant_probed(checker, "g", now_ms, false);
     broke_only(checker, INVARIANT_CONFIG_LOST);
     checker = begin(), checker_tenant_changed(checker, "n", TENANT_CHANGE_SENT),
-    checker_tenant_changed(checker, "n", TENANT_CHANGE_REJECTED), checker_tenant_probed(checker, "n", now_ms, true);
+    checker_tenant_changed(checker, "n", TENANT_CHANGE_REFUSED), checker_tenant_probed(checker, "n", now_ms, true);
     broke_only(checker, INVARIANT_REFUSED_CONFIG);
     checker = begin(), checker_config_conflict(checker, 3), broke_only(checker, INVARIANT_CONFIG_LOST);
     checker = begin(), checker_quota_changed(checker, "t", (Resources){1000, 0, 0}, TENANT_PRESENT),
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -144,7 +144,7 @@
 static void assert_history(Fleet *fleet, const Operator *all, int operators)
 {
     void *mem = talloc_new(fleet);
-    size_t accepted = 0, rejected = 0, unanswered = 0, again = 0;
+    size_t accepted = 0, refused = 0, unanswered = 0, again = 0;
     uint64_t highest = 0;
     bool *bases = talloc_zero_array(mem, bool, 100000);
     for (int i = 0; i < operators; i++)
@@ -163,7 +163,7 @@
                 assert_int_equal(number_in(&call, mem, "\"revision\":"), change->version);
             } else if (change->code != 0) {
                 assert_int_equal(change->code, 409);
-                rejected++;
+                refused++;
                 assert_string_not_equal(marker_at(fleet, mem, change->version), change->marker);
             } else {
                 unanswered++;
@@ -172,9 +172,9 @@
     const HttpCall newest = fleet_request(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
     assert_int_equal(newest.code, 200);
     assert_true(number_in(&newest, mem, "\"revision\":") >= highest);
-    print_message("%zu accepted, %zu rejected, %zu without an answer; %zu sent more than once\n", accepted, rejected,
+    print_message("%zu accepted, %zu refused, %zu without an answer; %zu sent more than once\n", accepted, refused,
                   unanswered, again);
-    assert_true(accepted > 20 && rejected > 5 && unanswered <= (size_t)operators);
+    assert_true(accepted > 20 && refused > 5 && unanswered <= (size_t)operators);
     if (checker_violations_total(fleet->checker) > 0)
         fail_msg("%s", checker_first_violation(fleet->checker));
     talloc_free(mem);
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -47,7 +47,7 @@
 typedef struct Pouring {
     Fleet *fleet;
     bool stop;
-    size_t rejected;           /* invalid: no worker can run them */
+    size_t refused;            /* invalid: no worker can run them */
     size_t accepted;           /* 201 */
     size_t retry_later, other; /* retry_later: 503 with Retry-After */
 } Pouring;
@@ -79,7 +79,7 @@
         if (status == STATUS_OK && call.code == 201)
             load->accepted++;
         else if (status == STATUS_OK && call.code == 422)
-            load->rejected++;
+            load->refused++;
         else if (status == STATUS_OK && call.code == 503 && call.retry_after_s > 0)
             load->retry_later++;
         else
@@ -104,9 +104,9 @@
         fleet_run(fleet, 40000);
         load->stop = true;
         if (with_load) {
-            print_message("%s: background load: %zu accepted, %zu rejected, %zu told to retry later, %zu other; ",
-                          mix_word(mix), load->accepted, load->rejected, load->retry_later, load->other);
-            assert_true(load->rejected > 1000 && load->accepted > 50);
+            print_message("%s: background load: %zu accepted, %zu refused, %zu told to retry later, %zu other; ",
+                          mix_word(mix), load->accepted, load->refused, load->retry_later, load->other);
+            assert_true(load->refused > 1000 && load->accepted > 50);
             assert_int_equal(load->other, 0);
         }
         fleet_run(fleet, 60000);
@@ -206,7 +206,7 @@
             highest = version > highest ? version : highest;
         }
     }
-    print_message("%zu acknowledged, %zu rejected as stale\n", acknowledged, stale);
+    print_message("%zu acknowledged, %zu refused as stale\n", acknowledged, stale);
     assert_true(acknowledged > 30 && stale > 20);
     const HttpCall call = fleet_request(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/config", NULL);
     assert_true(strtoull((const char *)call.response_body.data + strlen("{\"revision\":"), NULL, 10) >= highest);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -109,7 +109,7 @@
 static void jobs(void **state)
 {
     (void)state;
-    size_t accepted = 0, rejected = 0;
+    size_t accepted = 0, refused = 0;
     random_state = 1;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
@@ -125,18 +125,18 @@
             accepted++;
         } else {
             assert_faults_typed(faults);
-            rejected++;
+            refused++;
         }
         talloc_free(mem);
     }
-    print_message("jobs: %zu accepted, %zu rejected\n", accepted, rejected);
-    assert_true(accepted > 100 && rejected > 10000);
+    print_message("jobs: %zu accepted, %zu refused\n", accepted, refused);
+    assert_true(accepted > 100 && refused > 10000);
 }
 
 static void configs(void **state)
 {
     (void)state;
-    size_t accepted = 0, rejected = 0;
+    size_t accepted = 0, refused = 0;
     random_state = 2;
     for (int i = 0; i < 4000; i++) {
         void *mem = talloc_new(NULL);
@@ -153,12 +153,12 @@
             accepted++;
         } else {
             assert_faults_typed(faults);
-            rejected++;
+            refused++;
         }
         talloc_free(mem);
     }
-    print_message("configurations: %zu accepted, %zu rejected\n", accepted, rejected);
-    assert_true(accepted > 50 && rejected > 1000);
+    print_message("configurations: %zu accepted, %zu refused\n", accepted, refused);
+    assert_true(accepted > 50 && refused > 1000);
 }
 
 static void policies(void **state)
@@ -167,7 +167,7 @@
     static const char TEXT[] =
         "function rank(t) local s = 0 for i = 1, 9 do s = s + i * t.cpu end return t.queue_priority + "
         "math.min(t.waited_ms / 60000, 4) + s end function may_push(a, b) return a.queue == 'm' end";
-    size_t accepted = 0, rejected = 0;
+    size_t accepted = 0, refused = 0;
     random_state = 3;
     for (int i = 0; i < 3000; i++) {
         void *mem = talloc_new(NULL);
@@ -179,12 +179,12 @@
         } else {
             assert_int_equal(failure.status, STATUS_BAD_POLICY);
             assert_true(strlen(failure.text) > 0);
-            rejected++;
+            refused++;
         }
         talloc_free(mem);
     }
-    print_message("policies: %zu accepted, %zu rejected\n", accepted, rejected);
-    assert_true(accepted > 20 && rejected > 500);
+    print_message("policies: %zu accepted, %zu refused\n", accepted, refused);
+    assert_true(accepted > 20 && refused > 500);
 }
 
 /* Agents, entry points and controllers answer every HTTP request with a status code from 200 to 504 other than 500, and
@@ -278,7 +278,7 @@
         MESSAGES(X)
 #undef X
     };
-    size_t accepted = 0, rejected = 0;
+    size_t accepted = 0, refused = 0;
     random_state = 5;
     const AttemptId attempts[] = {{"job-1", 7, 2}, {"job-2", 0, 1}};
     for (int i = 0; i < 40000; i++) {
@@ -302,12 +302,12 @@
             assert_true(again.count > 0);
             accepted++;
         } else {
-            rejected++;
+            refused++;
         }
         talloc_free(mem);
     }
-    print_message("shapes: %zu accepted, %zu rejected\n", accepted, rejected);
-    assert_true(accepted > 100 && rejected > 10000);
+    print_message("shapes: %zu accepted, %zu refused\n", accepted, refused);
+    assert_true(accepted > 100 && refused > 10000);
 }
 
 int main(void)
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -106,7 +106,7 @@
         assert_int_equal(task->code, 503);
         assert_true(task->retry_after_s > 0);
         if (took_ms > LEADER_WAIT_MS)
-            fail_msg("rejected only after %lld ms", (long long)took_ms);
+            fail_msg("refused only after %lld ms", (long long)took_ms);
         fleet_run(fleet, 100);
     }
     case_end(fleet);
--- a/packages/sim/test/narrow_links.c
+++ b/packages/sim/test/narrow_links.c
@@ -140,7 +140,7 @@
     int begun, ended;
     int unanswered; /* no response */
     int served;     /* 200 */
-    int rejected;   /* 503 with Retry-After */
+    int refused;    /* 503 with Retry-After */
     int64_t longest_ms;
 } ReadLoad;
 
@@ -157,7 +157,7 @@
     load->ended++;
     load->unanswered += status != STATUS_OK;
     load->served += status == STATUS_OK && call.code == 200;
-    load->rejected += status == STATUS_OK && call.code == 503 && call.retry_after_s > 0;
+    load->refused += status == STATUS_OK && call.code == 503 && call.retry_after_s > 0;
     load->longest_ms = took_ms > load->longest_ms ? took_ms : load->longest_ms;
     talloc_free(mem);
 }
@@ -171,8 +171,8 @@
     }
     fleet_run(load->fleet, READ_WAIT_MS + 1000);
     assert_int_equal(load->ended, count);
-    print_message("%d reads of %s: %d served, %d rejected, %d unanswered, longest %lld ms\n", count, load->path,
-                  load->served, load->rejected, load->unanswered, (long long)load->longest_ms);
+    print_message("%d reads of %s: %d served, %d refused, %d unanswered, longest %lld ms\n", count, load->path,
+                  load->served, load->refused, load->unanswered, (long long)load->longest_ms);
 }
 
 /* A configuration of about this many bytes, most of them notes. */
