--- a/packages/loop/include/loop/internal.h
+++ b/packages/loop/include/loop/internal.h
@@ -53,7 +53,7 @@
     Loop *loop;
 };
 
-/* Initialises a loop, which is zeroed memory of the implementation. */
+/* Initializes a loop, which is zeroed memory of the implementation. */
 void loop_init(Loop *loop, const LoopOps *ops);
 /* Discards every task without running it; all that a task owns is on talloc memory. */
 void loop_end(Loop *loop);
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -105,8 +105,8 @@
 /* Connects. Suspends the coroutine, for wait_ms at most. The channel is a child of mem until channel_close. Returns OK,
  * UNREACHABLE, or BAD_SETTINGS when address is malformed. */
 Status loop_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
-/* Queues a copy of the frame; never waits. Returns OK, CLOSED, TOO_LARGE, or BUSY when the peer does not read, in which
- * case the connection has been closed. */
+/* Queues a copy of the frame; does not suspend the coroutine. Returns OK, CLOSED, TOO_LARGE, or BUSY when the peer does
+ * not read, in which case the connection has been closed. */
 Status channel_send(Channel *channel, Bytes frame);
 /* Returns the number of bytes queued so far, which is an offset for channel_unsent. */
 uint64_t channel_queued(const Channel *channel);
--- a/packages/loop/include/loop/real.h
+++ b/packages/loop/include/loop/real.h
@@ -8,7 +8,8 @@
 
 /* Creates the loop on mem, which must not be freed before the process ends. */
 Loop *real_loop_new(void *mem);
-/* Runs the loop until loop_stop. The first SIGTERM or SIGINT starts a task that runs on_term(arg). Blocks. */
+/* Runs the loop, and blocks the calling thread, until loop_stop. The first SIGTERM or SIGINT starts a task that runs
+ * on_term(arg). */
 void real_loop_run(Loop *loop, TaskFn on_term, void *arg);
 /* Makes each SIGUSR1 start a task that runs fn(arg). Must be called before real_loop_run. */
 void real_loop_on_sigusr1(Loop *loop, TaskFn fn, void *arg);
--- a/packages/loop/src/real.c
+++ b/packages/loop/src/real.c
@@ -42,7 +42,7 @@
 {
     guint32 seed[16];
     if (getrandom(seed, sizeof(seed), 0) != (ssize_t)sizeof(seed))
-        abort(); /* the kernel never refuses a request of this size once its generator is initialised */
+        abort(); /* the kernel never refuses a request of this size once its generator is initialized */
     return g_rand_new_with_seed_array(seed, sizeof(seed) / sizeof(seed[0]));
 }
 
--- a/packages/loop/src/real_disk.c
+++ b/packages/loop/src/real_disk.c
@@ -184,7 +184,7 @@
     }
 }
 
-/* Suspends the coroutine. Submits a job to the file's thread and waits for its completion. */
+/* Submits a job to the file's thread. Suspends the coroutine until the job is done. */
 static Status job_run(File *file, DiskWork work, Bytes bytes, DiskJob *job)
 {
     RealFile *real_file = (RealFile *)file;
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -40,7 +40,7 @@
     atomic_int gone;                             /* callers whose disconnection was detected */
 } PeerFixture;
 
-/* Waits for a step; called in the thread. */
+/* Blocks the calling thread until a step; called in the thread of the other side. */
 static void wait_for_step(PeerFixture *fixture, int step)
 {
     while (fixture->step < step)
--- a/packages/loop/test/socket_fixture.h
+++ b/packages/loop/test/socket_fixture.h
@@ -46,7 +46,7 @@
     }
 }
 
-/* Waits for a byte; returns true when the connection has ended instead. */
+/* Blocks the calling thread until a byte arrives or the connection ends; returns true if it has ended. */
 static inline bool is_closed(int fd)
 {
     char byte;
