--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -73,7 +73,7 @@
 
 /* One act of the adversary. */
 typedef struct Act {
-    int64_t at_ms; /* ms since the cluster was founded */
+    int64_t at_ms; /* time since the cluster was founded */
     ActKind kind;
     Who who;
     unsigned pick; /* chooses among the matching nodes, modulo their number */
@@ -100,7 +100,7 @@
     bool excess_losses; /* more disks may be lost than the log tolerates: then only safety is required */
     size_t snapshot;    /* number of entries after which a snapshot replaces the log */
     int64_t voter_replacement_ms; /* as in ReplicationSettings */
-    int64_t length_ms;            /* duration of the adversary, in ms */
+    int64_t length_ms;            /* duration of the adversary */
     Act acts[EXPLORE_ACTS_MAX];
     bool skipped[EXPLORE_ACTS_MAX]; /* acts that are left out */
     size_t act_count;
--- a/packages/explore/src/state.h
+++ b/packages/explore/src/state.h
@@ -39,7 +39,7 @@
 typedef struct DiskModel {
     int machine;
     bool lost;                      /* the disk was wiped, or its machine is permanently removed */
-    uint64_t disk, cluster;         /* ids; 0: not yet known */
+    uint64_t disk, cluster;         /* id of the disk and of its cluster; 0: not yet known */
     uint64_t promised;              /* highest term that the disk has promised */
     uint64_t base_index, base_term; /* last entry covered by the snapshot; 0: no snapshot */
     Items entries;
--- a/packages/model/include/model/rules.h
+++ b/packages/model/include/model/rules.h
@@ -42,7 +42,7 @@
 /* One break of a rule. */
 typedef struct Break {
     Rule rule;
-    int64_t at_ms; /* ms since traffic started */
+    int64_t at_ms; /* time since traffic started */
     char break_text[200];
 } Break;
 
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -10,8 +10,8 @@
 #include "sim/checker.h"
 #include "sim/world.h"
 
-#define SERVERS_MAX 32 /* controllers, spares and entry points */
-#define AGENTS_MAX 40  /* agents; also the maximum number of workers */
+#define SERVERS_MAX 32 /* maximum number of controllers, spares and entry points together */
+#define AGENTS_MAX 40  /* maximum number of agents, and of workers */
 
 /* A machine of the product with its one process.
  *
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -28,7 +28,7 @@
 typedef struct Observations {
     Fleet *fleet;
     uint64_t acknowledged; /* the newest version whose change was acknowledged to the operator */
-    size_t jobs;           /* accepted; their ids are j-0 to j-(jobs - 1) */
+    size_t jobs;           /* number of accepted jobs, whose ids are j-0 to j-(jobs - 1) */
     size_t answers;        /* answers that stated a version or a job */
     bool stop;
     char stale_answer[200]; /* the first stale answer; "": none */
--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -104,7 +104,8 @@
 void caller_stop(Caller *caller);
 /* Cancels all its jobs that have not ended, including those still to be submitted. */
 void caller_cancel_all(Caller *caller);
-/* Returns the number of its jobs and, in order of submission, the jobs; the array is valid until the loop runs on. */
+/* Returns the number of its jobs and, in order of submission, the jobs; the array is valid until another task
+ * runs. */
 size_t caller_jobs(const Caller *caller, CallerJob *const **jobs);
 /* Whether submission has ended and every job has ended or was refused. */
 bool caller_done(const Caller *caller);
